--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -6,62 +6,62 @@
     },
 };
 
-/// An order to an engine.
+/// A command to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Load an adapter; `announced` where exactly this version is meant, else the newest.
+    /// Load an adapter.
     Load {
         /// Its base model.
         model: ModelId,
-        /// The adapter and the version expected.
+        /// The adapter and its expected version.
         adapter: AdapterVersion,
-        /// Whether an operator has named this version.
+        /// Whether exactly this version is required; otherwise the engine loads the newest.
         announced: bool,
     },
-    /// Drop an adapter that nothing uses.
+    /// Unload an unused adapter.
     Unload {
         /// Its base model.
         model: ModelId,
-        /// The adapter.
+        /// The adapter and its version.
         adapter: AdapterVersion,
     },
     /// Load a base model.
     LoadModel(ModelId),
 }
 
-/// What the scheduler's shell is to do.
+/// What the caller of the scheduler has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerAction {
-    /// Let the request go to this upstream now.
+    /// Send the request to this upstream.
     Assign {
-        /// The request.
+        /// The request's attempt.
         ticket: Ticket,
-        /// The upstream.
+        /// The chosen upstream.
         upstream: UpstreamId,
-        /// The adapter's version that may run it, where an operator has named one.
+        /// The required adapter version, if an operator has announced one.
         version: Option<u32>,
-        /// What it waited for longest.
+        /// The reason that it waited for longest.
         waited_for: WaitReason,
     },
-    /// Answer the request with a refusal: it has not run.
+    /// Reject the request; it has not run.
     Refuse {
-        /// The request.
+        /// The request's attempt.
         ticket: Ticket,
-        /// Why, and when to come back.
+        /// The error, and when to retry.
         refusal: Refusal,
-        /// What it waited for longest.
+        /// The reason that it waited for longest.
         waited_for: WaitReason,
     },
-    /// Give an engine an order, void unless the engine has accepted exactly `after_seq` before.
+    /// Send a command to an engine, which must reject it unless its sequence number is `after_seq`.
     Order {
-        /// The engine.
+        /// The target engine.
         upstream: UpstreamId,
-        /// The order.
+        /// The command.
         order: Order,
-        /// Orders that the engine has accepted so far.
+        /// Number of commands that the engine has accepted so far.
         after_seq: u64,
     },
-    /// Ask an engine what it holds.
+    /// Request a status report from an engine.
     AskReport {
         /// The engine.
         upstream: UpstreamId,
--- a/crates/core/src/scheduler/backlog.rs
+++ b/crates/core/src/scheduler/backlog.rs
@@ -4,34 +4,34 @@
     std::collections::VecDeque,
 };
 
-/// How much one prompt counts for how slow an engine is against others.
+/// Weight of one sample in the moving average of an engine's slowness.
 const LEARNING: f64 = 0.15;
-/// Bounds of what one prompt may say of that.
+/// Bounds of one sample of slowness.
 const SLOWNESS: (f64, f64) = (0.5, 6.0);
-/// How fast what was seen of one engine is forgotten.
+/// Half-life of an engine's measured slowness.
 const SLOWNESS_HALF_LIFE: Millis = Millis(4_000);
 
-/// A prompt that was sent and whose first event has not been seen.
+/// A prompt that was sent and has no first event yet.
 #[derive(Clone, Copy, Debug)]
 struct Unread {
     request: RequestId,
     tokens: f64,
 }
 
-/// The prompts that an engine has still to read, in the order in which they were sent.
+/// Prompts waiting for prefill on an engine, in the order in which they were sent.
 #[derive(Clone, Debug)]
 pub(super) struct Backlog {
     unread: VecDeque<Unread>,
-    /// Since when the engine has been at the first of them.
+    /// When prefill of the first prompt started.
     since: Millis,
-    /// How long engines of its service take to read prompts.
+    /// Prefill time model of the service.
     line: ReadLine,
-    /// How much longer this one takes, as a factor, by what was seen lately.
+    /// Prefill time of this engine relative to its service, as a moving average.
     slowness: f64,
     seen_at: Millis,
 }
 
-/// How long a prompt took to be read.
+/// A measured prefill time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Reading {
     pub tokens: f64,
@@ -51,7 +51,7 @@
 }
 
 impl Backlog {
-    /// Notes that a prompt was sent of which `tokens` have to be read.
+    /// Adds a prompt with `tokens` to prefill.
     pub(super) fn push(
         &mut self,
         request: RequestId,
@@ -64,7 +64,7 @@
         self.unread.push_back(Unread { request, tokens });
     }
 
-    /// Takes what is known of all engines of its service.
+    /// Sets the prefill time model of the service.
     pub(super) const fn set_line(
         &mut self,
         line: ReadLine,
@@ -72,7 +72,8 @@
         self.line = line;
     }
 
-    /// Notes that the first event of a request was seen; returns how long its prompt took, if that can be told.
+    /// Records a request's first event; returns its prefill time if its prompt was the first in
+    /// line.
     pub(super) fn read(
         &mut self,
         request: RequestId,
@@ -104,8 +105,8 @@
         self.seen_at = now;
     }
 
-    /// What was seen of it counts for less the longer ago that was: an engine that is passed over for being slow would
-    /// never be seen to have recovered.
+    /// The slowness, decayed towards 1: an engine that is avoided for being slow would otherwise
+    /// never be tried again.
     fn slowness_at(
         &self,
         now: Millis,
@@ -114,7 +115,7 @@
         1.0 + (self.slowness - 1.0) * (-halvings).exp2()
     }
 
-    /// Forgets a request that has ended or gone elsewhere.
+    /// Removes a request that has ended or was sent elsewhere.
     pub(super) fn remove(
         &mut self,
         request: RequestId,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// How long the engine needs for all of it, in milliseconds.
+    /// Expected time until all prompts are prefilled, in milliseconds.
     pub(super) fn wait(
         &self,
         now: Millis,
@@ -147,7 +148,7 @@
         (time_for(first) - spent).max(0.0) + rest
     }
 
-    /// How long a prompt takes by itself, in milliseconds.
+    /// Expected prefill time of a single prompt, in milliseconds.
     pub(super) fn time_for(
         &self,
         tokens: f64,
@@ -156,17 +157,17 @@
         self.line.time_for(tokens) * self.slowness_at(now)
     }
 
-    /// Tokens of prompts that the engine reads in a millisecond.
+    /// Prefill throughput, in tokens per millisecond.
     pub(super) fn tokens_per_ms(&self) -> f64 {
         self.line.tokens_per_ms() / self.slowness
     }
 
-    /// Prompts that are unread.
+    /// Number of prompts waiting for prefill.
     pub(super) fn len(&self) -> usize {
         self.unread.len()
     }
 
-    /// Whether nothing is unread.
+    /// Whether no prompt is waiting for prefill.
     pub(super) fn is_empty(&self) -> bool {
         self.unread.is_empty()
     }
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -12,83 +12,81 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Requests that an engine is left below its number of slots, so that what other callers send at the same
-/// time finds a slot too.
+/// Request slots kept free on each engine for requests that the scheduler doesn't control.
 const SPARE_SLOTS: u32 = 2;
-/// How long after a doubt an engine's report is asked for: reports are some hundred milliseconds old, and
-/// an earlier one would still tell what was before.
+/// Delay before a stale engine is polled, so that its report isn't older than the event.
 const REPORT_LAG: Millis = Millis(350);
-/// An order, or a question for a report, and its answer take about this long.
+/// Expected latency of a command or a report request.
 const ORDER_TIME: Millis = Millis(5);
-/// Times in a row that this may happen before the engine is asked what it holds.
+/// Consecutive late loads after which the engine is polled for a report.
 const LATE_LOADS: u32 = 3;
 
-/// What an engine of one service can hold.
+/// Capacity of an engine of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Requests at a time.
+    /// Concurrent requests.
     pub slots: u32,
-    /// Tokens of running requests.
+    /// KV cache capacity, in tokens of running requests.
     pub kv_tokens: u64,
-    /// Adapters at a time, those on their way included.
+    /// Resident adapters, including those being loaded.
     pub adapter_slots: usize,
-    /// Megabytes for weights and adapters together.
+    /// Megabytes for base models and adapters together.
     pub weights_mb: f64,
-    /// Loads of base models from the weight store a second, over all engines.
+    /// Base model loads from the weight store per second, over all engines.
     pub loads_per_s: f64,
-    /// Each base model with its megabytes and those of one of its adapters.
+    /// Base models, each with its size and the size of one of its adapters, in megabytes.
     pub models: Vec<(ModelId, f64, f64)>,
 }
 
-/// How far the scheduler's book on an engine can be trusted.
+/// Whether the scheduler's view of an engine matches the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Knowledge {
-    /// It holds what the book says.
+    /// The view is up to date.
     Sure,
-    /// An order may or may not have been carried out; ask for a report from then on.
+    /// The view may be wrong, for example after a command without a response.
     Doubted {
-        /// When.
+        /// When to request a report.
         ask_at: Millis,
     },
-    /// A report was asked for.
+    /// A report was requested.
     Asked {
-        /// When to ask again.
+        /// When to request it again.
         again_at: Millis,
     },
 }
 
-/// The scheduler's book on one engine.
+/// The scheduler's view of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub limits: EngineLimits,
     pub knowledge: Knowledge,
     pub seq: u64,
-    /// Base models that it can run.
+    /// Base models that are loaded.
     pub models: Vec<ModelId>,
-    /// A base model that was ordered.
+    /// Base model being loaded.
     pub loading: Option<ModelId>,
     pub places: Vec<Place>,
-    /// Requests assigned to each adapter that haven't ended, whether or not the book has a place for it.
+    /// Assigned requests that have not ended, by adapter, including adapters that are not resident.
     users: HashMap<AdapterVersion, u32>,
-    /// An adapter that waits for its runs to end before it goes; until then the engine takes no order.
+    /// Adapter that is unloaded once its requests have ended; no commands are sent until then.
     pub going: Option<AdapterVersion>,
-    /// Whether an order is out and not answered.
+    /// Whether a command is waiting for its response.
     pub has_order: bool,
-    /// When its last order was sent or answered, whichever was later.
+    /// When the last command was sent or answered, whichever is later.
     pub ordered_at: Millis,
-    /// From when on it may be ordered: until then it may still get what another scheduler has sent.
+    /// No commands before this time: commands of the previous scheduler may still arrive.
     pub orders_from: Millis,
-    /// Whether it gets no more orders from this scheduler, which is about to hand it over.
+    /// Whether commands are stopped because leadership is about to be handed over.
     pub rests: bool,
-    /// Whether the order that is out is the second try of one that had no answer.
+    /// Whether the command in flight is the retry of one that got no response.
     pub has_repeated: bool,
-    /// The adapter that gets the place of one that was ordered to go.
+    /// Adapter that is loaded once the current eviction has made room.
     pub reserved: Option<(ModelId, AdapterVersion)>,
-    /// Adapters that it dropped lately, the latest last.
+    /// Recently unloaded adapters, oldest first.
     dropped: VecDeque<AdapterVersion>,
     pub backlog: Backlog,
     pub prefixes: PrefixCache,
-    /// Tokens of the requests assigned to it.
+    /// KV cache tokens reserved by assigned requests.
     pub kv_used: u64,
     late_loads: u32,
 }
@@ -120,7 +118,7 @@
         }
     }
 
-    /// Forgets what a restart has ended.
+    /// Resets the state after the engine restarted; assigned requests are kept.
     pub(super) fn restart(&mut self) {
         let backlog = std::mem::take(&mut self.backlog);
         let mut fresh = Self::new(self.limits.clone());
@@ -133,9 +131,7 @@
         *self = fresh;
     }
 
-    /// Takes over what the engine says, in place of what the book says.
-    ///
-    /// Requests that were assigned go on counting, whatever it holds.
+    /// Replaces the view with the engine's status; assigned requests are kept.
     pub(super) fn adopt(
         &mut self,
         facts: &EngineFacts,
@@ -185,7 +181,7 @@
         self.late_loads = 0;
     }
 
-    /// Takes a report's word as the truth from here on, unless something is still going on there.
+    /// Marks the view as up to date after a report, unless an unload is still pending.
     pub(super) fn trust(
         &mut self,
         now: Millis,
@@ -198,7 +194,7 @@
         }
     }
 
-    /// Stops trusting the book until a report has come.
+    /// Marks the view as stale until the next report.
     pub(super) fn doubt(
         &mut self,
         now: Millis,
@@ -209,7 +205,7 @@
         };
     }
 
-    /// Whether a report is to be asked for now; then notes that it was.
+    /// Returns whether a report is due, and if so schedules the next attempt.
     fn wants_report(
         &mut self,
         now: Millis,
@@ -223,7 +219,7 @@
         due
     }
 
-    /// Notes that its report is asked for, if that is wanted now; returns until when the answer is waited for.
+    /// Starts a report request if one is due; returns when to stop waiting for the response.
     pub(super) fn ask_report(
         &mut self,
         now: Millis,
@@ -232,7 +228,7 @@
         wants.then(|| self.report_due()).flatten()
     }
 
-    /// When a report is wanted.
+    /// When the next report is due, if one is needed.
     pub(super) fn report_due(&self) -> Option<Millis> {
         match self.knowledge {
             Knowledge::Sure => None,
@@ -241,7 +237,7 @@
         }
     }
 
-    /// Whether an order may be given now.
+    /// Whether a command can be sent now.
     pub(super) fn takes_orders(
         &self,
         now: Millis,
@@ -252,7 +248,7 @@
             && self.knowledge == Knowledge::Sure
     }
 
-    /// How long until an order may be given, as far as that can be told; none where this scheduler gives it no more.
+    /// Estimated time until a command can be sent; `None` if commands are stopped.
     pub(super) fn order_wait(
         &self,
         now: Millis,
@@ -266,7 +262,7 @@
         (!self.rests).then(|| answer.max(self.orders_from.since(now)))
     }
 
-    /// Notes that an order is sent.
+    /// Records that a command was sent.
     pub(super) const fn note_order(
         &mut self,
         now: Millis,
@@ -275,10 +271,11 @@
         self.ordered_at = now;
     }
 
-    /// Whether a report tells of a time before the last order. Reports are some hundred milliseconds old; long after the
-    /// last order one that counts fewer orders than the book is right, and the book is wrong: an engine that says of an
-    /// order that it holds already may or may not count it. Taken for an old one, it left its engine without orders for
-    /// good.
+    /// Whether a report predates the last command.
+    ///
+    /// A report that counts fewer commands is outdated only for a short time after the last
+    /// command. Later it is the view that is wrong: an engine may or may not count a command that
+    /// had no effect, and ignoring its reports would block its commands permanently.
     pub(super) fn is_outdated(
         &self,
         facts: &EngineFacts,
@@ -288,7 +285,7 @@
         counts_less && now.since(self.ordered_at) < REPORT_LAG
     }
 
-    /// Whether one more request fits, beside what was assigned.
+    /// Whether one more request fits beside the assigned ones.
     pub(super) fn has_room(
         &self,
         running: u32,
@@ -316,7 +313,7 @@
             .find(|place| place.adapter == adapter)
     }
 
-    /// Any version of the adapter that takes a place.
+    /// The resident adapter with this id, whatever its version.
     pub(super) fn place_of(
         &self,
         adapter: AdapterId,
@@ -326,7 +323,7 @@
             .find(|place| place.adapter.adapter == adapter)
     }
 
-    /// Whether an adapter can be loaded without another one going.
+    /// Whether an adapter of this model can be loaded without an eviction.
     pub(super) fn has_free_place(
         &self,
         model: ModelId,
@@ -334,7 +331,7 @@
         self.places.len() < self.limits.adapter_slots && self.has_memory_for_one_more(model)
     }
 
-    /// Adapters on their way.
+    /// Number of adapters being loaded.
     pub(super) fn coming(
         &self,
         now: Millis,
@@ -343,7 +340,7 @@
         self.places.iter().filter(is_coming).count()
     }
 
-    /// Adapters on their way from the adapter store.
+    /// Number of adapters being loaded from the adapter store.
     pub(super) fn coming_cold(
         &self,
         now: Millis,
@@ -352,7 +349,7 @@
         self.places.iter().filter(is_cold).count()
     }
 
-    /// Whether it held the adapter lately, so that it loads quickly.
+    /// Whether the adapter was unloaded recently, so that it reloads quickly.
     pub(super) fn keeps_warm(
         &self,
         adapter: AdapterVersion,
@@ -360,7 +357,7 @@
         self.dropped.contains(&adapter)
     }
 
-    /// Whether it has any version of an adapter or can load one quickly.
+    /// Whether any version of the adapter is resident or was unloaded recently.
     pub(super) fn may_have(
         &self,
         adapter: AdapterId,
@@ -372,7 +369,7 @@
         is_kept || self.place_of(adapter).is_some()
     }
 
-    /// Requests that use an adapter.
+    /// Number of assigned requests that use the adapter.
     pub(super) fn users_of(
         &self,
         adapter: AdapterVersion,
@@ -380,7 +377,7 @@
         self.users.get(&adapter).copied().unwrap_or_default()
     }
 
-    /// Whether a request is just finding out whether the adapter is there by now.
+    /// Whether an assigned request is already probing whether the adapter is loaded.
     pub(super) fn is_being_tried(
         &self,
         adapter: AdapterVersion,
@@ -389,7 +386,7 @@
         is_unproven && self.users_of(adapter) > 0
     }
 
-    /// Notes a use of an adapter.
+    /// Records a request that uses the adapter.
     pub(super) fn use_adapter(
         &mut self,
         adapter: AdapterVersion,
@@ -401,7 +398,7 @@
         }
     }
 
-    /// Notes the end of a use.
+    /// Records the end of a request that used the adapter.
     pub(super) fn leave_adapter(
         &mut self,
         adapter: AdapterVersion,
@@ -414,7 +411,7 @@
         }
     }
 
-    /// Takes an adapter off the book and remembers that the engine held it.
+    /// Removes a resident adapter and remembers it as recently unloaded.
     pub(super) fn drop_place(
         &mut self,
         adapter: AdapterVersion,
@@ -428,7 +425,7 @@
         }
     }
 
-    /// Notes that a load takes longer than expected; the engine is asked what it holds when that repeats.
+    /// Records a load that takes longer than expected; requests a report after several in a row.
     pub(super) fn note_late(
         &mut self,
         adapter: AdapterVersion,
@@ -444,7 +441,7 @@
         }
     }
 
-    /// Notes that an adapter has proved to be there.
+    /// Records that a request found the adapter loaded.
     pub(super) fn note_ready(
         &mut self,
         adapter: AdapterVersion,
@@ -458,8 +455,10 @@
         }
     }
 
-    /// Since when an adapter is on its way from the adapter store, if the engine has accepted the order to load it: one
-    /// that left it unanswered may carry it out seconds later, which says nothing about the store.
+    /// When the engine accepted the command to load this adapter from the adapter store.
+    ///
+    /// `None` without an acceptance: such a command may be executed seconds later, which says
+    /// nothing about the speed of the store.
     pub(super) fn cold_since(
         &self,
         adapter: AdapterVersion,
--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -17,26 +17,26 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// All upstreams, with what the scheduler knows of them.
+/// All upstreams, and the scheduler's view of each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fleet {
     pub upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// The upstreams of each service, in the order of their ids.
+    /// The upstreams of each service, sorted by id.
     members: HashMap<ServiceId, Vec<UpstreamId>>,
     holders: Holders,
     preferred: PreferredEngines,
     pub totals: FleetTotals,
-    /// What the engines of a service can hold; a service without an entry is a plain one.
+    /// Engine capacity by service; services without an entry have no engines.
     engines: HashMap<ServiceId, EngineLimits>,
-    /// From when on engines may be ordered that were not known before.
+    /// No commands to newly added engines before this time.
     pub orders_from: Millis,
-    /// How fast the engines of a service read prompts.
+    /// Prefill time estimators, by service.
     read_times: HashMap<ServiceId, ReadTime>,
     load_pace: LoadPace,
 }
 
 impl Fleet {
-    /// Sets which services have engines, and what these can hold.
+    /// Sets which services have engines, and the capacity of these.
     pub(super) fn set_engines(
         &mut self,
         engines: HashMap<ServiceId, EngineLimits>,
@@ -53,7 +53,7 @@
         self.upstreams = upstreams;
     }
 
-    /// The book on an engine of a service that was not known before; none where the service has no engines.
+    /// The initial view of an engine; `None` if the service has no engines.
     fn new_engine(
         &self,
         service: ServiceId,
@@ -65,8 +65,10 @@
         Some(engine)
     }
 
-    /// Takes what an upstream's entry says. `is_sole_orderer` says that nobody else gives orders: then
-    /// what the book has of an engine is newer than its entry.
+    /// Adds or updates an upstream from its store entry.
+    ///
+    /// `is_sole_orderer` means that no other scheduler sends commands; an up-to-date view is then
+    /// newer than the entry.
     pub(super) fn set(
         &mut self,
         id: UpstreamId,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Takes an engine's own report.
+    /// Applies a report from an engine.
     pub(super) fn report(
         &mut self,
         id: UpstreamId,
@@ -155,7 +157,7 @@
         let Some(engine) = self.engine_mut(id) else {
             return;
         };
-        // A report older than an order that was accepted since would undo it in the book.
+        // A report older than an accepted command would revert that command in the view.
         if engine.is_outdated(facts, now) || engine.has_order {
             engine.doubt(now);
             return;
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Notes that an engine has an adapter or gets it.
+    /// Records that an engine holds an adapter or is loading it.
     pub(super) fn note_holder(
         &mut self,
         adapter: AdapterId,
@@ -196,7 +198,7 @@
         self.holders.add(adapter, id, holds);
     }
 
-    /// Upstreams that have an adapter or had it lately, and some that don't any more.
+    /// Upstreams that may hold an adapter or have unloaded it recently.
     pub(super) fn holders(
         &self,
         adapter: AdapterId,
@@ -205,7 +207,7 @@
         ids.iter().map(|id| self.upstreams.get(id))
     }
 
-    /// Makes ready what a choice for a request asks of [`Self::preferred`].
+    /// Updates the list that [`Self::preferred`] returns for this request.
     pub(super) fn prepare(
         &mut self,
         job: &Job,
@@ -238,7 +240,7 @@
             .map(|up| up.id)
     }
 
-    /// The engines of a service that an adapter prefers, the best first.
+    /// The preferred engines of an adapter, best first.
     pub(super) fn preferred(
         &self,
         service: ServiceId,
@@ -248,7 +250,7 @@
         ids.iter().filter_map(|id| self.upstreams.get(id))
     }
 
-    /// The upstreams of a service, whether or not they take work.
+    /// All upstreams of a service, ready or not.
     pub(super) fn members(
         &self,
         service: ServiceId,
@@ -256,7 +258,7 @@
         self.members.get(&service).map_or(&[], Vec::as_slice)
     }
 
-    /// Forgets an upstream that is gone.
+    /// Removes an upstream.
     pub(super) fn remove(
         &mut self,
         id: UpstreamId,
@@ -282,14 +284,14 @@
             .and_then(|upstream| upstream.engine.as_mut())
     }
 
-    /// Engines, with their ids.
+    /// All engines with their ids.
     pub(super) fn engines_mut(&mut self) -> impl Iterator<Item = (UpstreamId, &mut Engine)> {
         self.upstreams
             .values_mut()
             .filter_map(|upstream| Some((upstream.id, upstream.engine.as_mut()?)))
     }
 
-    /// Upstreams of a service that take new work.
+    /// Upstreams of a service that accept new requests.
     pub(super) fn ready(
         &self,
         service: ServiceId,
@@ -300,7 +302,7 @@
             .filter(|upstream| upstream.is_ready)
     }
 
-    /// Brings the sums over all upstreams up to date, as often as their number allows.
+    /// Recomputes the totals if they are due.
     pub(super) fn refresh_totals(
         &mut self,
         now: Millis,
@@ -314,7 +316,7 @@
         self.totals = FleetTotals::of(self.upstreams.values(), now);
     }
 
-    /// Work of a service that its upstreams do in a millisecond: tokens of prompts, or calls.
+    /// Throughput of a service per millisecond: prompt tokens on engines, otherwise calls.
     pub(super) fn capacity(
         &self,
         service: ServiceId,
@@ -322,7 +324,7 @@
         self.totals.capacity(service)
     }
 
-    /// How long engines of a service take to read prompts.
+    /// The prefill time model of a service.
     pub(super) fn read_line(
         &self,
         service: ServiceId,
@@ -331,7 +333,7 @@
         known.unwrap_or_default().line()
     }
 
-    /// Learns from how long an engine of a service took to read a prompt.
+    /// Records a measured prefill time.
     pub(super) fn note_reading(
         &mut self,
         service: ServiceId,
@@ -342,7 +344,7 @@
         self.totals.lines_changed = true;
     }
 
-    /// Tells all engines how fast those of their service read prompts.
+    /// Copies the prefill time model of each service to its engines.
     fn spread_lines(&mut self) {
         let lines: HashMap<ServiceId, ReadLine> = self
             .read_times
@@ -358,8 +360,10 @@
         }
     }
 
-    /// Cold loads at a time that don't slow each other down: the users' adapter store grows with their engines, four for
-    /// nine of them at ninety and more, and is never smaller than the settings say.
+    /// Cold loads that can run concurrently without slowing each other down.
+    ///
+    /// The adapter store's throughput grows with the number of engines; the setting is the lower
+    /// bound.
     fn loads_at_once(
         &self,
         load: &LoadSettings,
@@ -367,8 +371,7 @@
         u64::from(load.at_once.max(1)).max(self.totals.engines as u64 * 4 / 9)
     }
 
-    /// How long a load from the adapter store takes if it begins now. Loads that share the store take longer in proportion
-    /// beyond a number of them.
+    /// Expected duration of a cold load that starts now.
     pub(super) fn cold_time(
         &self,
         load: &LoadSettings,
@@ -378,7 +381,9 @@
         Millis((expected * self.load_pace.factor(now)) as u64)
     }
 
-    /// How long it would take if the store were as fast as the settings say.
+    /// Duration of a cold load at the store speed given in the settings.
+    ///
+    /// It grows in proportion to the loads beyond those that the store serves at full speed.
     fn settings_time(
         &self,
         load: &LoadSettings,
@@ -388,7 +393,7 @@
         Millis(load.cold.0 * crowd.max(at_once) / at_once)
     }
 
-    /// Notes that a request was assigned.
+    /// Records that a request was assigned.
     pub(super) fn assign(
         &mut self,
         id: UpstreamId,
@@ -410,7 +415,7 @@
         }
     }
 
-    /// Notes that an assigned request has ended, or will never begin.
+    /// Records that an assigned request has ended or won't start.
     pub(super) fn release(
         &mut self,
         id: UpstreamId,
@@ -432,7 +437,7 @@
         }
     }
 
-    /// Learns from how a request ended.
+    /// Updates health, latency and load estimates from the outcome of a request.
     pub(super) fn learn(
         &mut self,
         id: UpstreamId,
@@ -454,11 +459,11 @@
                 upstream.health.answered(now);
                 upstream.note_call(took);
             }
-            // A load that isn't over yet is answered like a full engine.
+            // An engine also sheds requests for an adapter that is still loading.
             Outcome::Shed if upstream.is_loading(adapter) => upstream.note_late(adapter, now),
             Outcome::Failed | Outcome::Shed | Outcome::Lost => upstream.health.failed(now),
             Outcome::Unreachable | Outcome::Silent => upstream.health.missed(now),
-            // Its entry will go or change; until then it is not the upstream that was meant.
+            // Another upstream has taken over the address; not used until its store entry changes.
             Outcome::OtherUpstream => upstream.is_ready = false,
             Outcome::Abandoned => {}
             Outcome::NotLoaded => upstream.note_late(adapter, now),
@@ -466,17 +471,17 @@
     }
 }
 
-/// How much work a request is for an engine.
+/// Cost of a request on a particular engine, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
-    /// Tokens of its prompt that have to be read.
+    /// Prompt tokens to prefill, without those in the prefix cache.
     pub unread: f64,
-    /// Tokens that it takes up in the end.
+    /// Prompt and output tokens that the request occupies in the KV cache.
     pub total: u64,
 }
 
 impl Load {
-    /// How much work a request would be for an engine.
+    /// The cost of a request on an engine.
     pub(super) fn of(
         job: &Job,
         engine: &Engine,
--- a/crates/core/src/scheduler/fleet_totals.rs
+++ b/crates/core/src/scheduler/fleet_totals.rs
@@ -4,29 +4,28 @@
     std::collections::HashMap,
 };
 
-/// Upstreams that are summed up in a millisecond at most: sums over fewer are always up to date, those over thousands
-/// some ten milliseconds old.
+/// Upstreams per millisecond of refresh interval, which bounds the time spent on the totals.
 const SUMMED_PER_MS: u64 = 64;
 
-/// Sums over all upstreams that decisions need, which are too many to be summed up for each of them.
+/// Totals over all upstreams, cached because recomputing them for each decision is too slow.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetTotals {
     at: Option<Millis>,
-    /// Upstreams with models.
+    /// Number of engines.
     pub engines: usize,
-    /// Adapters on their way from the adapter store.
+    /// Number of adapters being loaded from the adapter store.
     pub coming_cold: usize,
-    /// When the next engine's report is wanted.
+    /// When the next engine report is due.
     pub next_report: Option<Millis>,
-    /// When the next adapter that is on its way is expected.
+    /// When the next adapter load is expected to finish.
     pub next_load: Option<Millis>,
-    /// Whether engines don't know yet how fast those of their service read.
+    /// Whether prefill time models have changed since they were copied to the engines.
     pub lines_changed: bool,
     capacity: HashMap<ServiceId, f64>,
 }
 
 impl FleetTotals {
-    /// The sums over upstreams now.
+    /// Computes the totals.
     pub(super) fn of<'a, I>(
         upstreams: I,
         now: Millis,
@@ -71,7 +70,7 @@
             .min();
     }
 
-    /// Whether they are to be worked out anew.
+    /// Whether the totals must be recomputed.
     pub(super) fn is_due(
         &self,
         upstreams: usize,
@@ -80,12 +79,12 @@
         self.at.is_none_or(|at| now >= at + Self::pause(upstreams))
     }
 
-    /// How long they stand for so many upstreams.
+    /// Time between two recomputations, for this number of upstreams.
     pub(super) const fn pause(upstreams: usize) -> Millis {
         Millis(upstreams as u64 / SUMMED_PER_MS)
     }
 
-    /// Work of a service that its upstreams do in a millisecond: tokens of prompts, or calls.
+    /// Throughput of a service per millisecond: prompt tokens on engines, otherwise calls.
     pub(super) fn capacity(
         &self,
         service: ServiceId,
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -1,17 +1,17 @@
 use crate::{clock::Millis, decayed::Decayed};
 
-/// How fast what an upstream has done is forgotten.
+/// Half-life of recorded successes and failures.
 const HALF_LIFE: Millis = Millis(3_000);
-/// Successes that an upstream is given in advance, so that one failure doesn't count as all failing.
+/// Assumed earlier successes, so that a single failure doesn't give a failure rate of 1.
 const PRIOR: f64 = 4.0;
-/// The first pause after an upstream couldn't be reached; doubled with each further time.
+/// Pause after the first failed connection; doubled with each further one.
 const FIRST_PAUSE: Millis = Millis(200);
-/// The longest pause; an upstream that is back is noticed this late at most.
+/// Upper bound of the pause, and so of the delay in noticing a recovery.
 const MOST_PAUSE: Millis = Millis(1_600);
 
-/// How an upstream has been doing lately, as seen from what became of requests.
+/// Recent health of an upstream, measured by the outcomes of its requests.
 ///
-/// Its own health check can be good while it fails a part of its requests; only their outcomes tell.
+/// A passing health check doesn't show that some of its requests fail.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
     failed: Decayed,
@@ -37,7 +37,7 @@
         self.failed.add(1.0, now, HALF_LIFE);
     }
 
-    /// Notes that it wasn't reached or stayed silent: it gets nothing for a while.
+    /// Records a connection failure or a timeout; pauses the upstream.
     pub(super) fn missed(
         &mut self,
         now: Millis,
@@ -48,7 +48,7 @@
         self.paused_until = now + pause;
     }
 
-    /// Whether it may get requests.
+    /// Whether the upstream is not paused.
     pub(super) fn is_open(
         &self,
         now: Millis,
@@ -56,7 +56,7 @@
         now >= self.paused_until
     }
 
-    /// The share of its requests that it fails, from 0 to 1.
+    /// Recent failure rate, from 0 to 1.
     pub(super) fn failing(
         &self,
         now: Millis,
--- a/crates/core/src/scheduler/holders.rs
+++ b/crates/core/src/scheduler/holders.rs
@@ -3,19 +3,19 @@
     std::collections::HashMap,
 };
 
-/// The shortest list that is pruned when it is full.
+/// Minimum length of a list before it is pruned.
 const MIN_PRUNED: usize = 8;
 
-/// Which engines may hold an adapter, or can load it quickly.
+/// Index of the engines that may hold an adapter or have unloaded it recently.
 ///
-/// The lists may name engines that hold it no more; readers check the engine itself. They never lack one that does.
+/// The lists are supersets: entries can be outdated, so readers must check the engine itself.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Holders {
     by_adapter: HashMap<AdapterId, Vec<UpstreamId>>,
 }
 
 impl Holders {
-    /// Notes that an engine may hold an adapter; `holds` tells whether one that is listed still does.
+    /// Adds an engine; `holds` tells whether a listed engine is still a holder.
     pub(super) fn add<F>(
         &mut self,
         adapter: AdapterId,
@@ -37,7 +37,7 @@
         engines.insert(at, engine);
     }
 
-    /// Engines that may hold an adapter, in the order of their ids.
+    /// Engines that may hold an adapter, sorted by id.
     pub(super) fn of(
         &self,
         adapter: AdapterId,
--- a/crates/core/src/scheduler/job.rs
+++ b/crates/core/src/scheduler/job.rs
@@ -5,12 +5,12 @@
     rights::CallerTag,
 };
 
-/// Names one attempt of one request: the VM that forwards it and that VM's own number for it.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
-    /// The VM, as the scheduler's shell numbers it.
+    /// The forwarding VM, by the number that the scheduler's caller assigned.
     pub vm: u32,
-    /// The attempt's number there, never used twice.
+    /// The attempt's number, unique on that VM.
     pub number: u64,
 }
 
@@ -19,54 +19,54 @@
 pub struct Generation {
     /// The base model.
     pub model: ModelId,
-    /// The adapter.
+    /// The adapter, if any.
     pub adapter: Option<AdapterId>,
-    /// How large it is.
+    /// Prompt and output size, in tokens.
     pub size: PromptSize,
-    /// The parts of its prompt, from the start.
+    /// The parts of the prompt in order, for prefix caching.
     pub parts: Vec<PromptPart>,
 }
 
-/// What is to be done for a request.
+/// The kind of request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// A call of a plain service.
+    /// A call of a service without engines.
     Call,
     /// A generation on an engine.
     Generation(Generation),
 }
 
-/// A request that wants an upstream.
+/// A request to be scheduled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Whose rate it counts against; none where it isn't limited.
+    /// The account whose rate limit applies; `None` if it is unlimited.
     pub account: Option<AccountId>,
-    /// What makes its caller known when it comes back after a refusal.
+    /// Identifies the caller when it retries after a rejection.
     pub caller: CallerTag,
-    /// What it costs the account.
+    /// Cost in tokens of the account's rate limit.
     pub cost: u64,
-    /// The service that runs it.
+    /// The requested service.
     pub service: ServiceId,
-    /// What is to be done.
+    /// The kind of request.
     pub work: Work,
-    /// Its rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The point in time after which its answer, or its first event, is late.
+    /// Latency objective: when the response, or its first event, is late.
     pub objective: Millis,
-    /// The longest pause within its answer that is still in time, if it is a stream.
+    /// Longest acceptable pause between events of a stream.
     pub gap_objective: Option<Millis>,
-    /// The point in time after which nobody waits for it.
+    /// When the caller stops waiting.
     pub deadline: Millis,
-    /// Where the forwarding VM stands.
+    /// Data centre of the forwarding VM, if known.
     pub data_centre: Option<DataCentreId>,
-    /// Which attempt it is, from 1 up; a later one draws on the budget for repeats.
+    /// Attempt number, from 1; later attempts draw on the retry budget.
     pub attempt: u32,
-    /// Upstreams that have failed it.
+    /// Upstreams that failed earlier attempts.
     pub avoid: Vec<UpstreamId>,
 }
 
 impl Job {
-    /// The generation, if it is one.
+    /// The generation, if the request is one.
     pub const fn generation(&self) -> Option<&Generation> {
         match &self.work {
             Work::Call => None,
--- a/crates/core/src/scheduler/load_pace.rs
+++ b/crates/core/src/scheduler/load_pace.rs
@@ -1,26 +1,25 @@
 use crate::clock::Millis;
 
-/// What is added to the time after which a load was seen not to be there yet: the next ones shouldn't be asked for at that
-/// very moment.
+/// Margin on the observed time, because the load was not finished by then.
 const BEYOND: f64 = 1.1;
-/// The longest that loads are expected to take, as a factor: a few late loads may have other causes.
+/// Upper bound of the factor: late loads may have other causes.
 const MAX: f64 = 3.0;
-/// How fast it is forgotten that the store was slow.
+/// Half-life of an observed slowdown.
 const HALF_LIFE: Millis = Millis(6_000);
 
-/// How long loads from the adapter store take against what its settings say, by what has been seen.
+/// How much slower cold loads are than the settings say, from observed late loads.
 ///
-/// After a restart hundreds of adapters are loaded at once. Expected too early, each sends a request to an engine that
-/// turns it away, and all repeats that a service may get are used up by them.
+/// After a restart, hundreds of adapters are loaded at once. Requests sent before their adapter is
+/// loaded are rejected by the engine and use up the retry budget.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadPace {
-    /// By how much they take longer, as a part of the expected time.
+    /// Slowdown factor minus one, at `seen_at`.
     slower: f64,
     seen_at: Millis,
 }
 
 impl LoadPace {
-    /// Notes a load that was expected to take `expected` and wasn't there after `elapsed`.
+    /// Records a load that was expected to take `expected` and was not finished after `elapsed`.
     pub(super) fn note_late(
         &mut self,
         elapsed: Millis,
@@ -33,7 +32,7 @@
         self.seen_at = now;
     }
 
-    /// The factor, from 1 up.
+    /// The slowdown factor, at least 1.
     pub(super) fn factor(
         self,
         now: Millis,
--- a/crates/core/src/scheduler/loads.rs
+++ b/crates/core/src/scheduler/loads.rs
@@ -1,4 +1,4 @@
-//! Orders that put a load plan into effect, and loads of base models.
+//! Commands that load and unload adapters, and loads of base models.
 
 use {
     super::{
@@ -16,21 +16,21 @@
     std::collections::VecDeque,
 };
 
-/// The time over which loads of base models are counted.
+/// Sliding window in which base model loads are counted.
 const WINDOW: Millis = Millis::from_secs(5);
-/// The part of the allowed rate of such loads that is used, in percent; loads begin somewhat after their orders.
+/// Share of the allowed load rate to use, in percent; loads start some time after their commands.
 const USED_PERCENT: f64 = 90.0;
 
-/// Loads of base models that were ordered lately.
+/// Recent commands to load base models.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelLoads {
     ordered: VecDeque<Millis>,
 }
 
 impl ModelLoads {
-    /// Orders a base model on engines that hold none, as fast as the weight store allows.
+    /// Loads a base model on each engine that has none, within the rate of the weight store.
     ///
-    /// An engine restarts empty, and nobody else fills it: without this it stays idle for good.
+    /// Engines restart without a model, and nothing else loads one.
     pub(super) fn plan(
         &mut self,
         fleet: &mut Fleet,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Begins a load: with an order to drop another adapter where one has to go.
+/// Starts a load, with an unload first if the plan evicts an adapter.
 pub(super) fn begin(
     fleet: &mut Fleet,
     versions: &VersionBook,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Takes the answer to an order; where a place was made free, the load that it was made for follows.
+/// Handles the response to a command; returns the load that follows a completed eviction.
 pub(super) fn order_ended(
     fleet: &mut Fleet,
     versions: &VersionBook,
@@ -157,8 +157,8 @@
     engine.has_order = false;
     engine.ordered_at = now;
     if end == OrderEnd::Lost && !std::mem::replace(&mut engine.has_repeated, true) {
-        // Once more at once: if it is accepted now, the first one is void whenever it arrives, as the engine has
-        // accepted another number of orders by then.
+        // Retry at once. If the retry is accepted, the engine's sequence number has advanced, and
+        // the first command is rejected whenever it arrives.
         engine.note_order(now);
         let after_seq = engine.seq;
         return Some(SchedulerAction::Order {
@@ -167,7 +167,7 @@
             after_seq,
         });
     }
-    // An order that the engine refuses has changed nothing, unless it was the second try of one that it had accepted.
+    // A rejected command had no effect, unless it was the retry of one that was accepted.
     let is_void = !std::mem::replace(&mut engine.has_repeated, false)
         && matches!(end, OrderEnd::Conflict | OrderEnd::Refused);
     if is_void {
@@ -196,7 +196,8 @@
             engine.drop_place(adapter, load.kept_warm);
             return follow(engine, versions, upstream, reserved, load, cold, now);
         }
-        // It is used after all, by a request that this scheduler doesn't know, and goes when that has ended.
+        // A request unknown to this scheduler still uses the adapter; it is unloaded when that
+        // ends.
         (Order::Unload { adapter, .. }, OrderEnd::Accepted) => {
             engine.seq += 1;
             engine.going = Some(adapter);
@@ -219,7 +220,7 @@
                 up.health.missed(now);
             }
         }
-        // What the engine holds now is not known: it may have been carried out, or may still be.
+        // The command may have been executed, or may still be.
         (Order::LoadModel(_), _) => {
             engine.loading = None;
             engine.doubt(now);
@@ -229,7 +230,7 @@
     None
 }
 
-/// An order that never left has changed nothing.
+/// Reverts the view for a command that had no effect.
 fn undo(
     engine: &mut Engine,
     order: Order,
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,19 +1,18 @@
-//! The scheduler: which upstream runs which request, which engine holds which adapter, and what is refused.
+//! The scheduler: assigns requests to upstreams and adapters to engines, and rejects excess load.
 //!
-//! One VM, elected through the store, decides for all of a deployment's entry VMs; each asks it before it
-//! forwards a request and tells it what became of that. So every decision is made with the whole load
-//! in view: an account's rate is one bucket, a batch of an engine is not filled twice, and an adapter
-//! is evicted only when nothing that was sent runs on it. Each other VM has the same machine at hand with a share
-//! of the rights and without orders to engines; it decides for itself while no scheduler answers.
+//! One VM is elected through the store and decides for all VMs of a deployment. Each VM asks it
+//! before forwarding a request and reports the outcome. Decisions therefore see the whole load: an
+//! account's rate is one token bucket, and an adapter is evicted only when no request uses it.
+//! Every VM also runs a standby with a share of the rate limits, which sends no commands to engines
+//! and decides for its own requests while there is no scheduler.
 //!
-//! What makes requests wait on the heaviest days is, in this order: engines have few places for adapters,
-//! an adapter takes a quarter of a second to load, and prompts are read at some twenty tokens a
-//! millisecond. So a request goes where its first token is expected first, counting the prompts
-//! ahead of it, the part of its own prompt that the engine still has, and the load that it would need.
-//! Only as much is sent to an engine as keeps it busy; all else waits here, where it can still be ordered
-//! by account and class, moved to another engine, or refused at once.
+//! Time to first token is dominated by prefill, by the few adapter slots of an engine, and by
+//! adapter loads. A request goes to the engine with the lowest expected time to first token, which
+//! counts the prefill backlog, the prefix cache and any adapter load. Engines get only as many
+//! requests as keep them busy. The rest waits in this queue, where it can still be ordered by
+//! account and priority, sent elsewhere, or rejected.
 //!
-//! Nothing in here does I/O: [`Scheduler`] takes events with the time and returns actions.
+//! The module does no I/O: [`Scheduler`] takes events with the current time and returns actions.
 
 mod action;
 mod backlog;
--- a/crates/core/src/scheduler/outcome.rs
+++ b/crates/core/src/scheduler/outcome.rs
@@ -1,64 +1,64 @@
 use crate::clock::Millis;
 
-/// How an assigned request ended, as its VM tells.
+/// How an assigned request ended, as reported by its VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream gave its whole answer, whatever the status, within `took`.
+    /// The upstream sent a complete response, with any status.
     Answered {
-        /// From sending to the end of the answer.
+        /// Time from sending the request to the end of the response.
         took: Millis,
     },
-    /// The upstream answered that it failed, though it had run the request.
+    /// The upstream ran the request and reported a failure.
     Failed,
-    /// The upstream said that it did not run it because it is full.
+    /// The upstream was full and did not run the request.
     Shed,
-    /// The upstream said that the adapter or version is not there yet.
+    /// The adapter or this version of it is not loaded yet.
     NotLoaded,
-    /// Another upstream has the address.
+    /// The address belongs to another upstream.
     OtherUpstream,
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke, or what arrived makes no sense.
+    /// The connection broke, or the response was malformed.
     Lost,
-    /// Nothing arrived for too long.
+    /// The upstream sent nothing for too long.
     Silent,
-    /// The caller has gone or its time is up; the upstream is not to blame.
+    /// The caller disconnected or its deadline passed; says nothing about the upstream.
     Abandoned,
 }
 
-/// How an order ended.
+/// How a command to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// The engine carries it out.
+    /// The engine is executing the command.
     Accepted,
-    /// What was ordered holds.
+    /// The commanded state is already in effect.
     Holds,
-    /// The engine has accepted another number of orders, or is busy.
+    /// The sequence number doesn't match, or the engine is busy.
     Conflict,
-    /// The engine refuses it for another reason.
+    /// The engine rejected the command for another reason.
     Refused,
-    /// Another upstream has the address.
+    /// The address belongs to another upstream.
     OtherUpstream,
-    /// The call went out and has no answer: it may be carried out, also later.
+    /// The command was sent and got no response; it may be executed, even later.
     Lost,
-    /// Nothing was sent.
+    /// The command was not sent.
     Unsent,
 }
 
-/// Which engines get no more orders before the lead is handed on.
+/// Engines that get no more commands before leadership is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rest {
-    /// One of two, so that the next scheduler may order these at once.
+    /// Every second engine, so that the next scheduler can command these at once.
     EverySecond,
-    /// All.
+    /// All engines.
     All,
 }
 
-/// What was decided of a request's charge, by whoever decides.
+/// Rate limit decision for a request, by any scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnDecision {
-    /// Its account was charged.
+    /// The account was charged.
     LetThrough,
-    /// Its account was over its rate.
+    /// The account was over its rate.
     OverRate,
 }
--- a/crates/core/src/scheduler/own_use.rs
+++ b/crates/core/src/scheduler/own_use.rs
@@ -3,18 +3,15 @@
     std::collections::BTreeMap,
 };
 
-/// How fast what was used is forgotten: half of it in the time in which a new scheduler is found three times over.
+/// Half-life of the recorded usage; longer than an election, so that it outlasts one.
 const HALF_LIFE: Millis = Millis(3_000);
-/// For how long a VM may go on as before when nobody decides for all. An election takes 1.2 s and what follows it a few
-/// hundred milliseconds.
+/// How long a VM may continue at its earlier rate without a scheduler; covers an election.
 const GOES_ON: Millis = Millis(2_000);
-/// The same for an account that was over its rate lately: its demand says nothing about what it may have.
+/// The same for an account that was over its rate, whose demand exceeds its limit.
 const GOES_ON_OVER: Millis = Millis(1_000);
-/// Requests of the usual size that an account may have besides. A VM sees some accounts once in two seconds; exactly
-/// what they used before would be less than one request.
+/// Additional requests of average cost, for accounts that a VM sees only occasionally.
 const REQUESTS_BESIDES: f64 = 1.5;
-/// How long a refusal for its rate is remembered of an account, and how far apart two such allowances are: the time
-/// over which a limit is judged.
+/// How long a rate-limited request is remembered, and the minimum interval between two allowances.
 const LOOK_BACK: Millis = Millis(8_000);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,12 +20,12 @@
     refused_at: Option<Millis>,
 }
 
-/// What this VM's own callers had lately of each account's rate, whoever decided.
+/// Recent usage of each account's rate by this VM's own callers.
 ///
-/// When the scheduler is gone, each VM decides alone with its part of all rates. Parts that are all alike are less than
-/// one request each where there are eighty VMs and sixteen accounts, so nearly everybody was refused until another
-/// scheduler was found, though no account asked for more than before. What all VMs together had in the last seconds was
-/// within every limit, so each may go on as it did for as long as an election takes.
+/// Without a scheduler, each VM decides with an equal share of all rate limits. With many VMs, that
+/// share is less than one request, and nearly all requests would be rejected during an election.
+/// Recent usage of all VMs together was within every limit, so each VM may continue at its earlier
+/// rate for the time of an election.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnUse {
     accounts: BTreeMap<AccountId, Use>,
@@ -38,7 +35,7 @@
 }
 
 impl OwnUse {
-    /// Notes that a request of this VM's callers was let through.
+    /// Records an admitted request.
     pub(super) fn note(
         &mut self,
         account: AccountId,
@@ -52,7 +49,7 @@
         self.all_requests.add(1.0, now, HALF_LIFE);
     }
 
-    /// Notes that one was refused because the account was over its rate.
+    /// Records a rate-limited request.
     pub(super) fn note_refused(
         &mut self,
         account: AccountId,
@@ -61,8 +58,10 @@
         self.accounts.entry(account).or_default().refused_at = Some(now);
     }
 
-    /// Begins a time alone; whether what was used before may be used again. Once in the time over which a limit is judged:
-    /// a VM that loses its scheduler again and again would otherwise have it each time.
+    /// Starts deciding without a scheduler; returns whether earlier usage may be granted again.
+    ///
+    /// At most once per [`LOOK_BACK`]: a VM that often loses its scheduler would otherwise exceed
+    /// the limits.
     pub(super) fn begin_alone(
         &mut self,
         now: Millis,
@@ -74,14 +73,14 @@
         is_allowed
     }
 
-    /// Tokens with which an account can go on as before.
+    /// Tokens that let an account continue at its earlier rate.
     pub(super) fn allowance(
         &self,
         account: AccountId,
         now: Millis,
     ) -> u64 {
         let known = self.accounts.get(&account).copied().unwrap_or_default();
-        // Of an even use of so many tokens a millisecond the decayed sum is this many times as much.
+        // The decayed sum of a constant rate of one token per millisecond.
         let sum_of_one = HALF_LIFE.0 as f64 / std::f64::consts::LN_2;
         let per_ms = known.tokens.get(now, HALF_LIFE) / sum_of_one;
         let is_over = known.refused_at.is_some_and(|at| now.since(at) < LOOK_BACK);
--- a/crates/core/src/scheduler/place.rs
+++ b/crates/core/src/scheduler/place.rs
@@ -4,41 +4,41 @@
     ids::{AdapterVersion, ModelId},
 };
 
-/// How fast the memory of an adapter's use fades.
+/// Half-life of an adapter's recorded demand.
 pub(super) const DEMAND_HALF_LIFE: Millis = Millis(5_000);
 
-/// How much longer a load is expected to take when a request was told that the adapter is not there yet; doubled each
-/// time, so often at the most.
+/// Delay before a late load is checked again, doubled each time, and the maximum number of
+/// doublings.
 const LATE_LOAD: Millis = Millis(40);
 const MOST_DOUBLED: u32 = 4;
 
-/// Where an adapter on an engine stands.
+/// State of an adapter on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlaceState {
-    /// On its way; expected to be ready at a point in time.
+    /// Being loaded.
     Coming {
-        /// When.
+        /// When the load is expected to finish.
         ready_at: Millis,
-        /// Whether it is fetched from the adapter store.
+        /// Whether it is loaded from the adapter store.
         is_cold: bool,
     },
-    /// Ready for requests.
+    /// Loaded.
     Present,
-    /// Ordered to go.
+    /// Being unloaded.
     Going,
 }
 
-/// An adapter that takes one of an engine's places.
+/// An adapter that occupies one of an engine's adapter slots.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Place {
     pub model: ModelId,
     pub adapter: AdapterVersion,
     pub state: PlaceState,
-    /// How much it is used, fading.
+    /// Recent requests, decayed.
     pub demand: Decayed,
-    /// How often requests were told that it is not there yet, since it was last seen to be.
+    /// Requests rejected since the adapter was last known to be loaded.
     pub lates: u32,
-    /// When the engine accepted the order to load it, if it is known to have.
+    /// When the engine accepted the command to load it.
     pub accepted_at: Option<Millis>,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether requests may be sent to it: a load counts as done once its time is up.
+    /// Whether requests can be sent to it; a load counts as finished at its expected time.
     pub(super) fn is_present(
         &self,
         now: Millis,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Notes that a request was told that it is not there yet.
+    /// Records a request that was rejected because the load is not finished.
     pub(super) fn note_late(
         &mut self,
         now: Millis,
@@ -81,15 +81,15 @@
         self.lates += 1;
     }
 
-    /// Whether one request has to find out whether it is there before others are sent.
+    /// Whether a single request must confirm the load before others are sent.
     ///
-    /// An engine that carries an order out late answers all who come too early that it lacks the adapter. Each of these
-    /// is sent again, and the repeats that a service may get were used up by them.
+    /// Otherwise a late load would cause many rejections, whose retries use up the service's retry
+    /// budget.
     pub(super) const fn is_unproven(&self) -> bool {
         self.lates > 0 && matches!(self.state, PlaceState::Coming { .. })
     }
 
-    /// How long until requests may be sent to it; none if never.
+    /// Expected time until requests can be sent to it; `None` while it is being unloaded.
     pub(super) fn wait(
         &self,
         now: Millis,
--- a/crates/core/src/scheduler/prefix_cache.rs
+++ b/crates/core/src/scheduler/prefix_cache.rs
@@ -3,21 +3,19 @@
     std::collections::HashMap,
 };
 
-/// Parts remembered for one engine. An engine of the users' holds some hundred thousand tokens, a part has
-/// a few hundred.
+/// Upper bound of parts tracked per engine, above what its KV cache holds.
 const MOST_PARTS: usize = 512;
-/// A part that was not used for this long counts as gone: an engine's memory turns over in about that time
-/// on a busy day.
+/// Time after its last use at which a part counts as evicted from the KV cache.
 const KEPT: Millis = Millis(15_000);
 
-/// Which beginnings of prompts an engine still has, by what was sent to it.
+/// Estimate of the prompt prefixes in an engine's KV cache, from the prompts sent to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefixCache {
     used: HashMap<(Option<AdapterId>, u64), Millis>,
 }
 
 impl PrefixCache {
-    /// Tokens at the start of a prompt that need not be read again.
+    /// Tokens at the start of a prompt that need no prefill.
     pub(super) fn cached(
         &self,
         adapter: Option<AdapterId>,
@@ -34,7 +32,7 @@
             .sum()
     }
 
-    /// Notes that a prompt was read.
+    /// Records that a prompt was prefilled.
     pub(super) fn note(
         &mut self,
         adapter: Option<AdapterId>,
--- a/crates/core/src/scheduler/read_time.rs
+++ b/crates/core/src/scheduler/read_time.rs
@@ -1,30 +1,30 @@
 use crate::clock::Millis;
 
-/// What is assumed before anything has been seen, as two prompts with the times that engines took to read them: somewhat
-/// slow, so that the first requests are spread rather than piled up.
+/// Initial samples of prompt tokens and prefill milliseconds; slow enough that the first requests
+/// are spread over engines.
 const ASSUMED: [(f64, f64); 2] = [(400.0, 30.0), (4_000.0, 250.0)];
-/// How much each of the two counts, in prompts.
+/// Weight of each initial sample.
 const ASSUMED_WEIGHT: f64 = 2.0;
-/// How much older prompts count when another one was read: some sixty of them decide.
+/// Decay of earlier samples with each new one, for a memory of about 60 samples.
 const MEMORY: f64 = 1.0 - 1.0 / 60.0;
-/// Bounds of what one prompt may say, against what was expected of it: a stall says nothing about reading.
+/// Bounds of one sample relative to the estimate, to limit the effect of stalls.
 const RANGE: (f64, f64) = (0.2, 4.0);
-/// The least time for a token, in milliseconds: prompts that are all alike say nothing about what a longer one takes.
+/// Lower bound of the slope in milliseconds; prompts of equal length don't determine one.
 const LEAST_PER_TOKEN: f64 = 0.002;
 
-/// How long engines take to read a prompt: a time for each and a time for its length.
+/// Linear model of prefill time: a fixed part and a part per token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReadLine {
-    /// In milliseconds, whatever its length.
+    /// Fixed part, in milliseconds.
     pub fixed_ms: f64,
-    /// In milliseconds for each token.
+    /// Milliseconds per token.
     pub per_token_ms: f64,
-    /// The length of a usual prompt, in tokens.
+    /// Mean prompt length, in tokens.
     pub usual_tokens: f64,
 }
 
 impl ReadLine {
-    /// How long a prompt takes, in milliseconds.
+    /// Expected prefill time, in milliseconds.
     pub(super) fn time_for(
         self,
         tokens: f64,
@@ -35,17 +35,17 @@
         self.fixed_ms + self.per_token_ms * tokens
     }
 
-    /// Tokens of usual prompts that are read in a millisecond.
+    /// Prefill throughput for prompts of mean length, in tokens per millisecond.
     pub(super) fn tokens_per_ms(self) -> f64 {
         self.usual_tokens / self.time_for(self.usual_tokens).max(f64::MIN_POSITIVE)
     }
 }
 
-/// How fast the engines of one service read prompts, learned from all of them together.
+/// Estimates prefill times from samples of all engines of one service.
 ///
-/// Learned engine by engine, one that is seldom used stays with what was assumed of it at first; assumed to be slow it
-/// goes on being passed over while callers wait for others. By length alone, short prompts, most of whose time is the
-/// step that they are part of, make an engine look slow for long ones.
+/// Shared between engines, because one that is rarely used would keep its initial estimate and be
+/// avoided for it. The fixed part keeps short prompts from making an engine look slow for long
+/// ones.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReadTime {
     weight: f64,
@@ -71,7 +71,7 @@
 }
 
 impl ReadTime {
-    /// Notes that a prompt of so many tokens was read in that time.
+    /// Adds a measured prefill time.
     pub(super) fn note(
         &mut self,
         tokens: f64,
@@ -89,7 +89,7 @@
         *self = faded.with(tokens, ms, 1.0);
     }
 
-    /// The line through what was seen, by least squares; never falling, and never below nothing.
+    /// Least-squares fit through the samples; slope and intercept are not negative.
     pub(super) fn line(&self) -> ReadLine {
         let mean_tokens = self.tokens / self.weight;
         let mean_ms = self.ms / self.weight;
--- a/crates/core/src/scheduler/repeat_budget.rs
+++ b/crates/core/src/scheduler/repeat_budget.rs
@@ -1,12 +1,12 @@
 use {super::RepeatSettings, crate::clock::Millis, std::collections::VecDeque};
 
-/// Parts into which the window is divided.
+/// Number of buckets in the sliding window.
 const PARTS: u64 = 10;
-/// The part of the allowance that is used, in percent: arrivals are counted here when they are assigned, and
-/// upstreams see them a little later, in another window.
+/// Share of the budget to use, in percent: upstreams count an arrival later, possibly in another
+/// window.
 const USED_PERCENT: f64 = 70.0;
-/// The part that is used in the first window after a takeover: the scheduler before may have used its own just now, and
-/// another one before it.
+/// The same in the first window after a takeover, as earlier schedulers may have used their
+/// budgets.
 const TAKEN_OVER_PERCENT: f64 = 20.0;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,19 +16,18 @@
     repeats: u32,
 }
 
-/// The repeats of one service over all VMs, in a sliding window.
+/// Retry budget of one service over all VMs, in a sliding window.
 ///
-/// When an upstream fails, every request to it is repeated, and a service that is short of capacity gets
-/// the more to do. Its callers would notice that one failing upstream slows all down.
+/// Without it, retries of failed requests would overload the upstreams that still work.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RepeatBudget {
     parts: VecDeque<Part>,
-    /// When this scheduler has taken over from another one.
+    /// When this scheduler took over from a previous one.
     taken_over_at: Option<Millis>,
 }
 
 impl RepeatBudget {
-    /// Notes the first arrival of a request.
+    /// Records the first attempt of a request.
     pub(super) fn note_request(
         &mut self,
         settings: &RepeatSettings,
@@ -37,7 +36,7 @@
         self.part(settings, now).requests += 1;
     }
 
-    /// A budget of a scheduler that has taken over from another one, of whose repeats it knows nothing.
+    /// The budget after a takeover, when earlier retries are unknown.
     pub(super) fn taken_over(at: Option<Millis>) -> Self {
         Self {
             taken_over_at: at,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Takes one repeat from the budget if there is one.
+    /// Takes one retry from the budget; returns whether one was left.
     pub(super) fn take(
         &mut self,
         settings: &RepeatSettings,
@@ -70,7 +69,7 @@
         has_left
     }
 
-    /// The part of the window that holds `now`; what has left the window is dropped.
+    /// The bucket for `now`; drops those outside the window.
     fn part(
         &mut self,
         settings: &RepeatSettings,
--- a/crates/core/src/scheduler/report_line.rs
+++ b/crates/core/src/scheduler/report_line.rs
@@ -3,22 +3,21 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Reports that are asked for at a time. After a takeover all engines' are wanted: thousands of connections at once
-/// would take all descriptors, and the answers be lost behind each other.
+/// Upper bound of pending report requests, which limits connections and file descriptors.
 const MAX_ASKED: usize = 48;
 
-/// Engines whose reports are wanted, and those that were asked for theirs.
+/// Queue of engines to request reports from, and the pending requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportLine {
-    /// Those that a request waits for.
+    /// Engines that a request is waiting for.
     urgent: VecDeque<UpstreamId>,
     due: VecDeque<UpstreamId>,
-    /// Engines whose answer is out, with until when it is waited for.
+    /// Pending report requests, with the time at which each expires.
     asked: HashMap<UpstreamId, Millis>,
 }
 
 impl ReportLine {
-    /// Notes that a request waits until an engine can be ordered.
+    /// Records that a request is waiting until the engine can take commands.
     pub(super) fn note_urgent(
         &mut self,
         engine: UpstreamId,
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Takes the engines whose reports are due, in place of those known before.
+    /// Replaces the engines whose reports are due, and drops expired requests.
     pub(super) fn set_due<I>(
         &mut self,
         due: I,
@@ -41,7 +40,7 @@
         self.asked.retain(|_, until| now < *until);
     }
 
-    /// Notes that an engine has answered, or won't.
+    /// Records that a report request was answered or has failed.
     pub(super) fn note_answer(
         &mut self,
         engine: UpstreamId,
@@ -49,7 +48,7 @@
         self.asked.remove(&engine);
     }
 
-    /// The next engine to ask, as far as `wants` says that its report is still wanted.
+    /// The next engine to request a report from; `wants` returns when that request expires.
     pub(super) fn next<F>(
         &mut self,
         mut wants: F,
--- a/crates/core/src/scheduler/rights.rs
+++ b/crates/core/src/scheduler/rights.rs
@@ -12,43 +12,43 @@
     std::collections::BTreeMap,
 };
 
-/// What a scheduler that takes over may assume to be unused of an account, in percent of the most that
-/// the account may use in [`LOOK_BACK`]. The scheduler before may have used up everything at the last moment;
-/// what is assumed on top of that has to stay within the tolerance of the limit.
+/// Tokens that a new scheduler grants each account at once, in percent of its limit over
+/// [`LOOK_BACK`].
+///
+/// The previous scheduler may have used everything, so this has to stay within the limit's
+/// tolerance.
 const ASSUMED_PERCENT: u64 = 5;
-/// How far ahead tokens are kept back for a caller that is over its rate. One that comes back later is late in any
-/// case, and an account over its rate has others that could have been on time with the same tokens.
+/// How far ahead tokens are reserved for a rate-limited caller that is told when to retry.
 const PROMISED: Millis = Millis(600);
-/// What all VMs together may assume so while each decides alone. With nothing at all a VM that has just started
-/// refuses its first callers.
+/// The same for all VMs together while each decides alone; zero would make a VM that has just
+/// started reject its first requests.
 const ASSUMED_ALONE_PERCENT: u64 = 3;
-/// The part of an account's burst that generations leave to calls, and the most that is: eight of the users' calls,
-/// of which an account makes some two a second.
+/// Share of an account's burst that generations leave for calls, as a divisor, and its maximum.
 const CALLS_PART: u64 = 8;
 const MOST_FOR_CALLS: u64 = 1_600;
-/// For how long after a refusal an account counts as over its rate.
+/// How long an account counts as over its rate after a rejection.
 const OVER: Millis = Millis(3_000);
-/// The time over which a limit is judged, in seconds.
+/// Time over which a limit is enforced, in seconds.
 const LOOK_BACK: u64 = 8;
 
-/// Which part of all accounts' rates this scheduler may use.
+/// Share of all accounts' rate limits that this scheduler may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RightsShare {
-    /// All of it; nothing was used before.
+    /// The whole limit; nothing has been used yet.
     Fresh,
-    /// All of it, taken over from another that is gone.
+    /// The whole limit, taken over from a previous scheduler.
     TakenOver,
-    /// One of so many even parts, while no scheduler answers.
+    /// One of this many equal shares, while there is no scheduler.
     Part(u64),
 }
 
-/// The rates of all accounts, as far as this scheduler may use them.
+/// Rate limiter for all accounts, within this scheduler's share.
 #[derive(Debug)]
 pub(super) struct AccountRates {
     ledger: RightsLedger,
     limits: BTreeMap<AccountId, Limit>,
     share: RightsShare,
-    /// When a request of an account was last refused for its rate.
+    /// When a request of each account was last rate-limited.
     refused_at: BTreeMap<AccountId, Millis>,
     own_use: OwnUse,
 }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes another share, with as few tokens as is safe.
+    /// Changes the share and restarts with the tokens that are safe to grant.
     pub(super) fn set_share(
         &mut self,
         share: RightsShare,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Notes that a request of this VM's own callers was let through, whoever decided.
+    /// Records a request of this VM's own callers that was admitted by any scheduler.
     pub(super) fn note_own_use(
         &mut self,
         account: AccountId,
@@ -97,7 +97,7 @@
         self.own_use.note(account, cost, now);
     }
 
-    /// Notes that one was refused because its account was over its rate.
+    /// Records a request of this VM's own callers that was rate-limited by any scheduler.
     pub(super) fn note_own_refusal(
         &mut self,
         account: AccountId,
@@ -106,7 +106,7 @@
         self.own_use.note_refused(account, now);
     }
 
-    /// Sets the limits of all accounts that have one.
+    /// Replaces the limits; accounts without an entry are unlimited.
     pub(super) fn set_limits(
         &mut self,
         limits: BTreeMap<AccountId, Limit>,
@@ -117,7 +117,7 @@
             if before != Some(&limit) {
                 self.ledger.set_limit(account, limit, now);
             }
-            // An account that was without a limit for a while has its rights still: they are granted once.
+            // An account that regains a limit keeps its earlier grant.
             if before.is_none() {
                 grant(&mut self.ledger, account, limit, self.share, 0, now);
             }
@@ -125,7 +125,7 @@
         self.limits = limits;
     }
 
-    /// Charges a request, or refuses it with when its tokens will have been earned.
+    /// Charges a request, or rejects it with the time when its tokens will be available.
     pub(super) fn admit(
         &mut self,
         job: &Job,
@@ -154,7 +154,7 @@
         let ledger = &mut self.ledger;
         match ledger.try_admit_as(claim, account, job.cost, job.caller, now) {
             Admission::Admitted(charge) => Ok(Some(charge)),
-            // No refill will ever do for it; to its caller that is a rate that it is over all the same.
+            // The cost exceeds the burst, so no refill is enough; reported as a rate limit.
             Admission::Refused(refusal) if refusal.kind == ErrorKind::LargerThanBurst => {
                 Err(Refusal::new(ErrorKind::RateLimited))
             }
@@ -165,17 +165,17 @@
         }
     }
 
-    /// Tokens that a generation leaves to its account's calls, while the account is over its rate.
+    /// Tokens that a generation must leave for calls while its account is over its rate.
     ///
-    /// A call costs a tenth of a generation, and somebody waits for it at a counter. Without this an account whose
-    /// generations use up its rate can't read a status either.
+    /// Calls are cheap and interactive. Without this, an account whose generations use up its rate
+    /// can't read a status either.
     fn left_to_calls(
         &self,
         account: AccountId,
         cost: u64,
         now: Millis,
     ) -> u64 {
-        // A part of a rate is too little to keep some of it back.
+        // A fractional share is too small to reserve tokens.
         if matches!(self.share, RightsShare::Part(_)) {
             return 0;
         }
@@ -189,7 +189,7 @@
             .min(burst.saturating_sub(cost))
     }
 
-    /// Settles a charge: what did not run is given back.
+    /// Settles a charge; it is refunded if the request did not run.
     pub(super) fn settle(
         &mut self,
         charge: Charge,
@@ -202,7 +202,7 @@
 }
 
 fn new_ledger() -> RightsLedger {
-    // The ledger's transfers between holders stay unused: here one scheduler holds what there is.
+    // Transfers between holders are unused: this ledger has a single holder.
     let me = Holder {
         vm: VmId(0),
         role: Role::Controller,
@@ -220,7 +220,7 @@
     ledger
 }
 
-/// Grants an account's rights; `besides` are tokens on top of those that the share brings.
+/// Grants an account's rate share; `besides` is added to the tokens granted at once.
 fn grant(
     ledger: &mut RightsLedger,
     account: AccountId,
@@ -240,7 +240,7 @@
         RightsShare::Part(parts) => most * ASSUMED_ALONE_PERCENT / 100 / parts.max(1) + besides,
     };
     let tokens = tokens.min(limit.burst);
-    // Tokens need room, which is counted in parts of the burst.
+    // Tokens need room, which is expressed as a share of the burst.
     let room = SHARE_WHOLE * tokens / limit.burst.max(1);
     let right = Right {
         account,
--- a/crates/core/src/scheduler/running.rs
+++ b/crates/core/src/scheduler/running.rs
@@ -7,58 +7,58 @@
     },
 };
 
-/// A request that runs already when a scheduler takes over, as its VM tells.
+/// A request that is already running when a scheduler takes over, as reported by its VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Adopted {
     /// The request's attempt.
     pub ticket: Ticket,
-    /// What it is.
+    /// The request itself.
     pub job: Job,
-    /// Where it runs.
+    /// The upstream that runs it.
     pub upstream: UpstreamId,
-    /// The adapter's version that it runs on, where that is known.
+    /// The adapter version that it uses, if known.
     pub version: Option<u32>,
-    /// Whether its first event has been seen.
+    /// Whether its first event has arrived.
     pub has_begun: bool,
 }
 
-/// Where a request stands in the scheduler's book.
+/// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// In the queue.
     Waiting,
-    /// Assigned.
+    /// Assigned to an upstream.
     Running {
         upstream: UpstreamId,
         adapter: Option<AdapterVersion>,
     },
 }
 
-/// A request in the scheduler's book.
+/// A request known to the scheduler.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub ticket: Ticket,
     pub job: Job,
     pub stage: Stage,
-    /// Until when it has to be sent to be on time.
+    /// When it must be sent at the latest to meet its objective.
     pub timely_until: Millis,
-    /// From when on it is worth looking at again, unless the epoch has changed.
+    /// When to evaluate it again, unless the epoch has changed.
     pub look_at: Millis,
-    /// The epoch in which it was last looked at.
+    /// The epoch in which it was last evaluated.
     pub look_epoch: u64,
-    /// What it waits for, and since when.
+    /// What it is waiting for, and since when.
     pub waits_for: WaitReason,
     pub waits_since: Millis,
-    /// How long it has waited for what before.
+    /// Earlier waiting times, by reason.
     pub waited: WaitTimes,
-    /// What was taken from its account's rate.
+    /// The charge to its account.
     pub charge: Option<Charge>,
-    /// When it is forgotten even if its VM never says a word.
+    /// When it is dropped if its VM never reports an outcome.
     pub forget_at: Millis,
 }
 
 impl Entry {
-    /// Notes what it waits for from now on.
+    /// Changes what the request is waiting for.
     pub(super) fn waits_for(
         &mut self,
         reason: WaitReason,
@@ -69,7 +69,7 @@
         self.waits_since = now;
     }
 
-    /// What it has waited for longest by now.
+    /// What the request has waited for longest.
     pub(super) fn waited_for(
         &mut self,
         now: Millis,
--- a/crates/core/src/scheduler/settings.rs
+++ b/crates/core/src/scheduler/settings.rs
@@ -1,18 +1,18 @@
 use crate::clock::Millis;
 
-/// Repeats that a service may get beyond the first arrival of each request.
+/// Retry budget of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatSettings {
-    /// Repeats for each request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Repeats besides, in one window.
+    /// Additional retries per window.
     pub slack: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Millis,
 }
 
 impl Default for RepeatSettings {
-    /// Where the platform names nothing: a tenth of all requests, and a few on top.
+    /// The defaults where the platform sets no budget.
     fn default() -> Self {
         Self {
             ratio: 0.1,
@@ -22,25 +22,23 @@
     }
 }
 
-/// How adapters are loaded.
+/// Adapter loading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSettings {
-    /// How long an adapter takes that an engine didn't hold lately.
+    /// Duration of a load from the adapter store.
     pub cold: Millis,
-    /// How long one takes that the engine held lately.
+    /// Duration of a load of a recently unloaded adapter.
     pub warm: Millis,
-    /// Cold loads over all engines at a time that don't slow each other down.
+    /// Cold loads over all engines that can run concurrently at full speed.
     pub at_once: u32,
-    /// Adapters on their way to one engine at most.
+    /// Upper bound of concurrent loads on one engine.
     pub per_engine: usize,
-    /// Adapters that an engine can load again quickly after it dropped them.
+    /// Recently unloaded adapters that an engine can reload quickly.
     pub kept_warm: usize,
 }
 
 impl Default for LoadSettings {
-    /// The users' figures: a quarter of a second and eight at a time, a tenth of that for an adapter held
-    /// lately, four on their way to one engine. How many stay at hand isn't said; with more than 25 beside
-    /// those in use, loads that were taken for quick ones were late.
+    /// The specified durations and limits; `kept_warm` is a safe lower estimate.
     fn default() -> Self {
         Self {
             cold: Millis(250),
@@ -52,27 +50,31 @@
     }
 }
 
-/// How the scheduler decides.
+/// Settings of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// Prompts sent to an engine and not yet read, in milliseconds of its work. Enough to keep it busy
-    /// while the next word goes to and fro; what waits here instead can still go elsewhere.
+    /// Prefill work sent ahead to an engine, in milliseconds.
+    ///
+    /// Enough to keep the engine busy while the next message is in transit.
     pub engine_backlog: Millis,
-    /// The part of an engine's memory for tokens that is filled, in percent: answers longer than stated
-    /// and the engine's own rounding need the rest, and a full engine preempts streams midway.
+    /// Share of an engine's KV cache to fill, in percent.
+    ///
+    /// The rest absorbs longer outputs and rounding; a full engine preempts running streams.
     pub memory_percent: u64,
-    /// A generation needs at least this long from its assignment to its first event.
+    /// Minimum time of a generation from its assignment to its first event.
     pub least_generation: Millis,
-    /// A call of a plain service needs at least this long.
+    /// Minimum duration of a call.
     pub least_call: Millis,
-    /// How long the older version of an adapter may still be used while the newer one is loaded.
+    /// How long an older adapter version may be used while the newer one is loaded.
     pub version_grace: Millis,
-    /// How long whoever takes over gives no orders. Zero where engines refuse lower fencing tokens; others carry out
-    /// what the scheduler before has sent at the last moment.
+    /// How long a new scheduler sends no commands.
+    ///
+    /// Zero where engines check fencing tokens; other engines may still execute commands of the
+    /// previous scheduler.
     pub order_gap: Millis,
-    /// Adapters.
+    /// Adapter loading.
     pub loads: LoadSettings,
-    /// Repeats.
+    /// Default retry budget.
     pub repeats: RepeatSettings,
 }
 
--- a/crates/core/src/scheduler/upstream.rs
+++ b/crates/core/src/scheduler/upstream.rs
@@ -6,53 +6,53 @@
     },
 };
 
-/// How much one answer's time counts for a plain upstream.
+/// Weight of one sample in the moving average of call times.
 const LEARNING: f64 = 0.1;
-/// What a plain upstream is taken to need before anything has been seen, in milliseconds.
+/// Initial estimate of a call's duration, in milliseconds.
 const INITIAL_MS: f64 = 30.0;
-/// For so many calls that run at a plain upstream one more is sent ahead and waits there. That a slot has fallen free is
-/// known here some 8 ms later, and the next call takes a few more; until then the slot stands idle while callers wait.
-/// At 95 % of what two upstreams of six slots can do, 311 of 1,139 calls of 60 ms were answered within 300 ms with
-/// nothing sent ahead, 1,127 with this (the test `calls_ahead`).
+/// Slots per additional call that is sent ahead and queues at the upstream.
+///
+/// Without it, a free slot would stay idle until the scheduler learns of it and the next call
+/// arrives.
 const AHEAD_PART: u32 = 3;
-/// How much slower an upstream is shortly after its start.
+/// Slowdown of an upstream shortly after its start.
 const COLD_FACTOR: f64 = 1.6;
 
-/// What an engine says that it holds.
+/// The models and adapters of an engine, from its store entry or its own report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineFacts {
-    /// Orders that it has accepted since its start; known from its own report only.
+    /// Commands accepted since the engine started; only in its own report.
     pub seq: Option<u64>,
-    /// Base models that it can run.
+    /// Base models that are loaded.
     pub models: Vec<ModelId>,
-    /// Adapters that it can run.
+    /// Adapters that are loaded.
     pub adapters: Vec<(ModelId, AdapterVersion)>,
-    /// Adapters on their way; known from its own report only.
+    /// Adapters being loaded; only in the engine's own report.
     pub coming: Vec<(ModelId, AdapterVersion)>,
-    /// Whether an order for a base model is under way.
+    /// Whether a base model is being loaded.
     pub is_busy: bool,
 }
 
-/// What is known of an upstream from its entry.
+/// An upstream's store entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamFacts {
-    /// The service that it belongs to.
+    /// The service it belongs to.
     pub service: ServiceId,
-    /// Where it stands.
+    /// Its data centre, if known.
     pub data_centre: Option<DataCentreId>,
-    /// Requests that it runs at a time.
+    /// Concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub is_ready: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time during which it is slow after its start.
     pub cold: Millis,
-    /// Its start, as a number that differs between two runs.
+    /// Identifies the current run of the upstream; changes with each restart.
     pub started: Option<u64>,
-    /// What it holds, if it is an engine.
+    /// Its models and adapters, if it is an engine.
     pub engine: Option<EngineFacts>,
 }
 
-/// An upstream that requests can be sent to.
+/// An upstream, with its load and health.
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
     pub id: UpstreamId,
@@ -63,9 +63,9 @@
     pub started: Option<u64>,
     pub cold_until: Millis,
     pub health: Health,
-    /// Requests assigned to it that have not ended.
+    /// Assigned requests that have not ended.
     pub running: u32,
-    /// What it needs for a call, in milliseconds.
+    /// Moving average of the duration of a call, in milliseconds.
     call_ms: f64,
     pub engine: Option<Engine>,
 }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes what its entry says now.
+    /// Updates the upstream from its store entry.
     pub(super) fn update(
         &mut self,
         facts: &UpstreamFacts,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether the adapter was still on its way by the last word on it.
+    /// Whether the adapter was being loaded when it was last observed.
     pub(super) fn is_loading(
         &self,
         adapter: Option<AdapterVersion>,
@@ -122,7 +122,7 @@
         place.is_some_and(|place| matches!(place.state, PlaceState::Coming { .. }))
     }
 
-    /// Notes that an adapter proved not to be there yet.
+    /// Records that the adapter was expected to be loaded and was not.
     pub(super) fn note_late(
         &mut self,
         adapter: Option<AdapterVersion>,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Notes how long a call took, less the time that it waited there for a slot.
+    /// Records the duration of a call, corrected for queueing at the upstream.
     pub(super) fn note_call(
         &mut self,
         took: Millis,
@@ -143,7 +143,7 @@
         self.call_ms += (took.0 as f64 / crowd - self.call_ms) * LEARNING;
     }
 
-    /// How long a call would take here by what has been seen, in milliseconds.
+    /// Expected duration of a call, in milliseconds.
     pub(super) fn call_time(
         &self,
         now: Millis,
@@ -157,7 +157,7 @@
         self.call_ms * cold * (1.0 + fill)
     }
 
-    /// Work that it does in a millisecond: tokens of prompts if it is an engine, else calls.
+    /// Throughput per millisecond: prompt tokens on an engine, otherwise calls.
     pub(super) fn capacity(&self) -> f64 {
         match &self.engine {
             Some(engine) => engine.backlog.tokens_per_ms(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Whether one more call may be sent here: a slot is free, or will be by the time that it is needed.
+    /// Whether a slot is free or is expected to be free when one more call arrives.
     pub(super) const fn takes_calls(&self) -> bool {
         self.running < self.slots + self.slots.div_ceil(AHEAD_PART)
     }
--- a/crates/core/src/scheduler/version_book.rs
+++ b/crates/core/src/scheduler/version_book.rs
@@ -6,34 +6,33 @@
     std::collections::HashMap,
 };
 
-/// How an announcement became known.
+/// How an announced version became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announcement {
-    /// It was made just now.
+    /// It was announced just now.
     New,
-    /// It was there when the store was read. It may be seconds old: a VM that has just started must not count the
-    /// time from then on, or the old version is used twice as long as allowed.
+    /// It was found in the store at startup and may be old, so no grace period starts.
     Found,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Announced {
     version: u32,
-    /// When it was made; none where that isn't known.
+    /// When it was announced; `None` if unknown.
     made_at: Option<Millis>,
 }
 
-/// The versions of adapters that operators have announced.
+/// The adapter versions announced by operators.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionBook {
     announced: HashMap<AdapterId, Announced>,
 }
 
-/// The version that an adapter has before any is announced.
+/// Version of an adapter before any announcement.
 const FIRST: u32 = 1;
 
 impl VersionBook {
-    /// Notes an announcement; an older one than is known changes nothing.
+    /// Records an announcement; ignores versions that are not newer.
     pub(super) fn announce(
         &mut self,
         adapter: AdapterId,
@@ -49,7 +48,7 @@
         }
     }
 
-    /// The version that is to be used.
+    /// The version to use.
     pub(super) fn wanted(
         &self,
         adapter: AdapterId,
@@ -58,7 +57,7 @@
         AdapterVersion { adapter, version }
     }
 
-    /// The version that an operator has named, if one has.
+    /// The announced version, if any.
     pub(super) fn announced_version(
         &self,
         adapter: AdapterId,
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -1,27 +1,27 @@
-/// What a request waits for that isn't sent yet.
+/// What a queued request is waiting for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum WaitReason {
-    /// Its turn: it hasn't been looked at yet, or others go first.
+    /// To be evaluated, or for requests ahead of it.
     #[default]
     Turn,
-    /// An upstream: none of its service takes work.
+    /// A ready upstream of its service.
     NoUpstream,
-    /// A slot of a plain upstream.
+    /// A free slot of an upstream without a model.
     CallSlot,
-    /// The engine that is best for it to read the prompts that it has.
+    /// The prefill backlog of its best engine.
     Prompts,
-    /// A slot or memory of that engine.
+    /// A slot or KV cache memory of its best engine.
     Memory,
-    /// Its adapter, which is on its way to an engine.
+    /// A load of its adapter that is in progress.
     Load,
-    /// An engine that can be ordered to load its adapter: an order is out, or what it holds is in doubt.
+    /// An engine that can take the command to load its adapter.
     Order,
-    /// A place for its adapter: all that could be emptied are in use.
+    /// An adapter slot: none can be freed.
     Place,
 }
 
 impl WaitReason {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [Self; 8] = [
         Self::Turn,
         Self::NoUpstream,
@@ -33,12 +33,12 @@
         Self::Place,
     ];
 
-    /// The reason with this word.
+    /// The reason with this name.
     pub fn from_word(word: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.as_str() == word)
     }
 
-    /// The word for it in logs and metrics.
+    /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Turn => "turn",
--- a/crates/core/src/scheduler/wait_times.rs
+++ b/crates/core/src/scheduler/wait_times.rs
@@ -1,13 +1,13 @@
 use {super::WaitReason, crate::clock::Millis};
 
-/// How long was waited, by reason.
+/// Total waiting time by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitTimes {
     by_reason: [Millis; WaitReason::ALL.len()],
 }
 
 impl WaitTimes {
-    /// Adds time.
+    /// Adds waiting time for one reason.
     pub(super) fn add(
         &mut self,
         reason: WaitReason,
@@ -17,7 +17,7 @@
         *sum += waited;
     }
 
-    /// Adds all of another's times.
+    /// Adds all times of `other`.
     pub(super) fn add_all(
         &mut self,
         other: &Self,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// How long was waited for this reason.
+    /// The waiting time for this reason.
     pub const fn of(
         &self,
         reason: WaitReason,
@@ -35,7 +35,7 @@
         self.by_reason[reason as usize]
     }
 
-    /// The reason that took longest, with how long; the first of those that took as long.
+    /// The reason with the longest time, and that time; the first one on a tie.
     pub fn longest(&self) -> (WaitReason, Millis) {
         WaitReason::ALL
             .into_iter()
--- a/crates/core/tests/alone_rights.rs
+++ b/crates/core/tests/alone_rights.rs
@@ -1,4 +1,4 @@
-//! What VMs may use of accounts' rates while no scheduler answers them.
+//! Rate limiting on a VM that has no scheduler.
 
 mod scheduler_world;
 
@@ -13,15 +13,15 @@
 
 const ACCOUNT: AccountId = AccountId(1);
 const COST: u64 = 2_000;
-/// VMs, as many as the parts into which rates are divided.
+/// Number of VMs, and so of equal shares of each rate limit.
 const VMS: u64 = 80;
 
-/// How often a caller of the account comes to one VM, and how often its rate would allow it to: all VMs together use
-/// two thirds of the rate.
+/// Interval between an account's requests on one VM, and the shortest within its rate, in
+/// milliseconds.
 const EVERY: u64 = 2_400;
 const ALLOWED_EVERY: u64 = 1_600;
 
-/// A VM that follows a scheduler, which has let its callers through until now.
+/// A standby whose callers were admitted by a scheduler until now.
 fn following() -> World {
     let mut world = World::with(0, SchedulerSettings::default(), false);
     world.add_server(UpstreamId(9));
@@ -36,7 +36,8 @@
     world
 }
 
-/// Plays so many milliseconds alone, with a request each `every`; those let through, and all.
+/// Runs for `ms` without a scheduler, with a request every `every` ms; returns admitted and all
+/// requests.
 fn play_alone(
     world: &mut World,
     ms: u64,
@@ -63,17 +64,16 @@
 
 #[test]
 fn callers_go_on_while_a_scheduler_is_elected() {
-    // The VM that schedules freezes, and for a bit more than a second each VM decides alone. Nobody asks for more than
-    // before; but an eightieth of an account's rate is less than one request. With that alone neither of two callers was
-    // served on this load, both are with what the VM had before.
+    // Guards against rejecting all requests during an election, when a VM's share of the rate is
+    // less than one request.
     let mut world = following();
     assert_eq!(play_alone(&mut world, 1_200, 600), (2, 2));
 }
 
 #[test]
 fn a_long_time_alone_gives_no_more_than_the_part() {
-    // A VM is cut off from all others while these use the account's whole rate. It may go on for an election's time;
-    // what it used any longer would come on top of the rate.
+    // Guards against a partitioned VM that adds more than its share to an account's rate for longer
+    // than an election.
     let mut world = following();
     let (served, asked) = play_alone(&mut world, 16_000, 50);
     assert_eq!(asked, 320);
@@ -82,8 +82,7 @@
 
 #[test]
 fn a_vm_that_loses_its_scheduler_often_gains_nothing() {
-    // The connection to the scheduler breaks once a second. What a VM may go on with is for one election, not for
-    // each time.
+    // Guards against a VM that gets a new allowance each time it loses its scheduler.
     let mut world = following();
     let mut served = 0;
     for _ in 0..6 {
@@ -94,8 +93,7 @@
 
 #[test]
 fn an_account_over_its_rate_goes_on_with_less() {
-    // An account sends several times its rate, and most of it is refused, when the scheduler dies. What it had before
-    // was all that it may have.
+    // Guards against an allowance that follows the demand of an account over its rate.
     let mut world = following();
     let now = world.now;
     let decided = OwnDecision::OverRate;
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Decisions for hundreds and thousands of engines.
+//! Scheduling with hundreds and thousands of engines.
 
 mod scheduler_world;
 
@@ -11,14 +11,14 @@
     },
 };
 
-/// Reports that a scheduler may have out at a time: fewer than the descriptors that a small VM has to spare.
+/// Upper bound of pending report requests; below the file descriptor limit of a small VM.
 const MOST_OUT: usize = 64;
 
-/// How long an engine reads a prompt, and within which time its first token is wanted.
+/// Prefill time of a prompt, and the objective for its first token.
 const READING: Millis = Millis(120);
 const OBJECTIVE: Millis = Millis(1_000);
 
-/// A leader that knows engines from their entries only.
+/// A leader that has no engine reports yet.
 fn unreported(engines: u32) -> World {
     let mut world = World::leading(0);
     for id in 0..engines {
@@ -27,7 +27,7 @@
     world
 }
 
-/// Guards against a takeover that opens a connection to each of a thousand engines at once.
+/// Guards against a takeover that connects to all engines at once.
 #[test]
 fn reports_take_turns() {
     let mut world = unreported(1_000);
@@ -46,7 +46,7 @@
     assert_eq!(asked.len(), 1_000);
 }
 
-/// Guards against a request that waits for its engine's report behind those of a thousand idle engines.
+/// Guards against a report that a request needs being queued behind those of idle engines.
 #[test]
 fn wanted_reports_come_first() {
     let mut world = unreported(1_000);
@@ -65,8 +65,7 @@
     assert!(world.sent_to(number).is_some());
 }
 
-/// Guards against requests that wait for one more copy of their adapter while a copy that is there stands idle: 62 of
-/// these 800 were sent within 3 s before the first in line was sent to it, all in time since.
+/// Guards against requests waiting for another copy of their adapter while a loaded copy is idle.
 #[test]
 fn popular_adapters_spread() {
     let mut world = World::leading(400);
@@ -95,7 +94,7 @@
     assert_eq!(late, 0);
 }
 
-/// Guards against a request that waits for a place on the engines that its adapter prefers while others stand idle.
+/// Guards against waiting for an adapter slot on preferred engines while other engines are idle.
 #[test]
 fn idle_places_are_found() {
     let mut world = World::leading(0);
@@ -118,7 +117,7 @@
     assert_eq!(sent.count(), 20);
 }
 
-/// Guards against preferences that don't follow engines as they come and go.
+/// Guards against preferred engines that are not updated when engines join or leave.
 #[test]
 fn preferences_follow_engines() {
     let mut world = World::leading(60);
@@ -146,7 +145,7 @@
     assert!(joined >= 15, "{joined} of 30 that joined are used");
 }
 
-/// The time that a scheduler takes for requests that come and go, on so many engines.
+/// Time that a scheduler takes for a fixed number of requests.
 fn cost(engines: u32) -> Duration {
     let mut world = World::leading(engines);
     let began = Instant::now();
@@ -163,8 +162,7 @@
     began.elapsed()
 }
 
-/// A request costs a scheduler as much with 3,000 engines as with 150. By the example `scheduler_cost`, from 140 to 3,000
-/// engines: 66 to 1,663 us before sums, holders and preferences were kept, 74 to 61 us after.
+/// Guards against scheduling cost that grows with the number of engines.
 #[test]
 fn cost_stays_flat() {
     let best = |engines| (0..3).map(|_| cost(engines)).min();
--- a/crates/core/tests/long_prompts.rs
+++ b/crates/core/tests/long_prompts.rs
@@ -1,4 +1,4 @@
-//! Long prompts beside streams that may not pause for long.
+//! Long prompts on engines with running streams.
 
 mod scheduler_world;
 
@@ -11,12 +11,12 @@
     scheduler_world::{World, engine, generation, upstream},
 };
 
-/// The longest good pause of a stream.
+/// Longest acceptable pause of a stream.
 const GAP: Millis = Millis(600);
 const NEAR: UpstreamId = UpstreamId(0);
 const FAR: UpstreamId = UpstreamId(1);
 const STREAMS: usize = 8;
-/// Tokens of a long prompt, and how long an engine reads it.
+/// Tokens of a long prompt, and its prefill time.
 const LONG: u32 = 18_000;
 const READ: Millis = Millis(600);
 
@@ -36,8 +36,9 @@
     }
 }
 
-/// Streams run on an engine near their callers while long prompts come one after the other; returns how many of the
-/// streams paused for too long, and how many long prompts had their first token within a second.
+/// Sends long prompts one after another while streams run on the engine near the callers.
+///
+/// Returns how many streams paused for too long and how many long prompts were in time.
 fn play(gap: Option<Millis>) -> (usize, usize) {
     let mut world = World::leading(0);
     world.add_engine(NEAR, &[1]);
@@ -59,7 +60,8 @@
         let long = world.place(job(LONG, gap, world.now));
         let sent = world.sent_to(long).expect("an engine is idle");
         if sent == NEAR {
-            // It reads for as long as the longest good pause, and each of its streams stands still meanwhile.
+            // Prefill takes as long as the longest acceptable pause and stalls all streams of the
+            // engine.
             paused = STREAMS;
         }
         world.pass(READ.0);
@@ -74,10 +76,8 @@
 
 #[test]
 fn streams_beside_long_prompts() {
-    // An engine reads prompts in pieces between the tokens of its streams. While it reads a long one, the streams there
-    // stand still for longer than they may, and their callers see the text stop. A little further away an engine reads
-    // nothing and serves nobody. Measured on this load: 8 of 8 streams paused for too long where pauses don't count, none
-    // so; five of five long prompts were in time both ways.
+    // Guards against long prompts that stall streams while an engine in another data centre is
+    // idle.
     assert_eq!(play(None), (STREAMS, 5));
     assert_eq!(play(Some(GAP)), (0, 5));
 }
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler with engines that carry out its orders: what the tests of the scheduler drive.
+//! Test driver: a scheduler with simulated engines that execute its commands.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -21,33 +21,33 @@
 pub const CALLS: ServiceId = ServiceId(2);
 pub const MODEL: ModelId = ModelId(0);
 pub const HERE: DataCentreId = DataCentreId(0);
-/// Adapters that one engine holds.
+/// Adapter slots per engine.
 pub const PLACES: usize = 2;
 
-/// What was decided for a request.
+/// The scheduler's decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     Sent(UpstreamId, Option<u32>),
     Refused(Refusal),
 }
 
-/// A scheduler, the time, and what came of its actions.
+/// A scheduler with a simulated clock and the results of its actions.
 pub struct World {
     pub scheduler: Scheduler,
     pub now: Millis,
     pub decisions: BTreeMap<u64, Decision>,
     pub orders: Vec<(UpstreamId, Order)>,
     pub reports_asked: Vec<UpstreamId>,
-    /// Orders that engines leave unanswered, for the test to answer.
+    /// Commands left unanswered, for the test to answer.
     pub unanswered: Vec<(UpstreamId, Order)>,
-    /// Whether engines answer at once.
+    /// Whether engines answer commands at once.
     pub engines_answer: bool,
     seqs: HashMap<UpstreamId, u64>,
     next: u64,
 }
 
 impl World {
-    /// A leader with `engines` empty engines and no plain upstream.
+    /// A leader with `engines` empty engines and no other upstream.
     pub fn leading(engines: u32) -> Self {
         Self::with(engines, SchedulerSettings::default(), true)
     }
@@ -129,7 +129,7 @@
         self.scheduler.set_limits(limits, self.now);
     }
 
-    /// Places a generation for an adapter and returns its number.
+    /// Submits a generation for an adapter and returns its number.
     pub fn generate(
         &mut self,
         adapter: u32,
@@ -175,7 +175,7 @@
         self.act(actions);
     }
 
-    /// Lets time pass, with the machine's timers.
+    /// Advances the clock and runs the scheduler's timers.
     pub fn pass(
         &mut self,
         ms: u64,
@@ -195,7 +195,7 @@
         self.decisions.get(&number).copied()
     }
 
-    /// Where a request was sent.
+    /// The upstream that a request was sent to.
     pub fn sent_to(
         &self,
         number: u64,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Orders to load an adapter, whatever its version.
+    /// Number of commands to load any version of an adapter.
     pub fn loads_of(
         &self,
         adapter: u32,
--- a/crates/core/tests/slow_loads.rs
+++ b/crates/core/tests/slow_loads.rs
@@ -1,4 +1,4 @@
-//! An adapter store that is slower than its settings say.
+//! An adapter store that is slower than configured.
 
 mod scheduler_world;
 
@@ -12,11 +12,11 @@
     std::collections::HashMap,
 };
 
-/// What a load takes; the settings say 250 ms.
+/// Actual duration of a cold load; the settings say 250 ms.
 const LOAD: Millis = Millis(450);
 const READING: Millis = Millis(100);
 
-/// What an engine says of itself after the orders that it was given.
+/// The engine's report after the commands that it received.
 fn report(
     world: &World,
     id: UpstreamId,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Plays requests for one adapter each, one every 40 ms, and says which were turned away before their adapter was there.
+/// Sends one request per adapter, one every 40 ms; returns the adapters' numbers, once for each
+/// early request.
 fn turned_away(requests: u32) -> Vec<u32> {
     let mut world = World::leading(60);
     let mut loaded_at = HashMap::new();
@@ -89,8 +90,8 @@
     away
 }
 
-/// Guards against requests sent too early to engine after engine while the store is slow: each is a repeat, of which a
-/// service may get one for five requests. The last 100 were turned away 300 times before, 18 times now.
+/// Guards against requests sent before their adapter is loaded while the store is slow, which use
+/// up the retry budget.
 #[test]
 fn late_loads_are_expected() {
     let away = turned_away(200);
