--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// A command to an engine.
+/// An order to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Load an adapter.
@@ -52,13 +52,13 @@
         /// The reason that it waited for longest.
         waited_for: WaitReason,
     },
-    /// Send a command to an engine, which must reject it unless its sequence number is `after_seq`.
+    /// Send an order to an engine, which must reject it unless its sequence number is `after_seq`.
     Order {
         /// The target engine.
         upstream: UpstreamId,
-        /// The command.
+        /// The order.
         order: Order,
-        /// Number of commands that the engine has accepted so far.
+        /// Number of orders that the engine has accepted so far.
         after_seq: u64,
     },
     /// Request a status report from an engine.
--- a/crates/core/src/scheduler/backlog.rs
+++ b/crates/core/src/scheduler/backlog.rs
@@ -1,19 +1,19 @@
 use {
-    super::read_time::{ReadLine, ReadTime},
+    super::prefill_estimator::{PrefillEstimator, PrefillTime},
     crate::{clock::Millis, ids::RequestId},
     std::collections::VecDeque,
 };
 
 /// Weight of one sample in the moving average of an engine's slowness.
-const LEARNING: f64 = 0.15;
+const SAMPLE_WEIGHT: f64 = 0.15;
 /// Bounds of one sample of slowness.
-const SLOWNESS: (f64, f64) = (0.5, 6.0);
+const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 6.0);
 /// Half-life of an engine's measured slowness.
 const SLOWNESS_HALF_LIFE: Millis = Millis(4_000);
 
 /// A prompt that was sent and has no first event yet.
 #[derive(Clone, Copy, Debug)]
-struct Unread {
+struct PendingPrompt {
     request: RequestId,
     tokens: f64,
 }
@@ -21,19 +21,19 @@
 /// Prompts waiting for prefill on an engine, in the order in which they were sent.
 #[derive(Clone, Debug)]
 pub(super) struct Backlog {
-    unread: VecDeque<Unread>,
+    pending: VecDeque<PendingPrompt>,
     /// When prefill of the first prompt started.
-    since: Millis,
+    prefill_started_at: Millis,
     /// Prefill time model of the service.
-    line: ReadLine,
+    prefill_time: PrefillTime,
     /// Prefill time of this engine relative to its service, as a moving average.
     slowness: f64,
-    seen_at: Millis,
+    observed_at: Millis,
 }
 
 /// A measured prefill time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Reading {
+pub(super) struct PrefillSample {
     pub tokens: f64,
     pub took: Millis,
 }
@@ -41,11 +41,11 @@
 impl Default for Backlog {
     fn default() -> Self {
         Self {
-            unread: VecDeque::new(),
-            since: Millis::ZERO,
-            line: ReadTime::default().line(),
+            pending: VecDeque::new(),
+            prefill_started_at: Millis::ZERO,
+            prefill_time: PrefillEstimator::default().prefill_time(),
             slowness: 1.0,
-            seen_at: Millis::ZERO,
+            observed_at: Millis::ZERO,
         }
     }
 }
@@ -58,18 +58,18 @@
         tokens: f64,
         now: Millis,
     ) {
-        if self.unread.is_empty() {
-            self.since = now;
+        if self.pending.is_empty() {
+            self.prefill_started_at = now;
         }
-        self.unread.push_back(Unread { request, tokens });
+        self.pending.push_back(PendingPrompt { request, tokens });
     }
 
     /// Sets the prefill time model of the service.
-    pub(super) const fn set_line(
+    pub(super) const fn set_prefill_time(
         &mut self,
-        line: ReadLine,
+        prefill_time: PrefillTime,
     ) {
-        self.line = line;
+        self.prefill_time = prefill_time;
     }
 
     /// Records a request's first event; returns its prefill time if its prompt was the first in
@@ -78,31 +78,32 @@
         &mut self,
         request: RequestId,
         now: Millis,
-    ) -> Option<Reading> {
-        let first = self.unread.front().copied();
-        let reading = first
+    ) -> Option<PrefillSample> {
+        let first = self.pending.front().copied();
+        let sample = first
             .filter(|first| first.request == request && first.tokens > 0.0)
-            .map(|first| Reading {
+            .map(|first| PrefillSample {
                 tokens: first.tokens,
-                took: now.since(self.since),
+                took: now.since(self.prefill_started_at),
             });
-        if let Some(reading) = reading {
-            self.note_slowness(reading, now);
+        if let Some(sample) = sample {
+            self.note_slowness(sample, now);
         }
         self.remove(request, now);
-        reading
+        sample
     }
 
     fn note_slowness(
         &mut self,
-        reading: Reading,
+        sample: PrefillSample,
         now: Millis,
     ) {
-        let expected = self.line.time_for(reading.tokens).max(1.0);
-        let seen = (reading.took.0 as f64 / expected).clamp(SLOWNESS.0, SLOWNESS.1);
+        let expected = self.prefill_time.time_for(sample.tokens).max(1.0);
+        let observed =
+            (sample.took.0 as f64 / expected).clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         self.slowness = self.slowness_at(now);
-        self.slowness += (seen - self.slowness) * LEARNING;
-        self.seen_at = now;
+        self.slowness += (observed - self.slowness) * SAMPLE_WEIGHT;
+        self.observed_at = now;
     }
 
     /// The slowness, decayed towards 1: an engine that is avoided for being slow would otherwise
@@ -111,7 +112,7 @@
         &self,
         now: Millis,
     ) -> f64 {
-        let halvings = now.since(self.seen_at).0 as f64 / SLOWNESS_HALF_LIFE.0 as f64;
+        let halvings = now.since(self.observed_at).0 as f64 / SLOWNESS_HALF_LIFE.0 as f64;
         1.0 + (self.slowness - 1.0) * (-halvings).exp2()
     }
 
@@ -122,13 +123,13 @@
         now: Millis,
     ) {
         if let Some(at) = self
-            .unread
+            .pending
             .iter()
-            .position(|unread| unread.request == request)
+            .position(|pending| pending.request == request)
         {
-            self.unread.remove(at);
+            self.pending.remove(at);
             if at == 0 {
-                self.since = now;
+                self.prefill_started_at = now;
             }
         }
     }
@@ -138,13 +139,14 @@
         &self,
         now: Millis,
     ) -> f64 {
-        let Some(first) = self.unread.front() else {
+        let Some(first) = self.pending.front() else {
             return 0.0;
         };
-        let spent = now.since(self.since).0 as f64;
+        let spent = now.since(self.prefill_started_at).0 as f64;
         let slowness = self.slowness_at(now);
-        let time_for = |unread: &Unread| self.line.time_for(unread.tokens) * slowness;
-        let rest: f64 = self.unread.iter().skip(1).map(time_for).sum();
+        let time_for =
+            |pending: &PendingPrompt| self.prefill_time.time_for(pending.tokens) * slowness;
+        let rest: f64 = self.pending.iter().skip(1).map(time_for).sum();
         (time_for(first) - spent).max(0.0) + rest
     }
 
@@ -154,21 +156,21 @@
         tokens: f64,
         now: Millis,
     ) -> f64 {
-        self.line.time_for(tokens) * self.slowness_at(now)
+        self.prefill_time.time_for(tokens) * self.slowness_at(now)
     }
 
     /// Prefill throughput, in tokens per millisecond.
     pub(super) fn tokens_per_ms(&self) -> f64 {
-        self.line.tokens_per_ms() / self.slowness
+        self.prefill_time.tokens_per_ms() / self.slowness
     }
 
     /// Number of prompts waiting for prefill.
     pub(super) fn len(&self) -> usize {
-        self.unread.len()
+        self.pending.len()
     }
 
     /// Whether no prompt is waiting for prefill.
     pub(super) fn is_empty(&self) -> bool {
-        self.unread.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -2,7 +2,7 @@
     super::{
         EngineFacts, LoadSettings,
         backlog::Backlog,
-        place::{DEMAND_HALF_LIFE, Place, PlaceState},
+        place::{DEMAND_HALF_LIFE, Place, ResidentState},
         prefix_cache::PrefixCache,
     },
     crate::{
@@ -15,11 +15,11 @@
 /// Request slots kept free on each engine for requests that the scheduler doesn't control.
 const SPARE_SLOTS: u32 = 2;
 /// Delay before a stale engine is polled, so that its report isn't older than the event.
-const REPORT_LAG: Millis = Millis(350);
-/// Expected latency of a command or a report request.
-const ORDER_TIME: Millis = Millis(5);
+const REPORT_DELAY: Millis = Millis(350);
+/// Expected latency of an order or a report request.
+const ORDER_LATENCY: Millis = Millis(5);
 /// Consecutive late loads after which the engine is polled for a report.
-const LATE_LOADS: u32 = 3;
+const MAX_LATE_LOADS: u32 = 3;
 
 /// Capacity of an engine of one service.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,18 +40,18 @@
 
 /// Whether the scheduler's view of an engine matches the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Knowledge {
+pub(super) enum ViewState {
     /// The view is up to date.
-    Sure,
-    /// The view may be wrong, for example after a command without a response.
-    Doubted {
+    Synced,
+    /// The view may be wrong, for example after an order without a response.
+    Stale {
         /// When to request a report.
-        ask_at: Millis,
+        request_at: Millis,
     },
     /// A report was requested.
-    Asked {
+    Requested {
         /// When to request it again.
-        again_at: Millis,
+        retry_at: Millis,
     },
 }
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub limits: EngineLimits,
-    pub knowledge: Knowledge,
+    pub view_state: ViewState,
     pub seq: u64,
     /// Base models that are loaded.
     pub models: Vec<ModelId>,
@@ -68,53 +68,53 @@
     pub places: Vec<Place>,
     /// Assigned requests that have not ended, by adapter, including adapters that are not resident.
     users: HashMap<AdapterVersion, u32>,
-    /// Adapter that is unloaded once its requests have ended; no commands are sent until then.
-    pub going: Option<AdapterVersion>,
-    /// Whether a command is waiting for its response.
+    /// Adapter that is unloaded once its requests have ended; no orders are sent until then.
+    pub unloading: Option<AdapterVersion>,
+    /// Whether an order is waiting for its response.
     pub has_order: bool,
-    /// When the last command was sent or answered, whichever is later.
+    /// When the last order was sent or answered, whichever is later.
     pub ordered_at: Millis,
-    /// No commands before this time: commands of the previous scheduler may still arrive.
+    /// No orders before this time: orders of the previous scheduler may still arrive.
     pub orders_from: Millis,
-    /// Whether commands are stopped because leadership is about to be handed over.
+    /// Whether orders are stopped because leadership is about to be handed over.
     pub rests: bool,
-    /// Whether the command in flight is the retry of one that got no response.
-    pub has_repeated: bool,
+    /// Whether the order in flight is the retry of one that got no response.
+    pub has_retried_order: bool,
     /// Adapter that is loaded once the current eviction has made room.
     pub reserved: Option<(ModelId, AdapterVersion)>,
     /// Recently unloaded adapters, oldest first.
-    dropped: VecDeque<AdapterVersion>,
+    recently_unloaded: VecDeque<AdapterVersion>,
     pub backlog: Backlog,
     pub prefixes: PrefixCache,
     /// KV cache tokens reserved by assigned requests.
     pub kv_used: u64,
-    late_loads: u32,
+    consecutive_late_loads: u32,
 }
 
 impl Engine {
     pub(super) fn new(limits: EngineLimits) -> Self {
         Self {
             limits,
-            knowledge: Knowledge::Doubted {
-                ask_at: Millis::ZERO,
+            view_state: ViewState::Stale {
+                request_at: Millis::ZERO,
             },
             seq: 0,
             models: Vec::new(),
             loading: None,
             places: Vec::new(),
             users: HashMap::new(),
-            going: None,
+            unloading: None,
             has_order: false,
             ordered_at: Millis::ZERO,
             orders_from: Millis::ZERO,
             rests: false,
-            has_repeated: false,
+            has_retried_order: false,
             reserved: None,
-            dropped: VecDeque::new(),
+            recently_unloaded: VecDeque::new(),
             backlog: Backlog::default(),
             prefixes: PrefixCache::default(),
             kv_used: 0,
-            late_loads: 0,
+            consecutive_late_loads: 0,
         }
     }
 
@@ -132,9 +132,9 @@
     }
 
     /// Replaces the view with the engine's status; assigned requests are kept.
-    pub(super) fn adopt(
+    pub(super) fn apply_status(
         &mut self,
-        facts: &EngineFacts,
+        status: &EngineFacts,
         load: &LoadSettings,
         now: Millis,
     ) {
@@ -144,53 +144,56 @@
             Some(place) => Place { state, ..*place },
             None => Place::new(model, adapter, state),
         };
-        let present = facts
+        let present = status
             .adapters
             .iter()
-            .map(|&(model, adapter)| take(model, adapter, PlaceState::Present));
-        let coming = PlaceState::Coming {
+            .map(|&(model, adapter)| take(model, adapter, ResidentState::Loaded));
+        let coming = ResidentState::Loading {
             ready_at: now + load.cold,
             is_cold: true,
         };
-        let on_the_way = facts.coming.iter().map(|&(model, adapter)| {
+        let on_the_way = status.coming.iter().map(|&(model, adapter)| {
             let state = old(adapter).map_or(coming, |place| match place.state {
-                PlaceState::Coming { .. } => place.state,
+                ResidentState::Loading { .. } => place.state,
                 _ => coming,
             });
             take(model, adapter, state)
         });
         self.places = present.chain(on_the_way).collect();
-        if let Some(place) = self.going.and_then(|going| self.place_mut(going)) {
-            place.state = PlaceState::Going;
+        if let Some(place) = self
+            .unloading
+            .and_then(|unloading| self.place_mut(unloading))
+        {
+            place.state = ResidentState::Unloading;
         } else {
-            self.going = None;
+            self.unloading = None;
         }
         for place in before {
             if self.place(place.adapter).is_none() && place.is_present(now) {
-                self.drop_place(place.adapter, load.kept_warm);
+                self.remove_resident(place.adapter, load.warm_capacity);
             }
         }
-        self.seq = facts.seq.unwrap_or(self.seq);
-        self.models.clone_from(&facts.models);
+        self.seq = status.seq.unwrap_or(self.seq);
+        self.models.clone_from(&status.models);
         if self
             .loading
-            .is_some_and(|model| facts.models.contains(&model))
+            .is_some_and(|model| status.models.contains(&model))
         {
             self.loading = None;
         }
-        self.late_loads = 0;
+        self.consecutive_late_loads = 0;
     }
 
     /// Marks the view as up to date after a report, unless an unload is still pending.
-    pub(super) fn trust(
+    pub(super) fn mark_synced(
         &mut self,
         now: Millis,
     ) {
         self.reserved = None;
-        if self.going.is_some() {
+        if self.unloading.is_some() {
             self.doubt(now);
         } else {
-            self.knowledge = Knowledge::Sure;
+            self.view_state = ViewState::Synced;
         }
     }
 
@@ -200,20 +203,20 @@
         now: Millis,
     ) {
         self.reserved = None;
-        self.knowledge = Knowledge::Doubted {
-            ask_at: now + REPORT_LAG,
+        self.view_state = ViewState::Stale {
+            request_at: now + REPORT_DELAY,
         };
     }
 
     /// Returns whether a report is due, and if so schedules the next attempt.
-    fn wants_report(
+    fn take_due_report(
         &mut self,
         now: Millis,
     ) -> bool {
         let due = self.report_due().is_some_and(|at| now >= at);
         if due {
-            self.knowledge = Knowledge::Asked {
-                again_at: now + REPORT_LAG,
+            self.view_state = ViewState::Requested {
+                retry_at: now + REPORT_DELAY,
             };
         }
         due
@@ -224,20 +227,20 @@
         &mut self,
         now: Millis,
     ) -> Option<Millis> {
-        let wants = !self.has_order && self.wants_report(now);
+        let wants = !self.has_order && self.take_due_report(now);
         wants.then(|| self.report_due()).flatten()
     }
 
     /// When the next report is due, if one is needed.
     pub(super) fn report_due(&self) -> Option<Millis> {
-        match self.knowledge {
-            Knowledge::Sure => None,
-            Knowledge::Doubted { ask_at } => Some(ask_at.max(self.orders_from)),
-            Knowledge::Asked { again_at } => Some(again_at),
+        match self.view_state {
+            ViewState::Synced => None,
+            ViewState::Stale { request_at } => Some(request_at.max(self.orders_from)),
+            ViewState::Requested { retry_at } => Some(retry_at),
         }
     }
 
-    /// Whether a command can be sent now.
+    /// Whether an order can be sent now.
     pub(super) fn takes_orders(
         &self,
         now: Millis,
@@ -245,24 +248,24 @@
         !self.rests
             && !self.has_order
             && now >= self.orders_from
-            && self.knowledge == Knowledge::Sure
+            && self.view_state == ViewState::Synced
     }
 
-    /// Estimated time until a command can be sent; `None` if commands are stopped.
+    /// Estimated time until an order can be sent; `None` if orders are stopped.
     pub(super) fn order_wait(
         &self,
         now: Millis,
     ) -> Option<Millis> {
-        let answer = match self.knowledge {
-            _ if self.has_order => ORDER_TIME,
-            Knowledge::Sure => Millis::ZERO,
-            Knowledge::Doubted { ask_at } => ask_at.since(now) + ORDER_TIME,
-            Knowledge::Asked { .. } => ORDER_TIME,
+        let answer = match self.view_state {
+            _ if self.has_order => ORDER_LATENCY,
+            ViewState::Synced => Millis::ZERO,
+            ViewState::Stale { request_at } => request_at.since(now) + ORDER_LATENCY,
+            ViewState::Requested { .. } => ORDER_LATENCY,
         };
         (!self.rests).then(|| answer.max(self.orders_from.since(now)))
     }
 
-    /// Records that a command was sent.
+    /// Records that an order was sent.
     pub(super) const fn note_order(
         &mut self,
         now: Millis,
@@ -271,18 +274,18 @@
         self.ordered_at = now;
     }
 
-    /// Whether a report predates the last command.
+    /// Whether a report predates the last order.
     ///
-    /// A report that counts fewer commands is outdated only for a short time after the last
-    /// command. Later it is the view that is wrong: an engine may or may not count a command that
-    /// had no effect, and ignoring its reports would block its commands permanently.
-    pub(super) fn is_outdated(
+    /// A report that counts fewer orders is outdated only for a short time after the last
+    /// order. Later it is the view that is wrong: an engine may or may not count an order that
+    /// had no effect, and ignoring its reports would block its orders permanently.
+    pub(super) fn is_report_outdated(
         &self,
-        facts: &EngineFacts,
+        status: &EngineFacts,
         now: Millis,
     ) -> bool {
-        let counts_less = facts.seq.is_some_and(|seq| seq < self.seq);
-        counts_less && now.since(self.ordered_at) < REPORT_LAG
+        let counts_less = status.seq.is_some_and(|seq| seq < self.seq);
+        counts_less && now.since(self.ordered_at) < REPORT_DELAY
     }
 
     /// Whether one more request fits beside the assigned ones.
@@ -328,7 +331,7 @@
         &self,
         model: ModelId,
     ) -> bool {
-        self.places.len() < self.limits.adapter_slots && self.has_memory_for_one_more(model)
+        self.places.len() < self.limits.adapter_slots && self.has_memory_for(model)
     }
 
     /// Number of adapters being loaded.
@@ -336,16 +339,16 @@
         &self,
         now: Millis,
     ) -> usize {
-        let is_coming = |place: &&Place| matches!(place.state, PlaceState::Coming { ready_at, .. } if now < ready_at);
+        let is_coming = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, .. } if now < ready_at);
         self.places.iter().filter(is_coming).count()
     }
 
     /// Number of adapters being loaded from the adapter store.
-    pub(super) fn coming_cold(
+    pub(super) fn cold_loads(
         &self,
         now: Millis,
     ) -> usize {
-        let is_cold = |place: &&Place| matches!(place.state, PlaceState::Coming { ready_at, is_cold: true } if now < ready_at);
+        let is_cold = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, is_cold: true } if now < ready_at);
         self.places.iter().filter(is_cold).count()
     }
 
@@ -354,19 +357,19 @@
         &self,
         adapter: AdapterVersion,
     ) -> bool {
-        self.dropped.contains(&adapter)
+        self.recently_unloaded.contains(&adapter)
     }
 
     /// Whether any version of the adapter is resident or was unloaded recently.
-    pub(super) fn may_have(
+    pub(super) fn may_hold(
         &self,
         adapter: AdapterId,
     ) -> bool {
-        let is_kept = self
-            .dropped
+        let was_held = self
+            .recently_unloaded
             .iter()
             .any(|dropped| dropped.adapter == adapter);
-        is_kept || self.place_of(adapter).is_some()
+        was_held || self.place_of(adapter).is_some()
     }
 
     /// Number of assigned requests that use the adapter.
@@ -382,12 +385,12 @@
         &self,
         adapter: AdapterVersion,
     ) -> bool {
-        let is_unproven = self.place(adapter).is_some_and(Place::is_unproven);
-        is_unproven && self.users_of(adapter) > 0
+        let needs_probe = self.place(adapter).is_some_and(Place::needs_probe);
+        needs_probe && self.users_of(adapter) > 0
     }
 
     /// Records a request that uses the adapter.
-    pub(super) fn use_adapter(
+    pub(super) fn acquire_adapter(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
@@ -399,7 +402,7 @@
     }
 
     /// Records the end of a request that used the adapter.
-    pub(super) fn leave_adapter(
+    pub(super) fn release_adapter(
         &mut self,
         adapter: AdapterVersion,
     ) {
@@ -412,16 +415,16 @@
     }
 
     /// Removes a resident adapter and remembers it as recently unloaded.
-    pub(super) fn drop_place(
+    pub(super) fn remove_resident(
         &mut self,
         adapter: AdapterVersion,
-        kept_warm: usize,
+        warm_capacity: usize,
     ) {
         self.places.retain(|place| place.adapter != adapter);
-        self.dropped.retain(|&dropped| dropped != adapter);
-        self.dropped.push_back(adapter);
-        while self.dropped.len() > kept_warm {
-            self.dropped.pop_front();
+        self.recently_unloaded.retain(|&dropped| dropped != adapter);
+        self.recently_unloaded.push_back(adapter);
+        while self.recently_unloaded.len() > warm_capacity {
+            self.recently_unloaded.pop_front();
         }
     }
 
@@ -431,10 +434,10 @@
         adapter: AdapterVersion,
         now: Millis,
     ) {
-        self.late_loads += 1;
-        if self.late_loads >= LATE_LOADS {
-            self.late_loads = 0;
-            self.knowledge = Knowledge::Doubted { ask_at: now };
+        self.consecutive_late_loads += 1;
+        if self.consecutive_late_loads >= MAX_LATE_LOADS {
+            self.consecutive_late_loads = 0;
+            self.view_state = ViewState::Stale { request_at: now };
         }
         if let Some(place) = self.place_mut(adapter) {
             place.note_late(now);
@@ -446,29 +449,29 @@
         &mut self,
         adapter: AdapterVersion,
     ) {
-        self.late_loads = 0;
+        self.consecutive_late_loads = 0;
         if let Some(place) = self.place_mut(adapter)
-            && matches!(place.state, PlaceState::Coming { .. })
+            && matches!(place.state, ResidentState::Loading { .. })
         {
-            place.state = PlaceState::Present;
-            place.lates = 0;
+            place.state = ResidentState::Loaded;
+            place.late_count = 0;
         }
     }
 
-    /// When the engine accepted the command to load this adapter from the adapter store.
+    /// When the engine accepted the order to load this adapter from the adapter store.
     ///
-    /// `None` without an acceptance: such a command may be executed seconds later, which says
+    /// `None` without an acceptance: such an order may be executed seconds later, which says
     /// nothing about the speed of the store.
-    pub(super) fn cold_since(
+    pub(super) fn cold_load_accepted_at(
         &self,
         adapter: AdapterVersion,
     ) -> Option<Millis> {
         let place = self.place(adapter)?;
-        let is_cold = matches!(place.state, PlaceState::Coming { is_cold: true, .. });
+        let is_cold = matches!(place.state, ResidentState::Loading { is_cold: true, .. });
         place.accepted_at.filter(|_| is_cold)
     }
 
-    fn has_memory_for_one_more(
+    fn has_memory_for(
         &self,
         model: ModelId,
     ) -> bool {
@@ -485,7 +488,7 @@
             .filter_map(|place| size(place.model))
             .map(|&(_, _, mb)| mb)
             .sum();
-        let one_more = size(model).map_or(0.0, |&(_, _, mb)| mb);
-        weights + adapters + one_more <= self.limits.weights_mb
+        let added = size(model).map_or(0.0, |&(_, _, mb)| mb);
+        weights + adapters + added <= self.limits.weights_mb
     }
 }
--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -1,13 +1,13 @@
 use {
     super::{
         EngineFacts, EngineLimits, Job, LoadSettings, Outcome, UpstreamFacts,
-        backlog::Reading,
+        backlog::PrefillSample,
         choose::{MANY, PreferredEngines},
         engine::Engine,
         fleet_totals::FleetTotals,
         holders::Holders,
-        load_pace::LoadPace,
-        read_time::{ReadLine, ReadTime},
+        load_slowdown::LoadSlowdown,
+        prefill_estimator::{PrefillEstimator, PrefillTime},
         upstream::Upstream,
     },
     crate::{
@@ -28,11 +28,11 @@
     pub totals: FleetTotals,
     /// Engine capacity by service; services without an entry have no engines.
     engines: HashMap<ServiceId, EngineLimits>,
-    /// No commands to newly added engines before this time.
+    /// No orders to newly added engines before this time.
     pub orders_from: Millis,
     /// Prefill time estimators, by service.
-    read_times: HashMap<ServiceId, ReadTime>,
-    load_pace: LoadPace,
+    prefill_estimators: HashMap<ServiceId, PrefillEstimator>,
+    load_slowdown: LoadSlowdown,
 }
 
 impl Fleet {
@@ -60,42 +60,42 @@
     ) -> Option<Engine> {
         let limits = self.engines.get(&service)?;
         let mut engine = Engine::new(limits.clone());
-        engine.backlog.set_line(self.read_line(service));
+        engine.backlog.set_prefill_time(self.read_line(service));
         engine.orders_from = self.orders_from;
         Some(engine)
     }
 
     /// Adds or updates an upstream from its store entry.
     ///
-    /// `is_sole_orderer` means that no other scheduler sends commands; an up-to-date view is then
+    /// `is_only_scheduler` means that no other scheduler sends orders; an up-to-date view is then
     /// newer than the entry.
     pub(super) fn set(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
-        is_sole_orderer: bool,
+        status: &UpstreamFacts,
+        is_only_scheduler: bool,
         load: &LoadSettings,
         now: Millis,
     ) {
         if !self.upstreams.contains_key(&id) {
-            let engine = self.new_engine(facts.service);
+            let engine = self.new_engine(status.service);
             self.upstreams
-                .insert(id, Upstream::new(id, facts, engine, now));
-            self.join(id, facts.service);
+                .insert(id, Upstream::new(id, status, engine, now));
+            self.add_member(id, status.service);
         }
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
         let before = upstream.service;
-        upstream.update(facts, now);
-        if before != facts.service {
-            self.leave(id, before);
-            self.join(id, facts.service);
+        upstream.update(status, now);
+        if before != status.service {
+            self.remove_member(id, before);
+            self.add_member(id, status.service);
         }
-        self.take_holdings(id, facts, is_sole_orderer, load, now);
+        self.apply_entry_status(id, status, is_only_scheduler, load, now);
     }
 
-    fn join(
+    fn add_member(
         &mut self,
         id: UpstreamId,
         service: ServiceId,
@@ -107,7 +107,7 @@
         self.preferred.note_joined(id);
     }
 
-    fn leave(
+    fn remove_member(
         &mut self,
         id: UpstreamId,
         service: ServiceId,
@@ -118,28 +118,28 @@
         self.preferred.note_left();
     }
 
-    fn take_holdings(
+    fn apply_entry_status(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
-        is_sole_orderer: bool,
+        status: &UpstreamFacts,
+        is_only_scheduler: bool,
         load: &LoadSettings,
         now: Millis,
     ) {
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let (Some(engine), Some(said)) = (&mut upstream.engine, &facts.engine) else {
+        let (Some(engine), Some(engine_status)) = (&mut upstream.engine, &status.engine) else {
             return;
         };
-        if !is_sole_orderer || !matches!(engine.knowledge, super::engine::Knowledge::Sure) {
-            engine.adopt(said, load, now);
-            self.index_holdings(id);
+        if !is_only_scheduler || !matches!(engine.view_state, super::engine::ViewState::Synced) {
+            engine.apply_status(engine_status, load, now);
+            self.index_residents(id);
         } else {
-            engine.models.clone_from(&said.models);
+            engine.models.clone_from(&engine_status.models);
             if engine
                 .loading
-                .is_some_and(|model| said.models.contains(&model))
+                .is_some_and(|model| engine_status.models.contains(&model))
             {
                 engine.loading = None;
             }
@@ -150,27 +150,27 @@
     pub(super) fn report(
         &mut self,
         id: UpstreamId,
-        facts: &EngineFacts,
+        status: &EngineFacts,
         load: &LoadSettings,
         now: Millis,
     ) {
         let Some(engine) = self.engine_mut(id) else {
             return;
         };
-        // A report older than an accepted command would revert that command in the view.
-        if engine.is_outdated(facts, now) || engine.has_order {
+        // A report older than an accepted order would revert that order in the view.
+        if engine.is_report_outdated(status, now) || engine.has_order {
             engine.doubt(now);
             return;
         }
-        engine.adopt(facts, load, now);
-        engine.trust(now);
-        if facts.is_busy && engine.loading.is_none() {
+        engine.apply_status(status, load, now);
+        engine.mark_synced(now);
+        if status.is_busy && engine.loading.is_none() {
             engine.loading = engine.limits.models.first().map(|&(model, ..)| model);
         }
-        self.index_holdings(id);
+        self.index_residents(id);
     }
 
-    fn index_holdings(
+    fn index_residents(
         &mut self,
         id: UpstreamId,
     ) {
@@ -193,7 +193,7 @@
         let upstreams = &self.upstreams;
         let holds = |listed: UpstreamId| {
             let engine = upstreams.get(&listed).and_then(|up| up.engine.as_ref());
-            engine.is_some_and(|engine| engine.may_have(adapter))
+            engine.is_some_and(|engine| engine.may_hold(adapter))
         };
         self.holders.add(adapter, id, holds);
     }
@@ -264,7 +264,7 @@
         id: UpstreamId,
     ) {
         if let Some(upstream) = self.upstreams.remove(&id) {
-            self.leave(id, upstream.service);
+            self.remove_member(id, upstream.service);
         }
     }
 
@@ -310,8 +310,8 @@
         if !self.totals.is_due(self.upstreams.len(), now) {
             return;
         }
-        if self.totals.lines_changed {
-            self.spread_lines();
+        if self.totals.prefill_times_changed {
+            self.copy_prefill_times();
         }
         self.totals = FleetTotals::of(self.upstreams.values(), now);
     }
@@ -328,34 +328,34 @@
     pub(super) fn read_line(
         &self,
         service: ServiceId,
-    ) -> ReadLine {
-        let known = self.read_times.get(&service).copied();
-        known.unwrap_or_default().line()
+    ) -> PrefillTime {
+        let known = self.prefill_estimators.get(&service).copied();
+        known.unwrap_or_default().prefill_time()
     }
 
     /// Records a measured prefill time.
     pub(super) fn note_reading(
         &mut self,
         service: ServiceId,
-        reading: Reading,
+        sample: PrefillSample,
     ) {
-        let read_time = self.read_times.entry(service).or_default();
-        read_time.note(reading.tokens, reading.took);
-        self.totals.lines_changed = true;
+        let prefill_estimator = self.prefill_estimators.entry(service).or_default();
+        prefill_estimator.note(sample.tokens, sample.took);
+        self.totals.prefill_times_changed = true;
     }
 
     /// Copies the prefill time model of each service to its engines.
-    fn spread_lines(&mut self) {
-        let lines: HashMap<ServiceId, ReadLine> = self
-            .read_times
+    fn copy_prefill_times(&mut self) {
+        let prefill_times: HashMap<ServiceId, PrefillTime> = self
+            .prefill_estimators
             .iter()
-            .map(|(&service, read_time)| (service, read_time.line()))
+            .map(|(&service, prefill_estimator)| (service, prefill_estimator.prefill_time()))
             .collect();
         for upstream in self.upstreams.values_mut() {
-            if let (Some(engine), Some(&line)) =
-                (&mut upstream.engine, lines.get(&upstream.service))
+            if let (Some(engine), Some(&prefill_time)) =
+                (&mut upstream.engine, prefill_times.get(&upstream.service))
             {
-                engine.backlog.set_line(line);
+                engine.backlog.set_prefill_time(prefill_time);
             }
         }
     }
@@ -364,11 +364,11 @@
     ///
     /// The adapter store's throughput grows with the number of engines; the setting is the lower
     /// bound.
-    fn loads_at_once(
+    fn max_concurrent_cold_loads(
         &self,
         load: &LoadSettings,
     ) -> u64 {
-        u64::from(load.at_once.max(1)).max(self.totals.engines as u64 * 4 / 9)
+        u64::from(load.max_concurrent_cold.max(1)).max(self.totals.engines as u64 * 4 / 9)
     }
 
     /// Expected duration of a cold load that starts now.
@@ -377,20 +377,20 @@
         load: &LoadSettings,
         now: Millis,
     ) -> Millis {
-        let expected = self.settings_time(load).0 as f64;
-        Millis((expected * self.load_pace.factor(now)) as u64)
+        let expected = self.nominal_cold_time(load).0 as f64;
+        Millis((expected * self.load_slowdown.factor(now)) as u64)
     }
 
     /// Duration of a cold load at the store speed given in the settings.
     ///
     /// It grows in proportion to the loads beyond those that the store serves at full speed.
-    fn settings_time(
+    fn nominal_cold_time(
         &self,
         load: &LoadSettings,
     ) -> Millis {
-        let crowd = self.totals.coming_cold as u64 + 1;
-        let at_once = self.loads_at_once(load);
-        Millis(load.cold.0 * crowd.max(at_once) / at_once)
+        let concurrent_loads = self.totals.cold_loads as u64 + 1;
+        let max_concurrent_cold = self.max_concurrent_cold_loads(load);
+        Millis(load.cold.0 * concurrent_loads.max(max_concurrent_cold) / max_concurrent_cold)
     }
 
     /// Records that a request was assigned.
@@ -410,7 +410,7 @@
             engine.kv_used += tokens.total;
             engine.backlog.push(request, tokens.unread, now);
             if let Some(adapter) = adapter {
-                engine.use_adapter(adapter, now);
+                engine.acquire_adapter(adapter, now);
             }
         }
     }
@@ -432,7 +432,7 @@
             engine.kv_used = engine.kv_used.saturating_sub(total);
             engine.backlog.remove(request, now);
             if let Some(adapter) = adapter {
-                engine.leave_adapter(adapter);
+                engine.release_adapter(adapter);
             }
         }
     }
@@ -446,23 +446,26 @@
         load: &LoadSettings,
         now: Millis,
     ) {
-        let expected = self.settings_time(load);
+        let expected = self.nominal_cold_time(load);
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let cold_since = adapter.and_then(|adapter| upstream.engine.as_ref()?.cold_since(adapter));
-        if let (Some(since), Outcome::Shed | Outcome::NotLoaded) = (cold_since, outcome) {
-            self.load_pace.note_late(now.since(since), expected, now);
+        let cold_load_accepted_at =
+            adapter.and_then(|adapter| upstream.engine.as_ref()?.cold_load_accepted_at(adapter));
+        if let (Some(since), Outcome::Shed | Outcome::NotLoaded) = (cold_load_accepted_at, outcome)
+        {
+            self.load_slowdown
+                .note_late(now.since(since), expected, now);
         }
         match outcome {
             Outcome::Answered { took } => {
-                upstream.health.answered(now);
+                upstream.health.note_success(now);
                 upstream.note_call(took);
             }
             // An engine also sheds requests for an adapter that is still loading.
             Outcome::Shed if upstream.is_loading(adapter) => upstream.note_late(adapter, now),
-            Outcome::Failed | Outcome::Shed | Outcome::Lost => upstream.health.failed(now),
-            Outcome::Unreachable | Outcome::Silent => upstream.health.missed(now),
+            Outcome::Failed | Outcome::Shed | Outcome::Lost => upstream.health.note_failure(now),
+            Outcome::Unreachable | Outcome::Silent => upstream.health.note_unreachable(now),
             // Another upstream has taken over the address; not used until its store entry changes.
             Outcome::OtherUpstream => upstream.is_ready = false,
             Outcome::Abandoned => {}
--- a/crates/core/src/scheduler/fleet_totals.rs
+++ b/crates/core/src/scheduler/fleet_totals.rs
@@ -5,22 +5,22 @@
 };
 
 /// Upstreams per millisecond of refresh interval, which bounds the time spent on the totals.
-const SUMMED_PER_MS: u64 = 64;
+const UPSTREAMS_PER_MS: u64 = 64;
 
 /// Totals over all upstreams, cached because recomputing them for each decision is too slow.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetTotals {
-    at: Option<Millis>,
+    updated_at: Option<Millis>,
     /// Number of engines.
     pub engines: usize,
     /// Number of adapters being loaded from the adapter store.
-    pub coming_cold: usize,
+    pub cold_loads: usize,
     /// When the next engine report is due.
     pub next_report: Option<Millis>,
     /// When the next adapter load is expected to finish.
     pub next_load: Option<Millis>,
     /// Whether prefill time models have changed since they were copied to the engines.
-    pub lines_changed: bool,
+    pub prefill_times_changed: bool,
     capacity: HashMap<ServiceId, f64>,
 }
 
@@ -34,7 +34,7 @@
         I: Iterator<Item = &'a Upstream>,
     {
         let mut totals = Self {
-            at: Some(now),
+            updated_at: Some(now),
             ..Self::default()
         };
         for up in upstreams {
@@ -55,7 +55,7 @@
             return;
         };
         self.engines += 1;
-        self.coming_cold += engine.coming_cold(now);
+        self.cold_loads += engine.cold_loads(now);
         let loads = engine
             .places
             .iter()
@@ -76,12 +76,13 @@
         upstreams: usize,
         now: Millis,
     ) -> bool {
-        self.at.is_none_or(|at| now >= at + Self::pause(upstreams))
+        self.updated_at
+            .is_none_or(|updated_at| now >= updated_at + Self::pause(upstreams))
     }
 
     /// Time between two recomputations, for this number of upstreams.
     pub(super) const fn pause(upstreams: usize) -> Millis {
-        Millis(upstreams as u64 / SUMMED_PER_MS)
+        Millis(upstreams as u64 / UPSTREAMS_PER_MS)
     }
 
     /// Throughput of a service per millisecond: prompt tokens on engines, otherwise calls.
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -3,11 +3,11 @@
 /// Half-life of recorded successes and failures.
 const HALF_LIFE: Millis = Millis(3_000);
 /// Assumed earlier successes, so that a single failure doesn't give a failure rate of 1.
-const PRIOR: f64 = 4.0;
+const PRIOR_SUCCESSES: f64 = 4.0;
 /// Pause after the first failed connection; doubled with each further one.
-const FIRST_PAUSE: Millis = Millis(200);
+const MIN_PAUSE: Millis = Millis(200);
 /// Upper bound of the pause, and so of the delay in noticing a recovery.
-const MOST_PAUSE: Millis = Millis(1_600);
+const MAX_PAUSE: Millis = Millis(1_600);
 
 /// Recent health of an upstream, measured by the outcomes of its requests.
 ///
@@ -16,21 +16,21 @@
 pub(super) struct Health {
     failed: Decayed,
     answered: Decayed,
-    misses: u32,
+    consecutive_failures: u32,
     paused_until: Millis,
 }
 
 impl Health {
-    pub(super) fn answered(
+    pub(super) fn note_success(
         &mut self,
         now: Millis,
     ) {
         self.answered.add(1.0, now, HALF_LIFE);
-        self.misses = 0;
+        self.consecutive_failures = 0;
         self.paused_until = Millis::ZERO;
     }
 
-    pub(super) fn failed(
+    pub(super) fn note_failure(
         &mut self,
         now: Millis,
     ) {
@@ -38,13 +38,13 @@
     }
 
     /// Records a connection failure or a timeout; pauses the upstream.
-    pub(super) fn missed(
+    pub(super) fn note_unreachable(
         &mut self,
         now: Millis,
     ) {
-        self.failed(now);
-        let pause = Millis(FIRST_PAUSE.0 << self.misses.min(8)).min(MOST_PAUSE);
-        self.misses += 1;
+        self.note_failure(now);
+        let pause = Millis(MIN_PAUSE.0 << self.consecutive_failures.min(8)).min(MAX_PAUSE);
+        self.consecutive_failures += 1;
         self.paused_until = now + pause;
     }
 
@@ -62,6 +62,6 @@
         now: Millis,
     ) -> f64 {
         let failed = self.failed.get(now, HALF_LIFE);
-        failed / (failed + self.answered.get(now, HALF_LIFE) + PRIOR)
+        failed / (failed + self.answered.get(now, HALF_LIFE) + PRIOR_SUCCESSES)
     }
 }
--- a/crates/core/src/scheduler/holders.rs
+++ b/crates/core/src/scheduler/holders.rs
@@ -4,7 +4,7 @@
 };
 
 /// Minimum length of a list before it is pruned.
-const MIN_PRUNED: usize = 8;
+const MIN_PRUNE_LEN: usize = 8;
 
 /// Index of the engines that may hold an adapter or have unloaded it recently.
 ///
@@ -28,7 +28,7 @@
         let Err(at) = engines.binary_search(&engine) else {
             return;
         };
-        if engines.len() < MIN_PRUNED || engines.len() < engines.capacity() {
+        if engines.len() < MIN_PRUNE_LEN || engines.len() < engines.capacity() {
             engines.insert(at, engine);
             return;
         }
--- a/crates/core/src/scheduler/load_pace.rs
+++ b/crates/core/src/scheduler/load_slowdown.rs
@@ -1,9 +1,9 @@
 use crate::clock::Millis;
 
 /// Margin on the observed time, because the load was not finished by then.
-const BEYOND: f64 = 1.1;
+const MARGIN_FACTOR: f64 = 1.1;
 /// Upper bound of the factor: late loads may have other causes.
-const MAX: f64 = 3.0;
+const MAX_FACTOR: f64 = 3.0;
 /// Half-life of an observed slowdown.
 const HALF_LIFE: Millis = Millis(6_000);
 
@@ -12,13 +12,13 @@
 /// After a restart, hundreds of adapters are loaded at once. Requests sent before their adapter is
 /// loaded are rejected by the engine and use up the retry budget.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct LoadPace {
-    /// Slowdown factor minus one, at `seen_at`.
-    slower: f64,
-    seen_at: Millis,
+pub(super) struct LoadSlowdown {
+    /// Slowdown factor minus one, at `observed_at`.
+    excess: f64,
+    observed_at: Millis,
 }
 
-impl LoadPace {
+impl LoadSlowdown {
     /// Records a load that was expected to take `expected` and was not finished after `elapsed`.
     pub(super) fn note_late(
         &mut self,
@@ -26,10 +26,10 @@
         expected: Millis,
         now: Millis,
     ) {
-        let seen = elapsed.0 as f64 / expected.0.max(1) as f64 * BEYOND;
-        let factor = seen.clamp(1.0, MAX).max(self.factor(now));
-        self.slower = factor - 1.0;
-        self.seen_at = now;
+        let observed = elapsed.0 as f64 / expected.0.max(1) as f64 * MARGIN_FACTOR;
+        let factor = observed.clamp(1.0, MAX_FACTOR).max(self.factor(now));
+        self.excess = factor - 1.0;
+        self.observed_at = now;
     }
 
     /// The slowdown factor, at least 1.
@@ -37,7 +37,7 @@
         self,
         now: Millis,
     ) -> f64 {
-        let halvings = now.since(self.seen_at).0 as f64 / HALF_LIFE.0 as f64;
-        1.0 + self.slower * (-halvings).exp2()
+        let halvings = now.since(self.observed_at).0 as f64 / HALF_LIFE.0 as f64;
+        1.0 + self.excess * (-halvings).exp2()
     }
 }
--- a/crates/core/src/scheduler/loads.rs
+++ b/crates/core/src/scheduler/loads.rs
@@ -1,4 +1,4 @@
-//! Commands that load and unload adapters, and loads of base models.
+//! Orders that load and unload adapters, and loads of base models.
 
 use {
     super::{
@@ -6,7 +6,7 @@
         choose::LoadPlan,
         engine::Engine,
         fleet::Fleet,
-        place::{Place, PlaceState},
+        place::{Place, ResidentState},
         version_book::VersionBook,
     },
     crate::{
@@ -17,11 +17,11 @@
 };
 
 /// Sliding window in which base model loads are counted.
-const WINDOW: Millis = Millis::from_secs(5);
-/// Share of the allowed load rate to use, in percent; loads start some time after their commands.
-const USED_PERCENT: f64 = 90.0;
+const LOAD_WINDOW: Millis = Millis::from_secs(5);
+/// Share of the allowed load rate to use, in percent; loads start some time after their orders.
+const LOAD_RATE_PERCENT: f64 = 90.0;
 
-/// Recent commands to load base models.
+/// Recent orders to load base models.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelLoads {
     ordered: VecDeque<Millis>,
@@ -39,7 +39,7 @@
         while self
             .ordered
             .front()
-            .is_some_and(|&at| now.since(at) >= WINDOW)
+            .is_some_and(|&at| now.since(at) >= LOAD_WINDOW)
         {
             self.ordered.pop_front();
         }
@@ -48,7 +48,8 @@
             let Some(engine) = &mut up.engine else {
                 continue;
             };
-            let allowed = engine.limits.loads_per_s * WINDOW.as_secs_f64() * USED_PERCENT / 100.0;
+            let allowed =
+                engine.limits.loads_per_s * LOAD_WINDOW.as_secs_f64() * LOAD_RATE_PERCENT / 100.0;
             if engine.models.is_empty()
                 && engine.loading.is_none()
                 && engine.takes_orders(now)
@@ -97,14 +98,14 @@
     let order = if let Some(evicted) = plan.evict {
         engine.reserved = Some((plan.model, plan.adapter));
         let place = engine.place_mut(evicted)?;
-        place.state = PlaceState::Going;
+        place.state = ResidentState::Unloading;
         Order::Unload {
             model: place.model,
             adapter: evicted,
         }
     } else {
         let order = load_order(engine, versions, plan, load, load_time, now);
-        fleet.totals.coming_cold += usize::from(is_cold);
+        fleet.totals.cold_loads += usize::from(is_cold);
         order
     };
     fleet.note_holder(plan.adapter.adapter, plan.upstream);
@@ -120,12 +121,12 @@
     versions: &VersionBook,
     plan: &LoadPlan,
     load: &LoadSettings,
-    cold: Millis,
+    cold_time: Millis,
     now: Millis,
 ) -> Order {
     let is_cold = !engine.keeps_warm(plan.adapter);
-    let takes = if is_cold { cold } else { load.warm };
-    let state = PlaceState::Coming {
+    let takes = if is_cold { cold_time } else { load.warm };
+    let state = ResidentState::Loading {
         ready_at: now + takes,
         is_cold,
     };
@@ -142,7 +143,9 @@
     }
 }
 
-/// Handles the response to a command; returns the load that follows a completed eviction.
+/// Handles the response to an order; returns the next order, if any.
+///
+/// That is a retry, or the load that follows a completed eviction.
 pub(super) fn order_ended(
     fleet: &mut Fleet,
     versions: &VersionBook,
@@ -152,13 +155,13 @@
     load: &LoadSettings,
     now: Millis,
 ) -> Option<SchedulerAction> {
-    let cold = fleet.cold_time(load, now);
+    let cold_time = fleet.cold_time(load, now);
     let engine = fleet.engine_mut(upstream)?;
     engine.has_order = false;
     engine.ordered_at = now;
-    if end == OrderEnd::Lost && !std::mem::replace(&mut engine.has_repeated, true) {
+    if end == OrderEnd::Lost && !std::mem::replace(&mut engine.has_retried_order, true) {
         // Retry at once. If the retry is accepted, the engine's sequence number has advanced, and
-        // the first command is rejected whenever it arrives.
+        // the first order is rejected whenever it arrives.
         engine.note_order(now);
         let after_seq = engine.seq;
         return Some(SchedulerAction::Order {
@@ -167,11 +170,11 @@
             after_seq,
         });
     }
-    // A rejected command had no effect, unless it was the retry of one that was accepted.
-    let is_void = !std::mem::replace(&mut engine.has_repeated, false)
+    // A rejected order had no effect, unless it was the retry of one that was accepted.
+    let had_no_effect = !std::mem::replace(&mut engine.has_retried_order, false)
         && matches!(end, OrderEnd::Conflict | OrderEnd::Refused);
-    if is_void {
-        undo(engine, order);
+    if had_no_effect {
+        revert(engine, order);
     }
     let reserved = engine.reserved.take();
     match (order, end) {
@@ -180,27 +183,27 @@
             let takes = if engine.keeps_warm(adapter) {
                 load.warm
             } else {
-                cold
+                cold_time
             };
             if let Some(place) = engine.place_mut(adapter)
-                && let PlaceState::Coming { is_cold, .. } = place.state
+                && let ResidentState::Loading { is_cold, .. } = place.state
             {
                 let ready_at = now + takes;
-                place.state = PlaceState::Coming { ready_at, is_cold };
+                place.state = ResidentState::Loading { ready_at, is_cold };
                 place.accepted_at = Some(now);
             }
         }
         (Order::Load { adapter, .. }, OrderEnd::Holds) => engine.note_ready(adapter),
         (Order::Unload { adapter, .. }, OrderEnd::Holds) => {
             engine.seq += 1;
-            engine.drop_place(adapter, load.kept_warm);
-            return follow(engine, versions, upstream, reserved, load, cold, now);
+            engine.remove_resident(adapter, load.warm_capacity);
+            return load_reserved(engine, versions, upstream, reserved, load, cold_time, now);
         }
         // A request unknown to this scheduler still uses the adapter; it is unloaded when that
         // ends.
         (Order::Unload { adapter, .. }, OrderEnd::Accepted) => {
             engine.seq += 1;
-            engine.going = Some(adapter);
+            engine.unloading = Some(adapter);
             engine.doubt(now);
         }
         (Order::LoadModel(_), OrderEnd::Accepted) => engine.seq += 1,
@@ -214,13 +217,13 @@
             }
         }
         (order, OrderEnd::Unsent) => {
-            undo(engine, order);
+            revert(engine, order);
             engine.doubt(now);
             if let Some(up) = fleet.upstreams.get_mut(&upstream) {
-                up.health.missed(now);
+                up.health.note_unreachable(now);
             }
         }
-        // The command may have been executed, or may still be.
+        // The order may have been executed, or may still be.
         (Order::LoadModel(_), _) => {
             engine.loading = None;
             engine.doubt(now);
@@ -230,8 +233,8 @@
     None
 }
 
-/// Reverts the view for a command that had no effect.
-fn undo(
+/// Reverts the view for an order that had no effect.
+fn revert(
     engine: &mut Engine,
     order: Order,
 ) {
@@ -239,20 +242,20 @@
         Order::Load { adapter, .. } => engine.places.retain(|place| place.adapter != adapter),
         Order::Unload { adapter, .. } => {
             if let Some(place) = engine.place_mut(adapter) {
-                place.state = PlaceState::Present;
+                place.state = ResidentState::Loaded;
             }
         }
         Order::LoadModel(_) => engine.loading = None,
     }
 }
 
-fn follow(
+fn load_reserved(
     engine: &mut Engine,
     versions: &VersionBook,
     upstream: UpstreamId,
     reserved: Option<(ModelId, crate::ids::AdapterVersion)>,
     load: &LoadSettings,
-    cold: Millis,
+    cold_time: Millis,
     now: Millis,
 ) -> Option<SchedulerAction> {
     let (model, adapter) = reserved?;
@@ -269,7 +272,7 @@
     let after_seq = engine.seq;
     Some(SchedulerAction::Order {
         upstream,
-        order: load_order(engine, versions, &plan, load, cold, now),
+        order: load_order(engine, versions, &plan, load, cold_time, now),
         after_seq,
     })
 }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -3,7 +3,7 @@
 //! One VM is elected through the store and decides for all VMs of a deployment. Each VM asks it
 //! before forwarding a request and reports the outcome. Decisions therefore see the whole load: an
 //! account's rate is one token bucket, and an adapter is evicted only when no request uses it.
-//! Every VM also runs a standby with a share of the rate limits, which sends no commands to engines
+//! Every VM also runs a standby with a share of the rate limits, which sends no orders to engines
 //! and decides for its own requests while there is no scheduler.
 //!
 //! Time to first token is dominated by prefill, by the few adapter slots of an engine, and by
@@ -23,14 +23,14 @@
 mod health;
 mod holders;
 mod job;
-mod load_pace;
+mod load_slowdown;
 mod loads;
+mod local_usage;
 mod machine;
 mod outcome;
-mod own_use;
 mod place;
+mod prefill_estimator;
 mod prefix_cache;
-mod read_time;
 mod repeat_budget;
 mod report_line;
 mod rights;
--- a/crates/core/src/scheduler/outcome.rs
+++ b/crates/core/src/scheduler/outcome.rs
@@ -26,29 +26,29 @@
     Abandoned,
 }
 
-/// How a command to an engine ended.
+/// How an order to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// The engine is executing the command.
+    /// The engine is executing the order.
     Accepted,
-    /// The commanded state is already in effect.
+    /// The requested state is already in effect.
     Holds,
     /// The sequence number doesn't match, or the engine is busy.
     Conflict,
-    /// The engine rejected the command for another reason.
+    /// The engine rejected the order for another reason.
     Refused,
     /// The address belongs to another upstream.
     OtherUpstream,
-    /// The command was sent and got no response; it may be executed, even later.
+    /// The order was sent and got no response; it may be executed, even later.
     Lost,
-    /// The command was not sent.
+    /// The order was not sent.
     Unsent,
 }
 
-/// Engines that get no more commands before leadership is handed over.
+/// Engines that get no more orders before leadership is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rest {
-    /// Every second engine, so that the next scheduler can command these at once.
+    /// Every second engine, so that the next scheduler can order these at once.
     EverySecond,
     /// All engines.
     All,
--- a/crates/core/src/scheduler/place.rs
+++ b/crates/core/src/scheduler/place.rs
@@ -9,23 +9,23 @@
 
 /// Delay before a late load is checked again, doubled each time, and the maximum number of
 /// doublings.
-const LATE_LOAD: Millis = Millis(40);
-const MOST_DOUBLED: u32 = 4;
+const LATE_LOAD_DELAY: Millis = Millis(40);
+const MAX_DELAY_DOUBLINGS: u32 = 4;
 
 /// State of an adapter on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PlaceState {
+pub(super) enum ResidentState {
     /// Being loaded.
-    Coming {
+    Loading {
         /// When the load is expected to finish.
         ready_at: Millis,
         /// Whether it is loaded from the adapter store.
         is_cold: bool,
     },
     /// Loaded.
-    Present,
+    Loaded,
     /// Being unloaded.
-    Going,
+    Unloading,
 }
 
 /// An adapter that occupies one of an engine's adapter slots.
@@ -33,12 +33,12 @@
 pub(super) struct Place {
     pub model: ModelId,
     pub adapter: AdapterVersion,
-    pub state: PlaceState,
+    pub state: ResidentState,
     /// Recent requests, decayed.
     pub demand: Decayed,
     /// Requests rejected since the adapter was last known to be loaded.
-    pub lates: u32,
-    /// When the engine accepted the command to load it.
+    pub late_count: u32,
+    /// When the engine accepted the order to load it.
     pub accepted_at: Option<Millis>,
 }
 
@@ -46,14 +46,14 @@
     pub(super) fn new(
         model: ModelId,
         adapter: AdapterVersion,
-        state: PlaceState,
+        state: ResidentState,
     ) -> Self {
         Self {
             model,
             adapter,
             state,
             demand: Decayed::default(),
-            lates: 0,
+            late_count: 0,
             accepted_at: None,
         }
     }
@@ -64,9 +64,9 @@
         now: Millis,
     ) -> bool {
         match self.state {
-            PlaceState::Present => true,
-            PlaceState::Coming { ready_at, .. } => now >= ready_at,
-            PlaceState::Going => false,
+            ResidentState::Loaded => true,
+            ResidentState::Loading { ready_at, .. } => now >= ready_at,
+            ResidentState::Unloading => false,
         }
     }
 
@@ -75,18 +75,18 @@
         &mut self,
         now: Millis,
     ) {
-        let is_cold = matches!(self.state, PlaceState::Coming { is_cold: true, .. });
-        let ready_at = now + Millis(LATE_LOAD.0 << self.lates.min(MOST_DOUBLED));
-        self.state = PlaceState::Coming { ready_at, is_cold };
-        self.lates += 1;
+        let is_cold = matches!(self.state, ResidentState::Loading { is_cold: true, .. });
+        let ready_at = now + Millis(LATE_LOAD_DELAY.0 << self.late_count.min(MAX_DELAY_DOUBLINGS));
+        self.state = ResidentState::Loading { ready_at, is_cold };
+        self.late_count += 1;
     }
 
     /// Whether a single request must confirm the load before others are sent.
     ///
     /// Otherwise a late load would cause many rejections, whose retries use up the service's retry
     /// budget.
-    pub(super) const fn is_unproven(&self) -> bool {
-        self.lates > 0 && matches!(self.state, PlaceState::Coming { .. })
+    pub(super) const fn needs_probe(&self) -> bool {
+        self.late_count > 0 && matches!(self.state, ResidentState::Loading { .. })
     }
 
     /// Expected time until requests can be sent to it; `None` while it is being unloaded.
@@ -95,9 +95,9 @@
         now: Millis,
     ) -> Option<Millis> {
         match self.state {
-            PlaceState::Present => Some(Millis::ZERO),
-            PlaceState::Coming { ready_at, .. } => Some(ready_at.since(now)),
-            PlaceState::Going => None,
+            ResidentState::Loaded => Some(Millis::ZERO),
+            ResidentState::Loading { ready_at, .. } => Some(ready_at.since(now)),
+            ResidentState::Unloading => None,
         }
     }
 }
--- a/crates/core/src/scheduler/read_time.rs
+++ b/crates/core/src/scheduler/prefill_estimator.rs
@@ -2,28 +2,28 @@
 
 /// Initial samples of prompt tokens and prefill milliseconds; slow enough that the first requests
 /// are spread over engines.
-const ASSUMED: [(f64, f64); 2] = [(400.0, 30.0), (4_000.0, 250.0)];
+const INITIAL_SAMPLES: [(f64, f64); 2] = [(400.0, 30.0), (4_000.0, 250.0)];
 /// Weight of each initial sample.
-const ASSUMED_WEIGHT: f64 = 2.0;
+const INITIAL_SAMPLE_WEIGHT: f64 = 2.0;
 /// Decay of earlier samples with each new one, for a memory of about 60 samples.
-const MEMORY: f64 = 1.0 - 1.0 / 60.0;
+const SAMPLE_DECAY: f64 = 1.0 - 1.0 / 60.0;
 /// Bounds of one sample relative to the estimate, to limit the effect of stalls.
-const RANGE: (f64, f64) = (0.2, 4.0);
+const SAMPLE_BOUNDS: (f64, f64) = (0.2, 4.0);
 /// Lower bound of the slope in milliseconds; prompts of equal length don't determine one.
-const LEAST_PER_TOKEN: f64 = 0.002;
+const MIN_MS_PER_TOKEN: f64 = 0.002;
 
 /// Linear model of prefill time: a fixed part and a part per token.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct ReadLine {
+pub(super) struct PrefillTime {
     /// Fixed part, in milliseconds.
     pub fixed_ms: f64,
     /// Milliseconds per token.
     pub per_token_ms: f64,
     /// Mean prompt length, in tokens.
-    pub usual_tokens: f64,
+    pub typical_tokens: f64,
 }
 
-impl ReadLine {
+impl PrefillTime {
     /// Expected prefill time, in milliseconds.
     pub(super) fn time_for(
         self,
@@ -37,7 +37,7 @@
 
     /// Prefill throughput for prompts of mean length, in tokens per millisecond.
     pub(super) fn tokens_per_ms(self) -> f64 {
-        self.usual_tokens / self.time_for(self.usual_tokens).max(f64::MIN_POSITIVE)
+        self.typical_tokens / self.time_for(self.typical_tokens).max(f64::MIN_POSITIVE)
     }
 }
 
@@ -47,7 +47,7 @@
 /// avoided for it. The fixed part keeps short prompts from making an engine look slow for long
 /// ones.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReadTime {
+pub(super) struct PrefillEstimator {
     weight: f64,
     tokens: f64,
     ms: f64,
@@ -55,57 +55,59 @@
     tokens_ms: f64,
 }
 
-impl Default for ReadTime {
+impl Default for PrefillEstimator {
     fn default() -> Self {
-        let nothing = Self {
+        let empty = Self {
             weight: 0.0,
             tokens: 0.0,
             ms: 0.0,
             tokens_squared: 0.0,
             tokens_ms: 0.0,
         };
-        ASSUMED.into_iter().fold(nothing, |sums, (tokens, ms)| {
-            sums.with(tokens, ms, ASSUMED_WEIGHT)
-        })
+        INITIAL_SAMPLES
+            .into_iter()
+            .fold(empty, |sums, (tokens, ms)| {
+                sums.with(tokens, ms, INITIAL_SAMPLE_WEIGHT)
+            })
     }
 }
 
-impl ReadTime {
+impl PrefillEstimator {
     /// Adds a measured prefill time.
     pub(super) fn note(
         &mut self,
         tokens: f64,
         took: Millis,
     ) {
-        let expected = self.line().time_for(tokens);
-        let ms = (took.0 as f64).clamp(expected * RANGE.0, expected * RANGE.1);
-        let faded = Self {
-            weight: self.weight * MEMORY,
-            tokens: self.tokens * MEMORY,
-            ms: self.ms * MEMORY,
-            tokens_squared: self.tokens_squared * MEMORY,
-            tokens_ms: self.tokens_ms * MEMORY,
+        let expected = self.prefill_time().time_for(tokens);
+        let ms = (took.0 as f64).clamp(expected * SAMPLE_BOUNDS.0, expected * SAMPLE_BOUNDS.1);
+        let decayed = Self {
+            weight: self.weight * SAMPLE_DECAY,
+            tokens: self.tokens * SAMPLE_DECAY,
+            ms: self.ms * SAMPLE_DECAY,
+            tokens_squared: self.tokens_squared * SAMPLE_DECAY,
+            tokens_ms: self.tokens_ms * SAMPLE_DECAY,
         };
-        *self = faded.with(tokens, ms, 1.0);
+        *self = decayed.with(tokens, ms, 1.0);
     }
 
     /// Least-squares fit through the samples; slope and intercept are not negative.
-    pub(super) fn line(&self) -> ReadLine {
+    pub(super) fn prefill_time(&self) -> PrefillTime {
         let mean_tokens = self.tokens / self.weight;
         let mean_ms = self.ms / self.weight;
         let variance = self.tokens_squared / self.weight - mean_tokens * mean_tokens;
         let covariance = self.tokens_ms / self.weight - mean_tokens * mean_ms;
-        let steepest = mean_ms / mean_tokens.max(1.0);
+        let max_slope = mean_ms / mean_tokens.max(1.0);
         let slope = if variance > 0.0 {
             covariance / variance
         } else {
-            steepest
+            max_slope
         };
-        let per_token_ms = slope.clamp(LEAST_PER_TOKEN.min(steepest), steepest);
-        ReadLine {
+        let per_token_ms = slope.clamp(MIN_MS_PER_TOKEN.min(max_slope), max_slope);
+        PrefillTime {
             fixed_ms: mean_ms - per_token_ms * mean_tokens,
             per_token_ms,
-            usual_tokens: mean_tokens,
+            typical_tokens: mean_tokens,
         }
     }
 
--- a/crates/core/src/scheduler/prefix_cache.rs
+++ b/crates/core/src/scheduler/prefix_cache.rs
@@ -4,14 +4,14 @@
 };
 
 /// Upper bound of parts tracked per engine, above what its KV cache holds.
-const MOST_PARTS: usize = 512;
+const MAX_PARTS: usize = 512;
 /// Time after its last use at which a part counts as evicted from the KV cache.
-const KEPT: Millis = Millis(15_000);
+const PART_TTL: Millis = Millis(15_000);
 
 /// Estimate of the prompt prefixes in an engine's KV cache, from the prompts sent to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefixCache {
-    used: HashMap<(Option<AdapterId>, u64), Millis>,
+    last_used_at: HashMap<(Option<AdapterId>, u64), Millis>,
 }
 
 impl PrefixCache {
@@ -25,8 +25,8 @@
         parts
             .iter()
             .take_while(|part| {
-                let used = self.used.get(&(adapter, part.id));
-                used.is_some_and(|&at| now.since(at) < KEPT)
+                let last_used_at = self.last_used_at.get(&(adapter, part.id));
+                last_used_at.is_some_and(|&at| now.since(at) < PART_TTL)
             })
             .map(|part| part.tokens)
             .sum()
@@ -40,13 +40,13 @@
         now: Millis,
     ) {
         for part in parts {
-            self.used.insert((adapter, part.id), now);
+            self.last_used_at.insert((adapter, part.id), now);
         }
-        if self.used.len() > MOST_PARTS {
-            self.used.retain(|_, at| now.since(*at) < KEPT);
+        if self.last_used_at.len() > MAX_PARTS {
+            self.last_used_at.retain(|_, at| now.since(*at) < PART_TTL);
         }
-        if self.used.len() > MOST_PARTS {
-            self.used.clear();
+        if self.last_used_at.len() > MAX_PARTS {
+            self.last_used_at.clear();
         }
     }
 }
--- a/crates/core/src/scheduler/report_line.rs
+++ b/crates/core/src/scheduler/report_line.rs
@@ -4,7 +4,7 @@
 };
 
 /// Upper bound of pending report requests, which limits connections and file descriptors.
-const MAX_ASKED: usize = 48;
+const MAX_PENDING_REPORTS: usize = 48;
 
 /// Queue of engines to request reports from, and the pending requests.
 #[derive(Clone, Debug, Default)]
@@ -13,16 +13,16 @@
     urgent: VecDeque<UpstreamId>,
     due: VecDeque<UpstreamId>,
     /// Pending report requests, with the time at which each expires.
-    asked: HashMap<UpstreamId, Millis>,
+    pending: HashMap<UpstreamId, Millis>,
 }
 
 impl ReportLine {
-    /// Records that a request is waiting until the engine can take commands.
+    /// Records that a request is waiting until the engine can take orders.
     pub(super) fn note_urgent(
         &mut self,
         engine: UpstreamId,
     ) {
-        if self.urgent.len() < MAX_ASKED && !self.urgent.contains(&engine) {
+        if self.urgent.len() < MAX_PENDING_REPORTS && !self.urgent.contains(&engine) {
             self.urgent.push_back(engine);
         }
     }
@@ -37,7 +37,7 @@
     {
         self.due.clear();
         self.due.extend(due);
-        self.asked.retain(|_, until| now < *until);
+        self.pending.retain(|_, expires_at| now < *expires_at);
     }
 
     /// Records that a report request was answered or has failed.
@@ -45,7 +45,7 @@
         &mut self,
         engine: UpstreamId,
     ) {
-        self.asked.remove(&engine);
+        self.pending.remove(&engine);
     }
 
     /// The next engine to request a report from; `wants` returns when that request expires.
@@ -56,10 +56,10 @@
     where
         F: FnMut(UpstreamId) -> Option<Millis>,
     {
-        while self.asked.len() < MAX_ASKED {
+        while self.pending.len() < MAX_PENDING_REPORTS {
             let engine = self.urgent.pop_front().or_else(|| self.due.pop_front())?;
-            if let Some(until) = wants(engine) {
-                self.asked.insert(engine, until);
+            if let Some(expires_at) = wants(engine) {
+                self.pending.insert(engine, expires_at);
                 return Some(engine);
             }
         }
--- a/crates/core/src/scheduler/rights.rs
+++ b/crates/core/src/scheduler/rights.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Job, Work, own_use::OwnUse},
+    super::{Job, Work, local_usage::LocalUsage},
     crate::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -13,23 +13,23 @@
 };
 
 /// Tokens that a new scheduler grants each account at once, in percent of its limit over
-/// [`LOOK_BACK`].
+/// [`LIMIT_WINDOW_SECS`].
 ///
 /// The previous scheduler may have used everything, so this has to stay within the limit's
 /// tolerance.
-const ASSUMED_PERCENT: u64 = 5;
+const TAKEOVER_GRANT_PERCENT: u64 = 5;
 /// How far ahead tokens are reserved for a rate-limited caller that is told when to retry.
-const PROMISED: Millis = Millis(600);
+const RESERVATION_HORIZON: Millis = Millis(600);
 /// The same for all VMs together while each decides alone; zero would make a VM that has just
 /// started reject its first requests.
-const ASSUMED_ALONE_PERCENT: u64 = 3;
+const STANDALONE_GRANT_PERCENT: u64 = 3;
 /// Share of an account's burst that generations leave for calls, as a divisor, and its maximum.
-const CALLS_PART: u64 = 8;
-const MOST_FOR_CALLS: u64 = 1_600;
+const CALL_RESERVE_DIVISOR: u64 = 8;
+const MAX_CALL_RESERVE: u64 = 1_600;
 /// How long an account counts as over its rate after a rejection.
-const OVER: Millis = Millis(3_000);
+const OVER_RATE_TIMEOUT: Millis = Millis(3_000);
 /// Time over which a limit is enforced, in seconds.
-const LOOK_BACK: u64 = 8;
+const LIMIT_WINDOW_SECS: u64 = 8;
 
 /// Share of all accounts' rate limits that this scheduler may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     share: RightsShare,
     /// When a request of each account was last rate-limited.
     refused_at: BTreeMap<AccountId, Millis>,
-    own_use: OwnUse,
+    local_usage: LocalUsage,
 }
 
 impl AccountRates {
@@ -60,7 +60,7 @@
             limits: BTreeMap::new(),
             share,
             refused_at: BTreeMap::new(),
-            own_use: OwnUse::default(),
+            local_usage: LocalUsage::default(),
         }
     }
 
@@ -70,20 +70,21 @@
         share: RightsShare,
         now: Millis,
     ) {
-        let goes_on = matches!(share, RightsShare::Part(_)) && self.own_use.begin_alone(now);
-        if self.share == share && !goes_on {
+        let has_allowance =
+            matches!(share, RightsShare::Part(_)) && self.local_usage.begin_standalone(now);
+        if self.share == share && !has_allowance {
             return;
         }
         self.share = share;
         self.ledger = new_ledger();
         for (&account, &limit) in &self.limits {
-            let besides = if goes_on {
-                self.own_use.allowance(account, now)
+            let extra_tokens = if has_allowance {
+                self.local_usage.allowance(account, now)
             } else {
                 0
             };
             self.ledger.set_limit(account, limit, now);
-            grant(&mut self.ledger, account, limit, share, besides, now);
+            grant(&mut self.ledger, account, limit, share, extra_tokens, now);
         }
     }
 
@@ -94,7 +95,7 @@
         cost: u64,
         now: Millis,
     ) {
-        self.own_use.note(account, cost, now);
+        self.local_usage.note(account, cost, now);
     }
 
     /// Records a request of this VM's own callers that was rate-limited by any scheduler.
@@ -103,7 +104,7 @@
         account: AccountId,
         now: Millis,
     ) {
-        self.own_use.note_refused(account, now);
+        self.local_usage.note_refused(account, now);
     }
 
     /// Replaces the limits; accounts without an entry are unlimited.
@@ -117,7 +118,7 @@
             if before != Some(&limit) {
                 self.ledger.set_limit(account, limit, now);
             }
-            // An account that regains a limit keeps its earlier grant.
+            // The ledger ignores a second grant to an account that had a limit before.
             if before.is_none() {
                 grant(&mut self.ledger, account, limit, self.share, 0, now);
             }
@@ -149,7 +150,7 @@
     ) -> Result<Option<Charge>, Refusal> {
         let claim = match job.work {
             Work::Call => Claim::First,
-            Work::Generation(_) => Claim::Leaving(self.left_to_calls(account, job.cost, now)),
+            Work::Generation(_) => Claim::Leaving(self.call_reserve(account, job.cost, now)),
         };
         let ledger = &mut self.ledger;
         match ledger.try_admit_as(claim, account, job.cost, job.caller, now) {
@@ -169,7 +170,7 @@
     ///
     /// Calls are cheap and interactive. Without this, an account whose generations use up its rate
     /// can't read a status either.
-    fn left_to_calls(
+    fn call_reserve(
         &self,
         account: AccountId,
         cost: u64,
@@ -180,12 +181,12 @@
             return 0;
         }
         let refused_at = self.refused_at.get(&account);
-        if refused_at.is_none_or(|&at| now.since(at) >= OVER) {
+        if refused_at.is_none_or(|&at| now.since(at) >= OVER_RATE_TIMEOUT) {
             return 0;
         }
         let burst = self.limits.get(&account).map_or(0, |limit| limit.burst);
-        (burst / CALLS_PART)
-            .min(MOST_FOR_CALLS)
+        (burst / CALL_RESERVE_DIVISOR)
+            .min(MAX_CALL_RESERVE)
             .min(burst.saturating_sub(cost))
     }
 
@@ -203,16 +204,16 @@
 
 fn new_ledger() -> RightsLedger {
     // Transfers between holders are unused: this ledger has a single holder.
-    let me = Holder {
+    let holder = Holder {
         vm: VmId(0),
         role: Role::Controller,
         incarnation: Incarnation(1),
     };
     let mut ledger = RightsLedger::new(
-        me,
+        holder,
         RightsSettings {
             sharing: false,
-            horizon: PROMISED,
+            horizon: RESERVATION_HORIZON,
             ..RightsSettings::default()
         },
     );
@@ -220,24 +221,26 @@
     ledger
 }
 
-/// Grants an account's rate share; `besides` is added to the tokens granted at once.
+/// Grants an account's rate share; `extra_tokens` is added to the tokens granted at once.
 fn grant(
     ledger: &mut RightsLedger,
     account: AccountId,
     limit: Limit,
     share: RightsShare,
-    besides: u64,
+    extra_tokens: u64,
     now: Millis,
 ) {
     let part = match share {
         RightsShare::Fresh | RightsShare::TakenOver => SHARE_WHOLE,
         RightsShare::Part(parts) => SHARE_WHOLE / parts.max(1),
     };
-    let most = limit.rate * LOOK_BACK + limit.burst;
+    let max_usage = limit.rate * LIMIT_WINDOW_SECS + limit.burst;
     let tokens = match share {
         RightsShare::Fresh => limit.burst,
-        RightsShare::TakenOver => (most * ASSUMED_PERCENT / 100).min(limit.burst),
-        RightsShare::Part(parts) => most * ASSUMED_ALONE_PERCENT / 100 / parts.max(1) + besides,
+        RightsShare::TakenOver => (max_usage * TAKEOVER_GRANT_PERCENT / 100).min(limit.burst),
+        RightsShare::Part(parts) => {
+            max_usage * STANDALONE_GRANT_PERCENT / 100 / parts.max(1) + extra_tokens
+        }
     };
     let tokens = tokens.min(limit.burst);
     // Tokens need room, which is expressed as a share of the burst.
--- a/crates/core/src/scheduler/settings.rs
+++ b/crates/core/src/scheduler/settings.rs
@@ -30,22 +30,22 @@
     /// Duration of a load of a recently unloaded adapter.
     pub warm: Millis,
     /// Cold loads over all engines that can run concurrently at full speed.
-    pub at_once: u32,
+    pub max_concurrent_cold: u32,
     /// Upper bound of concurrent loads on one engine.
     pub per_engine: usize,
     /// Recently unloaded adapters that an engine can reload quickly.
-    pub kept_warm: usize,
+    pub warm_capacity: usize,
 }
 
 impl Default for LoadSettings {
-    /// The specified durations and limits; `kept_warm` is a safe lower estimate.
+    /// The specified durations and limits; `warm_capacity` is a safe lower estimate.
     fn default() -> Self {
         Self {
             cold: Millis(250),
             warm: Millis(25),
-            at_once: 8,
+            max_concurrent_cold: 8,
             per_engine: 4,
-            kept_warm: 25,
+            warm_capacity: 25,
         }
     }
 }
@@ -67,9 +67,9 @@
     pub least_call: Millis,
     /// How long an older adapter version may be used while the newer one is loaded.
     pub version_grace: Millis,
-    /// How long a new scheduler sends no commands.
+    /// How long a new scheduler sends no orders.
     ///
-    /// Zero where engines check fencing tokens; other engines may still execute commands of the
+    /// Zero where engines check fencing tokens; other engines may still execute orders of the
     /// previous scheduler.
     pub order_gap: Millis,
     /// Adapter loading.
--- a/crates/core/src/scheduler/upstream.rs
+++ b/crates/core/src/scheduler/upstream.rs
@@ -1,5 +1,5 @@
 use {
-    super::{engine::Engine, health::Health, place::PlaceState},
+    super::{engine::Engine, health::Health, place::ResidentState},
     crate::{
         clock::Millis,
         ids::{AdapterVersion, DataCentreId, ModelId, ServiceId, UpstreamId},
@@ -7,21 +7,21 @@
 };
 
 /// Weight of one sample in the moving average of call times.
-const LEARNING: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Initial estimate of a call's duration, in milliseconds.
-const INITIAL_MS: f64 = 30.0;
+const INITIAL_CALL_MS: f64 = 30.0;
 /// Slots per additional call that is sent ahead and queues at the upstream.
 ///
 /// Without it, a free slot would stay idle until the scheduler learns of it and the next call
 /// arrives.
-const AHEAD_PART: u32 = 3;
+const SLOTS_PER_QUEUED_CALL: u32 = 3;
 /// Slowdown of an upstream shortly after its start.
-const COLD_FACTOR: f64 = 1.6;
+const WARMUP_SLOWDOWN: f64 = 1.6;
 
 /// The models and adapters of an engine, from its store entry or its own report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineFacts {
-    /// Commands accepted since the engine started; only in its own report.
+    /// Orders accepted since the engine started; only in its own report.
     pub seq: Option<u64>,
     /// Base models that are loaded.
     pub models: Vec<ModelId>,
@@ -61,7 +61,7 @@
     pub slots: u32,
     pub is_ready: bool,
     pub started: Option<u64>,
-    pub cold_until: Millis,
+    pub warmup_until: Millis,
     pub health: Health,
     /// Assigned requests that have not ended.
     pub running: u32,
@@ -73,21 +73,21 @@
 impl Upstream {
     pub(super) fn new(
         id: UpstreamId,
-        facts: &UpstreamFacts,
+        status: &UpstreamFacts,
         engine: Option<Engine>,
         now: Millis,
     ) -> Self {
         Self {
             id,
-            service: facts.service,
-            data_centre: facts.data_centre,
-            slots: facts.slots,
-            is_ready: facts.is_ready,
-            started: facts.started,
-            cold_until: now + facts.cold,
+            service: status.service,
+            data_centre: status.data_centre,
+            slots: status.slots,
+            is_ready: status.is_ready,
+            started: status.started,
+            warmup_until: now + status.cold,
             health: Health::default(),
             running: 0,
-            call_ms: INITIAL_MS,
+            call_ms: INITIAL_CALL_MS,
             engine,
         }
     }
@@ -95,16 +95,16 @@
     /// Updates the upstream from its store entry.
     pub(super) fn update(
         &mut self,
-        facts: &UpstreamFacts,
+        status: &UpstreamFacts,
         now: Millis,
     ) {
-        let restarted = facts.started != self.started;
-        self.service = facts.service;
-        self.data_centre = facts.data_centre;
-        self.slots = facts.slots;
-        self.is_ready = facts.is_ready;
-        self.cold_until = now + facts.cold;
-        self.started = facts.started;
+        let restarted = status.started != self.started;
+        self.service = status.service;
+        self.data_centre = status.data_centre;
+        self.slots = status.slots;
+        self.is_ready = status.is_ready;
+        self.warmup_until = now + status.cold;
+        self.started = status.started;
         if restarted {
             self.health = Health::default();
         }
@@ -119,7 +119,7 @@
         adapter: Option<AdapterVersion>,
     ) -> bool {
         let place = adapter.and_then(|adapter| self.engine.as_ref()?.place(adapter));
-        place.is_some_and(|place| matches!(place.state, PlaceState::Coming { .. }))
+        place.is_some_and(|place| matches!(place.state, ResidentState::Loading { .. }))
     }
 
     /// Records that the adapter was expected to be loaded and was not.
@@ -139,8 +139,8 @@
         took: Millis,
     ) {
         let slots = self.slots.max(1);
-        let crowd = f64::from(self.running.max(slots)) / f64::from(slots);
-        self.call_ms += (took.0 as f64 / crowd - self.call_ms) * LEARNING;
+        let load_factor = f64::from(self.running.max(slots)) / f64::from(slots);
+        self.call_ms += (took.0 as f64 / load_factor - self.call_ms) * SAMPLE_WEIGHT;
     }
 
     /// Expected duration of a call, in milliseconds.
@@ -148,8 +148,8 @@
         &self,
         now: Millis,
     ) -> f64 {
-        let cold = if now < self.cold_until {
-            COLD_FACTOR
+        let cold = if now < self.warmup_until {
+            WARMUP_SLOWDOWN
         } else {
             1.0
         };
@@ -167,6 +167,6 @@
 
     /// Whether a slot is free or is expected to be free when one more call arrives.
     pub(super) const fn takes_calls(&self) -> bool {
-        self.running < self.slots + self.slots.div_ceil(AHEAD_PART)
+        self.running < self.slots + self.slots.div_ceil(SLOTS_PER_QUEUED_CALL)
     }
 }
--- a/crates/core/src/scheduler/version_book.rs
+++ b/crates/core/src/scheduler/version_book.rs
@@ -19,7 +19,7 @@
 struct Announced {
     version: u32,
     /// When it was announced; `None` if unknown.
-    made_at: Option<Millis>,
+    announced_at: Option<Millis>,
 }
 
 /// The adapter versions announced by operators.
@@ -29,7 +29,7 @@
 }
 
 /// Version of an adapter before any announcement.
-const FIRST: u32 = 1;
+const INITIAL_VERSION: u32 = 1;
 
 impl VersionBook {
     /// Records an announcement; ignores versions that are not newer.
@@ -37,14 +37,19 @@
         &mut self,
         adapter: AdapterId,
         version: u32,
-        how: Announcement,
+        source: Announcement,
         now: Millis,
     ) {
         let known = self.announced.get(&adapter);
         if known.is_none_or(|known| known.version < version) {
-            let made_at = (how == Announcement::New).then_some(now);
-            self.announced
-                .insert(adapter, Announced { version, made_at });
+            let announced_at = (source == Announcement::New).then_some(now);
+            self.announced.insert(
+                adapter,
+                Announced {
+                    version,
+                    announced_at,
+                },
+            );
         }
     }
 
@@ -53,7 +58,7 @@
         &self,
         adapter: AdapterId,
     ) -> AdapterVersion {
-        let version = self.announced_version(adapter).unwrap_or(FIRST);
+        let version = self.announced_version(adapter).unwrap_or(INITIAL_VERSION);
         AdapterVersion { adapter, version }
     }
 
@@ -72,7 +77,10 @@
         grace: Millis,
         now: Millis,
     ) -> bool {
-        let made_at = self.announced.get(&adapter).and_then(|known| known.made_at);
-        made_at.is_some_and(|made_at| now.since(made_at) < grace)
+        let announced_at = self
+            .announced
+            .get(&adapter)
+            .and_then(|known| known.announced_at);
+        announced_at.is_some_and(|announced_at| now.since(announced_at) < grace)
     }
 }
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -14,7 +14,7 @@
     Memory,
     /// A load of its adapter that is in progress.
     Load,
-    /// An engine that can take the command to load its adapter.
+    /// An engine that can take the order to load its adapter.
     Order,
     /// An adapter slot: none can be freed.
     Place,
--- a/crates/core/tests/alone_rights.rs
+++ b/crates/core/tests/alone_rights.rs
@@ -18,27 +18,27 @@
 
 /// Interval between an account's requests on one VM, and the shortest within its rate, in
 /// milliseconds.
-const EVERY: u64 = 2_400;
-const ALLOWED_EVERY: u64 = 1_600;
+const REQUEST_INTERVAL_MS: u64 = 2_400;
+const MIN_INTERVAL_MS: u64 = 1_600;
 
 /// A standby whose callers were admitted by a scheduler until now.
-fn following() -> World {
+fn standby_world() -> World {
     let mut world = World::with(0, SchedulerSettings::default(), false);
     world.add_server(UpstreamId(9));
-    let rate = COST * VMS * 1_000 / ALLOWED_EVERY;
+    let rate = COST * VMS * 1_000 / MIN_INTERVAL_MS;
     world.limit(ACCOUNT.0, rate, rate * 2);
     for _ in 0..10 {
         let now = world.now;
         let decided = OwnDecision::LetThrough;
         world.scheduler.note_own(ACCOUNT, COST, decided, now);
-        world.pass(EVERY);
+        world.pass(REQUEST_INTERVAL_MS);
     }
     world
 }
 
 /// Runs for `ms` without a scheduler, with a request every `every` ms; returns admitted and all
 /// requests.
-fn play_alone(
+fn run_standalone(
     world: &mut World,
     ms: u64,
     every: u64,
@@ -66,38 +66,47 @@
 fn callers_go_on_while_a_scheduler_is_elected() {
     // Guards against rejecting all requests during an election, when a VM's share of the rate is
     // less than one request.
-    let mut world = following();
-    assert_eq!(play_alone(&mut world, 1_200, 600), (2, 2));
+    let mut world = standby_world();
+    assert_eq!(run_standalone(&mut world, 1_200, 600), (2, 2));
 }
 
 #[test]
 fn a_long_time_alone_gives_no_more_than_the_part() {
     // Guards against a partitioned VM that adds more than its share to an account's rate for longer
     // than an election.
-    let mut world = following();
-    let (served, asked) = play_alone(&mut world, 16_000, 50);
+    let mut world = standby_world();
+    let (served, asked) = run_standalone(&mut world, 16_000, 50);
     assert_eq!(asked, 320);
-    assert!(served <= 10 + 3, "{served}, of which 10 are its part");
+    assert!(
+        served <= 10 + 3,
+        "served {served} requests; the VM's share allows 10"
+    );
 }
 
 #[test]
 fn a_vm_that_loses_its_scheduler_often_gains_nothing() {
     // Guards against a VM that gets a new allowance each time it loses its scheduler.
-    let mut world = following();
+    let mut world = standby_world();
     let mut served = 0;
     for _ in 0..6 {
-        served += play_alone(&mut world, 1_000, 50).0;
+        served += run_standalone(&mut world, 1_000, 50).0;
     }
-    assert!(served <= 4 + 3, "{served} of 120, of which 4 are its part");
+    assert!(
+        served <= 4 + 3,
+        "served {served} of 120 requests; the VM's share allows 4"
+    );
 }
 
 #[test]
 fn an_account_over_its_rate_goes_on_with_less() {
     // Guards against an allowance that follows the demand of an account over its rate.
-    let mut world = following();
+    let mut world = standby_world();
     let now = world.now;
     let decided = OwnDecision::OverRate;
     world.scheduler.note_own(ACCOUNT, COST, decided, now);
-    let (served, asked) = play_alone(&mut world, 1_200, 50);
-    assert!(served <= 1, "{served} of {asked}");
+    let (served, asked) = run_standalone(&mut world, 1_200, 50);
+    assert!(
+        served <= 1,
+        "served {served} of {asked} requests, expected at most 1"
+    );
 }
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -12,14 +12,14 @@
 };
 
 /// Upper bound of pending report requests; below the file descriptor limit of a small VM.
-const MOST_OUT: usize = 64;
+const MAX_PENDING_REPORTS: usize = 64;
 
 /// Prefill time of a prompt, and the objective for its first token.
-const READING: Millis = Millis(120);
+const PREFILL_TIME: Millis = Millis(120);
 const OBJECTIVE: Millis = Millis(1_000);
 
 /// A leader that has no engine reports yet.
-fn unreported(engines: u32) -> World {
+fn world_without_reports(engines: u32) -> World {
     let mut world = World::leading(0);
     for id in 0..engines {
         world.set(UpstreamId(id), &upstream(Some(engine(None, &[]))));
@@ -30,15 +30,15 @@
 /// Guards against a takeover that connects to all engines at once.
 #[test]
 fn reports_take_turns() {
-    let mut world = unreported(1_000);
+    let mut world = world_without_reports(1_000);
     world.pass(200);
-    assert!(world.reports_asked.len() <= MOST_OUT);
+    assert!(world.reports_asked.len() <= MAX_PENDING_REPORTS);
     let mut asked = BTreeSet::new();
     for _ in 0..1_000 {
-        let out = std::mem::take(&mut world.reports_asked);
-        assert!(out.len() <= MOST_OUT);
-        asked.extend(out.iter().copied());
-        for id in out {
+        let pending = std::mem::take(&mut world.reports_asked);
+        assert!(pending.len() <= MAX_PENDING_REPORTS);
+        asked.extend(pending.iter().copied());
+        for id in pending {
             world.report(id, &engine(Some(0), &[]));
         }
         world.pass(1);
@@ -49,7 +49,7 @@
 /// Guards against a report that a request needs being queued behind those of idle engines.
 #[test]
 fn wanted_reports_come_first() {
-    let mut world = unreported(1_000);
+    let mut world = world_without_reports(1_000);
     world.pass(100);
     let number = world.generate(7);
     let mut answered = 0;
@@ -59,7 +59,7 @@
             world.report(id, &engine(Some(0), &[]));
             answered += 1;
         }
-        assert!(answered < 200, "{answered} reports before the order");
+        assert!(answered < 200, "no order after {answered} reports");
     }
     world.pass(300);
     assert!(world.sent_to(number).is_some());
@@ -69,7 +69,7 @@
 #[test]
 fn popular_adapters_spread() {
     let mut world = World::leading(400);
-    let mut read = VecDeque::new();
+    let mut prefilling = VecDeque::new();
     let mut waiting = Vec::new();
     let mut late = 0;
     for step in 0..600 {
@@ -81,16 +81,20 @@
         waiting.retain(|&(asked, number)| {
             let is_sent = world.sent_to(number).is_some();
             if is_sent {
-                read.push_back((world.now + READING, number));
-                late += usize::from(world.now + READING > asked + OBJECTIVE);
+                prefilling.push_back((world.now + PREFILL_TIME, number));
+                late += usize::from(world.now + PREFILL_TIME > asked + OBJECTIVE);
             }
             !is_sent
         });
-        while let Some((_, number)) = read.pop_front_if(|&mut (at, _)| at <= world.now) {
+        while let Some((_, number)) = prefilling.pop_front_if(|&mut (at, _)| at <= world.now) {
             world.first_event(number);
         }
     }
-    assert!(waiting.is_empty(), "{} are not sent", waiting.len());
+    assert!(
+        waiting.is_empty(),
+        "{} requests were not sent",
+        waiting.len()
+    );
     assert_eq!(late, 0);
 }
 
@@ -142,7 +146,7 @@
     let later: BTreeSet<u32> = (0..4).flat_map(|_| used(&mut world, 0..60)).collect();
     assert!(later.iter().all(|&id| id >= 30));
     let joined = later.iter().filter(|&&id| id >= 100).count();
-    assert!(joined >= 15, "{joined} of 30 that joined are used");
+    assert!(joined >= 15, "only {joined} of 30 new engines are used");
 }
 
 /// Time that a scheduler takes for a fixed number of requests.
@@ -168,5 +172,5 @@
     let best = |engines| (0..3).map(|_| cost(engines)).min();
     let (few, many) = (best(150), best(3_000));
     let ratio = many.unwrap_or_default().as_secs_f64() / few.unwrap_or_default().as_secs_f64();
-    assert!(ratio < 5.0, "{ratio:.1} times");
+    assert!(ratio < 5.0, "cost grew by a factor of {ratio:.1}");
 }
--- a/crates/core/tests/long_prompts.rs
+++ b/crates/core/tests/long_prompts.rs
@@ -12,13 +12,13 @@
 };
 
 /// Longest acceptable pause of a stream.
-const GAP: Millis = Millis(600);
+const MAX_GAP: Millis = Millis(600);
 const NEAR: UpstreamId = UpstreamId(0);
 const FAR: UpstreamId = UpstreamId(1);
 const STREAMS: usize = 8;
 /// Tokens of a long prompt, and its prefill time.
-const LONG: u32 = 18_000;
-const READ: Millis = Millis(600);
+const LONG_PROMPT_TOKENS: u32 = 18_000;
+const PREFILL_TIME: Millis = Millis(600);
 
 fn job(
     tokens: u32,
@@ -39,7 +39,7 @@
 /// Sends long prompts one after another while streams run on the engine near the callers.
 ///
 /// Returns how many streams paused for too long and how many long prompts were in time.
-fn play(gap: Option<Millis>) -> (usize, usize) {
+fn run(gap: Option<Millis>) -> (usize, usize) {
     let mut world = World::leading(0);
     world.add_engine(NEAR, &[1]);
     let far = UpstreamFacts {
@@ -57,14 +57,14 @@
     let (mut paused, mut timely) = (0, 0);
     for _ in 0..5 {
         let asked = world.now;
-        let long = world.place(job(LONG, gap, world.now));
+        let long = world.place(job(LONG_PROMPT_TOKENS, gap, world.now));
         let sent = world.sent_to(long).expect("an engine is idle");
         if sent == NEAR {
             // Prefill takes as long as the longest acceptable pause and stalls all streams of the
             // engine.
             paused = STREAMS;
         }
-        world.pass(READ.0);
+        world.pass(PREFILL_TIME.0);
         world.first_event(long);
         let took = world.now.since(asked);
         timely += usize::from(took <= Millis(1_000));
@@ -78,6 +78,6 @@
 fn streams_beside_long_prompts() {
     // Guards against long prompts that stall streams while an engine in another data centre is
     // idle.
-    assert_eq!(play(None), (STREAMS, 5));
-    assert_eq!(play(Some(GAP)), (0, 5));
+    assert_eq!(run(None), (STREAMS, 5));
+    assert_eq!(run(Some(MAX_GAP)), (0, 5));
 }
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -1,4 +1,4 @@
-//! Test driver: a scheduler with simulated engines that execute its commands.
+//! Test driver: a scheduler with simulated engines that execute its orders.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -38,9 +38,9 @@
     pub decisions: BTreeMap<u64, Decision>,
     pub orders: Vec<(UpstreamId, Order)>,
     pub reports_asked: Vec<UpstreamId>,
-    /// Commands left unanswered, for the test to answer.
+    /// Orders left unanswered, for the test to answer.
     pub unanswered: Vec<(UpstreamId, Order)>,
-    /// Whether engines answer commands at once.
+    /// Whether engines answer orders at once.
     pub engines_answer: bool,
     seqs: HashMap<UpstreamId, u64>,
     next: u64,
@@ -83,8 +83,8 @@
         id: UpstreamId,
         adapters: &[u32],
     ) {
-        let facts = upstream(Some(engine(None, adapters)));
-        self.set(id, &facts);
+        let status = upstream(Some(engine(None, adapters)));
+        self.set(id, &status);
         self.report(id, &engine(Some(0), adapters));
     }
 
@@ -92,30 +92,30 @@
         &mut self,
         id: UpstreamId,
     ) {
-        let facts = UpstreamFacts {
+        let status = UpstreamFacts {
             service: CALLS,
             slots: 6,
             engine: None,
             ..upstream(None)
         };
-        self.set(id, &facts);
+        self.set(id, &status);
     }
 
     pub fn set(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
+        status: &UpstreamFacts,
     ) {
-        let actions = self.scheduler.set_upstream(id, facts, self.now);
+        let actions = self.scheduler.set_upstream(id, status, self.now);
         self.act(actions);
     }
 
     pub fn report(
         &mut self,
         id: UpstreamId,
-        facts: &EngineFacts,
+        status: &EngineFacts,
     ) {
-        let actions = self.scheduler.report(id, Some(facts), self.now);
+        let actions = self.scheduler.report(id, Some(status), self.now);
         self.act(actions);
     }
 
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Number of commands to load any version of an adapter.
+    /// Number of orders to load any version of an adapter.
     pub fn loads_of(
         &self,
         adapter: u32,
@@ -261,7 +261,7 @@
             return;
         }
         let seq = self.seqs.entry(upstream).or_default();
-        assert_eq!(*seq, after_seq, "the engine would refuse {order:?}");
+        assert_eq!(*seq, after_seq, "sequence number mismatch for {order:?}");
         *seq += 1;
         let end = match order {
             Order::Unload { .. } => OrderEnd::Holds,
--- a/crates/core/tests/slow_loads.rs
+++ b/crates/core/tests/slow_loads.rs
@@ -13,10 +13,10 @@
 };
 
 /// Actual duration of a cold load; the settings say 250 ms.
-const LOAD: Millis = Millis(450);
-const READING: Millis = Millis(100);
+const LOAD_TIME: Millis = Millis(450);
+const PREFILL_TIME: Millis = Millis(100);
 
-/// The engine's report after the commands that it received.
+/// The engine's report after the orders that it received.
 fn report(
     world: &World,
     id: UpstreamId,
@@ -43,58 +43,65 @@
 
 /// Sends one request per adapter, one every 40 ms; returns the adapters' numbers, once for each
 /// early request.
-fn turned_away(requests: u32) -> Vec<u32> {
+fn early_requests(requests: u32) -> Vec<u32> {
     let mut world = World::leading(60);
     let mut loaded_at = HashMap::new();
     let mut seen_orders = 0;
-    let mut open: Vec<(u64, u32)> = Vec::new();
-    let mut reading: Vec<(Millis, u64)> = Vec::new();
-    let mut away = Vec::new();
+    let mut waiting: Vec<(u64, u32)> = Vec::new();
+    let mut prefilling: Vec<(Millis, u64)> = Vec::new();
+    let mut early = Vec::new();
     for step in 0..requests * 10 + 400 {
         if step % 10 == 0 && step / 10 < requests {
             let adapter = 1_000 + step / 10;
-            open.push((world.generate(adapter), adapter));
+            waiting.push((world.generate(adapter), adapter));
         }
         world.pass(4);
         let now = world.now;
         for (upstream, order) in &world.orders[seen_orders..] {
             if let Order::Load { adapter, .. } = order {
-                loaded_at.insert((*upstream, adapter.adapter.0), now + LOAD);
+                loaded_at.insert((*upstream, adapter.adapter.0), now + LOAD_TIME);
             }
         }
         seen_orders = world.orders.len();
         for id in std::mem::take(&mut world.reports_asked) {
-            let facts = report(&world, id, &loaded_at);
-            world.report(id, &facts);
+            let status = report(&world, id, &loaded_at);
+            world.report(id, &status);
         }
-        let asked = std::mem::take(&mut open);
+        let asked = std::mem::take(&mut waiting);
         for (number, adapter) in asked {
             match world.sent_to(number) {
-                None => open.push((number, adapter)),
+                None => waiting.push((number, adapter)),
                 Some(id) if loaded_at.get(&(id, adapter)).is_some_and(|&at| at <= now) => {
-                    reading.push((now + READING, number));
+                    prefilling.push((now + PREFILL_TIME, number));
                 }
                 Some(_) => {
-                    away.push(adapter - 1_000);
+                    early.push(adapter - 1_000);
                     world.end(number, Outcome::NotLoaded);
-                    open.push((world.generate(adapter), adapter));
+                    waiting.push((world.generate(adapter), adapter));
                 }
             }
         }
-        for (_, number) in reading.extract_if(.., |&mut (at, _)| at <= now) {
+        for (_, number) in prefilling.extract_if(.., |&mut (at, _)| at <= now) {
             world.first_event(number);
-            world.end(number, Outcome::Answered { took: READING });
+            world.end(number, Outcome::Answered { took: PREFILL_TIME });
         }
     }
-    assert!(open.is_empty(), "{} were never served", open.len());
-    away
+    assert!(
+        waiting.is_empty(),
+        "{} requests were not served",
+        waiting.len()
+    );
+    early
 }
 
 /// Guards against requests sent before their adapter is loaded while the store is slow, which use
 /// up the retry budget.
 #[test]
 fn late_loads_are_expected() {
-    let away = turned_away(200);
-    let repeats = away.iter().filter(|&&number| number >= 100).count();
-    assert!(repeats <= 20, "{repeats} for the last 100");
+    let early = early_requests(200);
+    let retries = early.iter().filter(|&&number| number >= 100).count();
+    assert!(
+        retries <= 20,
+        "{retries} of the last 100 requests were sent early"
+    );
 }
