--- a/crates/core/src/scheduler/backlog.rs
+++ b/crates/core/src/scheduler/backlog.rs
@@ -72,8 +72,9 @@
         self.prefill_time = prefill_time;
     }
 
-    /// Records a request's first event; returns its prefill time if its prompt was the first in
-    /// line.
+    /// Records the first event of a request; returns its prefill time if that is known.
+    ///
+    /// Only the prompt at the front of the queue has a known start.
     pub(super) fn read(
         &mut self,
         request: RequestId,
@@ -106,8 +107,9 @@
         self.observed_at = now;
     }
 
-    /// The slowness, decayed towards 1: an engine that is avoided for being slow would otherwise
-    /// never be tried again.
+    /// The slowness, decayed towards 1.
+    ///
+    /// Without the decay, an engine that is avoided for being slow would never be tried again.
     fn slowness_at(
         &self,
         now: Millis,
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -140,26 +140,26 @@
     ) {
         let before = std::mem::take(&mut self.places);
         let old = |adapter: AdapterVersion| before.iter().find(|place| place.adapter == adapter);
-        let take = |model, adapter, state| match old(adapter) {
+        let merge = |model, adapter, state| match old(adapter) {
             Some(place) => Place { state, ..*place },
             None => Place::new(model, adapter, state),
         };
-        let present = status
+        let loaded = status
             .adapters
             .iter()
-            .map(|&(model, adapter)| take(model, adapter, ResidentState::Loaded));
-        let coming = ResidentState::Loading {
+            .map(|&(model, adapter)| merge(model, adapter, ResidentState::Loaded));
+        let new_load = ResidentState::Loading {
             ready_at: now + load.cold,
             is_cold: true,
         };
-        let on_the_way = status.coming.iter().map(|&(model, adapter)| {
-            let state = old(adapter).map_or(coming, |place| match place.state {
+        let still_loading = status.coming.iter().map(|&(model, adapter)| {
+            let state = old(adapter).map_or(new_load, |place| match place.state {
                 ResidentState::Loading { .. } => place.state,
-                _ => coming,
+                _ => new_load,
             });
-            take(model, adapter, state)
+            merge(model, adapter, state)
         });
-        self.places = present.chain(on_the_way).collect();
+        self.places = loaded.chain(still_loading).collect();
         if let Some(place) = self
             .unloading
             .and_then(|unloading| self.place_mut(unloading))
@@ -213,13 +213,13 @@
         &mut self,
         now: Millis,
     ) -> bool {
-        let due = self.report_due().is_some_and(|at| now >= at);
-        if due {
+        let is_due = self.report_due().is_some_and(|at| now >= at);
+        if is_due {
             self.view_state = ViewState::Requested {
                 retry_at: now + REPORT_DELAY,
             };
         }
-        due
+        is_due
     }
 
     /// Starts a report request if one is due; returns when to stop waiting for the response.
@@ -339,8 +339,8 @@
         &self,
         now: Millis,
     ) -> usize {
-        let is_coming = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, .. } if now < ready_at);
-        self.places.iter().filter(is_coming).count()
+        let is_loading = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, .. } if now < ready_at);
+        self.places.iter().filter(is_loading).count()
     }
 
     /// Number of adapters being loaded from the adapter store.
--- a/crates/core/src/scheduler/prefill_estimator.rs
+++ b/crates/core/src/scheduler/prefill_estimator.rs
@@ -1,7 +1,8 @@
 use crate::clock::Millis;
 
-/// Initial samples of prompt tokens and prefill milliseconds; slow enough that the first requests
-/// are spread over engines.
+/// Initial samples, as prompt tokens and prefill milliseconds.
+///
+/// Slow enough that the first requests are spread over engines.
 const INITIAL_SAMPLES: [(f64, f64); 2] = [(400.0, 30.0), (4_000.0, 250.0)];
 /// Weight of each initial sample.
 const INITIAL_SAMPLE_WEIGHT: f64 = 2.0;
--- a/crates/core/src/scheduler/repeat_budget.rs
+++ b/crates/core/src/scheduler/repeat_budget.rs
@@ -2,11 +2,11 @@
 
 /// Number of buckets in the sliding window.
 const BUCKETS: u64 = 10;
-/// Share of the budget to use, in percent: upstreams count an arrival later, possibly in another
-/// window.
+/// Share of the budget to use, in percent.
+///
+/// Upstreams count an arrival later, possibly in another window.
 const BUDGET_PERCENT: f64 = 70.0;
-/// The same in the first window after a takeover, as earlier schedulers may have used their
-/// budgets.
+/// The same in the first window after a takeover: earlier schedulers may have used theirs.
 const TAKEOVER_BUDGET_PERCENT: f64 = 20.0;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/core/src/scheduler/rights.rs
+++ b/crates/core/src/scheduler/rights.rs
@@ -12,19 +12,20 @@
     std::collections::BTreeMap,
 };
 
-/// Tokens that a new scheduler grants each account at once, in percent of its limit over
-/// [`LIMIT_WINDOW_SECS`].
+/// Initial grant of a scheduler that takes over, in percent of the limit over the window.
 ///
 /// The previous scheduler may have used everything, so this has to stay within the limit's
 /// tolerance.
 const TAKEOVER_GRANT_PERCENT: u64 = 5;
 /// How far ahead tokens are reserved for a rate-limited caller that is told when to retry.
 const RESERVATION_HORIZON: Millis = Millis(600);
-/// The same for all VMs together while each decides alone; zero would make a VM that has just
-/// started reject its first requests.
+/// Initial grant of all VMs together while there is no scheduler, in percent of the same limit.
+///
+/// Zero would make a VM that has just started reject its first requests.
 const STANDALONE_GRANT_PERCENT: u64 = 3;
-/// Share of an account's burst that generations leave for calls, as a divisor, and its maximum.
+/// Share of an account's burst that generations leave for calls, as a divisor.
 const CALL_RESERVE_DIVISOR: u64 = 8;
+/// Upper bound of the tokens that generations leave for calls.
 const MAX_CALL_RESERVE: u64 = 1_600;
 /// How long an account counts as over its rate after a rejection.
 const OVER_RATE_TIMEOUT: Millis = Millis(3_000);
--- a/crates/core/tests/alone_rights.rs
+++ b/crates/core/tests/alone_rights.rs
@@ -16,8 +16,7 @@
 /// Number of VMs, and so of equal shares of each rate limit.
 const VMS: u64 = 80;
 
-/// Interval between an account's requests on one VM, and the shortest within its rate, in
-/// milliseconds.
+/// Interval between an account's requests on one VM, and the minimum within its rate.
 const REQUEST_INTERVAL_MS: u64 = 2_400;
 const MIN_INTERVAL_MS: u64 = 1_600;
 
@@ -36,8 +35,9 @@
     world
 }
 
-/// Runs for `ms` without a scheduler, with a request every `every` ms; returns admitted and all
-/// requests.
+/// Runs without a scheduler, with a request every `every` ms.
+///
+/// Returns the number of admitted requests and of all requests.
 fn run_standalone(
     world: &mut World,
     ms: u64,
--- a/crates/core/tests/slow_loads.rs
+++ b/crates/core/tests/slow_loads.rs
@@ -41,8 +41,9 @@
     }
 }
 
-/// Sends one request per adapter, one every 40 ms; returns the adapters' numbers, once for each
-/// early request.
+/// Sends one request per adapter, one every 40 ms.
+///
+/// Returns the index of the adapter for each request that was sent too early.
 fn early_requests(requests: u32) -> Vec<u32> {
     let mut world = World::leading(60);
     let mut loaded_at = HashMap::new();
@@ -94,8 +95,7 @@
     early
 }
 
-/// Guards against requests sent before their adapter is loaded while the store is slow, which use
-/// up the retry budget.
+/// Guards against using up the retry budget with early requests while the store is slow.
 #[test]
 fn late_loads_are_expected() {
     let early = early_requests(200);
