--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -198,7 +198,7 @@
         self.holders.add(adapter, id, holds);
     }
 
-    /// Upstreams that may hold an adapter or have unloaded it recently.
+    /// Upstreams that may hold an adapter or have unloaded it recently; `None` if removed.
     pub(super) fn holders(
         &self,
         adapter: AdapterId,
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -14,9 +14,9 @@
 /// A passing health check doesn't show that some of its requests fail.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
-    failed: Decayed,
-    answered: Decayed,
-    consecutive_failures: u32,
+    failures: Decayed,
+    successes: Decayed,
+    consecutive_unreachable: u32,
     paused_until: Millis,
 }
 
@@ -25,8 +25,8 @@
         &mut self,
         now: Millis,
     ) {
-        self.answered.add(1.0, now, HALF_LIFE);
-        self.consecutive_failures = 0;
+        self.successes.add(1.0, now, HALF_LIFE);
+        self.consecutive_unreachable = 0;
         self.paused_until = Millis::ZERO;
     }
 
@@ -34,7 +34,7 @@
         &mut self,
         now: Millis,
     ) {
-        self.failed.add(1.0, now, HALF_LIFE);
+        self.failures.add(1.0, now, HALF_LIFE);
     }
 
     /// Records a connection failure or a timeout; pauses the upstream.
@@ -43,8 +43,8 @@
         now: Millis,
     ) {
         self.note_failure(now);
-        let pause = Millis(MIN_PAUSE.0 << self.consecutive_failures.min(8)).min(MAX_PAUSE);
-        self.consecutive_failures += 1;
+        let pause = Millis(MIN_PAUSE.0 << self.consecutive_unreachable.min(8)).min(MAX_PAUSE);
+        self.consecutive_unreachable += 1;
         self.paused_until = now + pause;
     }
 
@@ -61,7 +61,7 @@
         &self,
         now: Millis,
     ) -> f64 {
-        let failed = self.failed.get(now, HALF_LIFE);
-        failed / (failed + self.answered.get(now, HALF_LIFE) + PRIOR_SUCCESSES)
+        let failures = self.failures.get(now, HALF_LIFE);
+        failures / (failures + self.successes.get(now, HALF_LIFE) + PRIOR_SUCCESSES)
     }
 }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -9,8 +9,8 @@
 //! Time to first token is dominated by prefill, by the few adapter slots of an engine, and by
 //! adapter loads. A request goes to the engine with the lowest expected time to first token, which
 //! counts the prefill backlog, the prefix cache and any adapter load. Engines get only as many
-//! requests as keep them busy. The rest waits in this queue, where it can still be ordered by
-//! account and priority, sent elsewhere, or rejected.
+//! requests as keep them busy. The rest waits in the scheduler's queue, where it can still be
+//! ordered by account and priority, sent elsewhere, or rejected.
 //!
 //! The module does no I/O: [`Scheduler`] takes events with the current time and returns actions.
 
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -6,7 +6,7 @@
     Turn,
     /// A ready upstream of its service.
     NoUpstream,
-    /// A free slot of an upstream without a model.
+    /// A free slot of an upstream that is not an engine.
     CallSlot,
     /// The prefill backlog of its best engine.
     Prompts,
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -43,7 +43,7 @@
     /// Whether engines answer orders at once.
     pub engines_answer: bool,
     seqs: HashMap<UpstreamId, u64>,
-    next: u64,
+    next_number: u64,
 }
 
 impl World {
@@ -70,7 +70,7 @@
             unanswered: Vec::new(),
             engines_answer: true,
             seqs: HashMap::new(),
-            next: 0,
+            next_number: 0,
         };
         for id in 0..engines {
             world.add_engine(UpstreamId(id), &[]);
@@ -107,7 +107,7 @@
         status: &UpstreamFacts,
     ) {
         let actions = self.scheduler.set_upstream(id, status, self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn report(
@@ -116,7 +116,7 @@
         status: &EngineFacts,
     ) {
         let actions = self.scheduler.report(id, Some(status), self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn limit(
@@ -141,11 +141,11 @@
         &mut self,
         job: Job,
     ) -> u64 {
-        self.next += 1;
-        let ticket = ticket(self.next);
+        self.next_number += 1;
+        let ticket = ticket(self.next_number);
         let actions = self.scheduler.place(ticket, job, self.now);
-        self.act(actions);
-        self.next
+        self.apply_actions(actions);
+        self.next_number
     }
 
     pub fn first_event(
@@ -153,7 +153,7 @@
         number: u64,
     ) {
         let actions = self.scheduler.first_event(ticket(number), self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn end(
@@ -162,7 +162,7 @@
         outcome: Outcome,
     ) {
         let actions = self.scheduler.ended(ticket(number), outcome, self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn answer(
@@ -172,7 +172,7 @@
         end: OrderEnd,
     ) {
         let actions = self.scheduler.order_ended(upstream, order, end, self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     /// Advances the clock and runs the scheduler's timers.
@@ -184,7 +184,7 @@
         while self.now < until {
             self.now = self.scheduler.wake_at(self.now).min(until);
             let actions = self.scheduler.tick(self.now);
-            self.act(actions);
+            self.apply_actions(actions);
         }
     }
 
@@ -218,7 +218,7 @@
             .count()
     }
 
-    fn act(
+    fn apply_actions(
         &mut self,
         actions: Vec<Action>,
     ) {
