--- a/crates/core/src/scheduler/settings.rs
+++ b/crates/core/src/scheduler/settings.rs
@@ -74,7 +74,7 @@
     pub order_gap: Millis,
     /// Adapter loading.
     pub loads: LoadSettings,
-    /// Default retry budget.
+    /// Retry budget of each service.
     pub repeats: RepeatSettings,
 }
 
--- a/crates/core/src/scheduler/upstream.rs
+++ b/crates/core/src/scheduler/upstream.rs
@@ -148,13 +148,13 @@
         &self,
         now: Millis,
     ) -> f64 {
-        let cold = if now < self.warmup_until {
+        let slowdown = if now < self.warmup_until {
             WARMUP_SLOWDOWN
         } else {
             1.0
         };
         let fill = f64::from(self.running) / f64::from(self.slots.max(1));
-        self.call_ms * cold * (1.0 + fill)
+        self.call_ms * slowdown * (1.0 + fill)
     }
 
     /// Throughput per millisecond: prompt tokens on an engine, otherwise calls.
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -34,8 +34,8 @@
     ];
 
     /// The reason with this name.
-    pub fn from_word(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|reason| reason.as_str() == word)
+    pub fn from_word(name: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|reason| reason.as_str() == name)
     }
 
     /// The name in logs and metrics.
