--- a/crates/core/src/scheduler/backlog.rs
+++ b/crates/core/src/scheduler/backlog.rs
@@ -1,39 +1,39 @@
 use {
-    super::read_time::{ReadLine, ReadTime},
+    super::prefill_estimator::{PrefillEstimator, PrefillTime},
     crate::{clock::Millis, ids::RequestId},
     std::collections::VecDeque,
 };
 
-/// How much one prompt counts for how slow an engine is against others.
-const LEARNING: f64 = 0.15;
-/// Bounds of what one prompt may say of that.
-const SLOWNESS: (f64, f64) = (0.5, 6.0);
-/// How fast what was seen of one engine is forgotten.
+/// Weight of one sample in the moving average of an engine's slowness.
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// Bounds of one sample of slowness.
+const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 6.0);
+/// Half-life of an engine's measured slowness.
 const SLOWNESS_HALF_LIFE: Millis = Millis(4_000);
 
-/// A prompt that was sent and whose first event has not been seen.
+/// A prompt that was sent and has no first event yet.
 #[derive(Clone, Copy, Debug)]
-struct Unread {
+struct PendingPrompt {
     request: RequestId,
     tokens: f64,
 }
 
-/// The prompts that an engine has still to read, in the order in which they were sent.
+/// Prompts waiting for prefill on an engine, in the order in which they were sent.
 #[derive(Clone, Debug)]
 pub(super) struct Backlog {
-    unread: VecDeque<Unread>,
-    /// Since when the engine has been at the first of them.
-    since: Millis,
-    /// How long engines of its service take to read prompts.
-    line: ReadLine,
-    /// How much longer this one takes, as a factor, by what was seen lately.
+    pending: VecDeque<PendingPrompt>,
+    /// When prefill of the first prompt started.
+    prefill_started_at: Millis,
+    /// Prefill time model of the service.
+    prefill_time: PrefillTime,
+    /// Prefill time of this engine relative to its service, as a moving average.
     slowness: f64,
-    seen_at: Millis,
+    observed_at: Millis,
 }
 
-/// How long a prompt took to be read.
+/// A measured prefill time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Reading {
+pub(super) struct PrefillSample {
     pub tokens: f64,
     pub took: Millis,
 }
@@ -41,133 +41,138 @@
 impl Default for Backlog {
     fn default() -> Self {
         Self {
-            unread: VecDeque::new(),
-            since: Millis::ZERO,
-            line: ReadTime::default().line(),
+            pending: VecDeque::new(),
+            prefill_started_at: Millis::ZERO,
+            prefill_time: PrefillEstimator::default().prefill_time(),
             slowness: 1.0,
-            seen_at: Millis::ZERO,
+            observed_at: Millis::ZERO,
         }
     }
 }
 
 impl Backlog {
-    /// Notes that a prompt was sent of which `tokens` have to be read.
+    /// Adds a prompt with `tokens` to prefill.
     pub(super) fn push(
         &mut self,
         request: RequestId,
         tokens: f64,
         now: Millis,
     ) {
-        if self.unread.is_empty() {
-            self.since = now;
+        if self.pending.is_empty() {
+            self.prefill_started_at = now;
         }
-        self.unread.push_back(Unread { request, tokens });
+        self.pending.push_back(PendingPrompt { request, tokens });
     }
 
-    /// Takes what is known of all engines of its service.
-    pub(super) const fn set_line(
+    /// Sets the prefill time model of the service.
+    pub(super) const fn set_prefill_time(
         &mut self,
-        line: ReadLine,
+        prefill_time: PrefillTime,
     ) {
-        self.line = line;
+        self.prefill_time = prefill_time;
     }
 
-    /// Notes that the first event of a request was seen; returns how long its prompt took, if that can be told.
+    /// Records the first event of a request; returns its prefill time if that is known.
+    ///
+    /// Only the prompt at the front of the queue has a known start.
     pub(super) fn read(
         &mut self,
         request: RequestId,
         now: Millis,
-    ) -> Option<Reading> {
-        let first = self.unread.front().copied();
-        let reading = first
+    ) -> Option<PrefillSample> {
+        let first = self.pending.front().copied();
+        let sample = first
             .filter(|first| first.request == request && first.tokens > 0.0)
-            .map(|first| Reading {
+            .map(|first| PrefillSample {
                 tokens: first.tokens,
-                took: now.since(self.since),
+                took: now.since(self.prefill_started_at),
             });
-        if let Some(reading) = reading {
-            self.note_slowness(reading, now);
+        if let Some(sample) = sample {
+            self.note_slowness(sample, now);
         }
         self.remove(request, now);
-        reading
+        sample
     }
 
     fn note_slowness(
         &mut self,
-        reading: Reading,
+        sample: PrefillSample,
         now: Millis,
     ) {
-        let expected = self.line.time_for(reading.tokens).max(1.0);
-        let seen = (reading.took.0 as f64 / expected).clamp(SLOWNESS.0, SLOWNESS.1);
+        let expected = self.prefill_time.time_for(sample.tokens).max(1.0);
+        let observed =
+            (sample.took.0 as f64 / expected).clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         self.slowness = self.slowness_at(now);
-        self.slowness += (seen - self.slowness) * LEARNING;
-        self.seen_at = now;
+        self.slowness += (observed - self.slowness) * SAMPLE_WEIGHT;
+        self.observed_at = now;
     }
 
-    /// What was seen of it counts for less the longer ago that was: an engine that is passed over for being slow would
-    /// never be seen to have recovered.
+    /// The slowness, decayed towards 1.
+    ///
+    /// Without the decay, an engine that is avoided for being slow would never be tried again.
     fn slowness_at(
         &self,
         now: Millis,
     ) -> f64 {
-        let halvings = now.since(self.seen_at).0 as f64 / SLOWNESS_HALF_LIFE.0 as f64;
+        let halvings = now.since(self.observed_at).0 as f64 / SLOWNESS_HALF_LIFE.0 as f64;
         1.0 + (self.slowness - 1.0) * (-halvings).exp2()
     }
 
-    /// Forgets a request that has ended or gone elsewhere.
+    /// Removes a request that has ended or was sent elsewhere.
     pub(super) fn remove(
         &mut self,
         request: RequestId,
         now: Millis,
     ) {
         if let Some(at) = self
-            .unread
+            .pending
             .iter()
-            .position(|unread| unread.request == request)
+            .position(|pending| pending.request == request)
         {
-            self.unread.remove(at);
+            self.pending.remove(at);
             if at == 0 {
-                self.since = now;
+                self.prefill_started_at = now;
             }
         }
     }
 
-    /// How long the engine needs for all of it, in milliseconds.
+    /// Expected time until all prompts are prefilled, in milliseconds.
     pub(super) fn wait(
         &self,
         now: Millis,
     ) -> f64 {
-        let Some(first) = self.unread.front() else {
+        let Some(first) = self.pending.front() else {
             return 0.0;
         };
-        let spent = now.since(self.since).0 as f64;
+        let spent = now.since(self.prefill_started_at).0 as f64;
         let slowness = self.slowness_at(now);
-        let time_for = |unread: &Unread| self.line.time_for(unread.tokens) * slowness;
-        let rest: f64 = self.unread.iter().skip(1).map(time_for).sum();
+        let time_for =
+            |pending: &PendingPrompt| self.prefill_time.time_for(pending.tokens) * slowness;
+        let rest: f64 = self.pending.iter().skip(1).map(time_for).sum();
         (time_for(first) - spent).max(0.0) + rest
     }
 
-    /// How long a prompt takes by itself, in milliseconds.
+    /// Expected prefill time of a single prompt, in milliseconds.
     pub(super) fn time_for(
         &self,
         tokens: f64,
         now: Millis,
     ) -> f64 {
-        self.line.time_for(tokens) * self.slowness_at(now)
+        self.prefill_time.time_for(tokens) * self.slowness_at(now)
     }
 
-    /// Tokens of prompts that the engine reads in a millisecond.
+    /// Prefill throughput, in tokens per millisecond.
     pub(super) fn tokens_per_ms(&self) -> f64 {
-        self.line.tokens_per_ms() / self.slowness
+        self.prefill_time.tokens_per_ms() / self.slowness
     }
 
-    /// Prompts that are unread.
+    /// Number of prompts waiting for prefill.
     pub(super) fn len(&self) -> usize {
-        self.unread.len()
+        self.pending.len()
     }
 
-    /// Whether nothing is unread.
+    /// Whether no prompt is waiting for prefill.
     pub(super) fn is_empty(&self) -> bool {
-        self.unread.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -2,7 +2,7 @@
     super::{
         EngineFacts, LoadSettings,
         backlog::Backlog,
-        place::{DEMAND_HALF_LIFE, Place, PlaceState},
+        place::{DEMAND_HALF_LIFE, Place, ResidentState},
         prefix_cache::PrefixCache,
     },
     crate::{
@@ -12,115 +12,113 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Requests that an engine is left below its number of slots, so that what other callers send at the same
-/// time finds a slot too.
+/// Request slots kept free on each engine for requests that the scheduler doesn't control.
 const SPARE_SLOTS: u32 = 2;
-/// How long after a doubt an engine's report is asked for: reports are some hundred milliseconds old, and
-/// an earlier one would still tell what was before.
-const REPORT_LAG: Millis = Millis(350);
-/// An order, or a question for a report, and its answer take about this long.
-const ORDER_TIME: Millis = Millis(5);
-/// Times in a row that this may happen before the engine is asked what it holds.
-const LATE_LOADS: u32 = 3;
-
-/// What an engine of one service can hold.
+/// Delay before a stale engine is polled, so that its report isn't older than the event.
+const REPORT_DELAY: Millis = Millis(350);
+/// Expected latency of an order or a report request.
+const ORDER_LATENCY: Millis = Millis(5);
+/// Consecutive late loads after which the engine is polled for a report.
+const MAX_LATE_LOADS: u32 = 3;
+
+/// Capacity of an engine of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Requests at a time.
+    /// Concurrent requests.
     pub slots: u32,
-    /// Tokens of running requests.
+    /// KV cache capacity, in tokens of running requests.
     pub kv_tokens: u64,
-    /// Adapters at a time, those on their way included.
+    /// Resident adapters, including those being loaded.
     pub adapter_slots: usize,
-    /// Megabytes for weights and adapters together.
+    /// Megabytes for base models and adapters together.
     pub weights_mb: f64,
-    /// Loads of base models from the weight store a second, over all engines.
+    /// Base model loads from the weight store per second, over all engines.
     pub loads_per_s: f64,
-    /// Each base model with its megabytes and those of one of its adapters.
+    /// Base models, each with its size and the size of one of its adapters, in megabytes.
     pub models: Vec<(ModelId, f64, f64)>,
 }
 
-/// How far the scheduler's book on an engine can be trusted.
+/// Whether the scheduler's view of an engine matches the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Knowledge {
-    /// It holds what the book says.
-    Sure,
-    /// An order may or may not have been carried out; ask for a report from then on.
-    Doubted {
-        /// When.
-        ask_at: Millis,
+pub(super) enum ViewState {
+    /// The view is up to date.
+    Synced,
+    /// The view may be wrong, for example after an order without a response.
+    Stale {
+        /// When to request a report.
+        request_at: Millis,
     },
-    /// A report was asked for.
-    Asked {
-        /// When to ask again.
-        again_at: Millis,
+    /// A report was requested.
+    Requested {
+        /// When to request it again.
+        retry_at: Millis,
     },
 }
 
-/// The scheduler's book on one engine.
+/// The scheduler's view of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub limits: EngineLimits,
-    pub knowledge: Knowledge,
+    pub view_state: ViewState,
     pub seq: u64,
-    /// Base models that it can run.
+    /// Base models that are loaded.
     pub models: Vec<ModelId>,
-    /// A base model that was ordered.
+    /// Base model being loaded.
     pub loading: Option<ModelId>,
     pub places: Vec<Place>,
-    /// Requests assigned to each adapter that haven't ended, whether or not the book has a place for it.
+    /// Assigned requests that have not ended, by adapter, including adapters that are not resident.
     users: HashMap<AdapterVersion, u32>,
-    /// An adapter that waits for its runs to end before it goes; until then the engine takes no order.
-    pub going: Option<AdapterVersion>,
-    /// Whether an order is out and not answered.
+    /// Adapter that is unloaded once its requests have ended; no orders are sent until then.
+    pub unloading: Option<AdapterVersion>,
+    /// Whether an order is waiting for its response.
     pub has_order: bool,
-    /// When its last order was sent or answered, whichever was later.
+    /// When the last order was sent or answered, whichever is later.
     pub ordered_at: Millis,
-    /// From when on it may be ordered: until then it may still get what another scheduler has sent.
+    /// No orders before this time: orders of the previous scheduler may still arrive.
     pub orders_from: Millis,
-    /// Whether it gets no more orders from this scheduler, which is about to hand it over.
+    /// Whether orders are stopped because leadership is about to be handed over.
     pub rests: bool,
-    /// Whether the order that is out is the second try of one that had no answer.
-    pub has_repeated: bool,
-    /// The adapter that gets the place of one that was ordered to go.
+    /// Whether the order in flight is the retry of one that got no response.
+    pub has_retried_order: bool,
+    /// Adapter that is loaded once the current eviction has made room.
     pub reserved: Option<(ModelId, AdapterVersion)>,
-    /// Adapters that it dropped lately, the latest last.
-    dropped: VecDeque<AdapterVersion>,
+    /// Recently unloaded adapters, oldest first.
+    recently_unloaded: VecDeque<AdapterVersion>,
     pub backlog: Backlog,
     pub prefixes: PrefixCache,
-    /// Tokens of the requests assigned to it.
+    /// KV cache tokens reserved by assigned requests.
     pub kv_used: u64,
-    late_loads: u32,
+    consecutive_late_loads: u32,
 }
 
 impl Engine {
     pub(super) fn new(limits: EngineLimits) -> Self {
         Self {
             limits,
-            knowledge: Knowledge::Doubted {
-                ask_at: Millis::ZERO,
+            view_state: ViewState::Stale {
+                request_at: Millis::ZERO,
             },
             seq: 0,
             models: Vec::new(),
             loading: None,
             places: Vec::new(),
             users: HashMap::new(),
-            going: None,
+            unloading: None,
             has_order: false,
             ordered_at: Millis::ZERO,
             orders_from: Millis::ZERO,
             rests: false,
-            has_repeated: false,
+            has_retried_order: false,
             reserved: None,
-            dropped: VecDeque::new(),
+            recently_unloaded: VecDeque::new(),
             backlog: Backlog::default(),
             prefixes: PrefixCache::default(),
             kv_used: 0,
-            late_loads: 0,
+            consecutive_late_loads: 0,
         }
     }
 
-    /// Forgets what a restart has ended.
+    /// Resets the state after the engine restarted; assigned requests are kept.
     pub(super) fn restart(&mut self) {
         let backlog = std::mem::take(&mut self.backlog);
         let mut fresh = Self::new(self.limits.clone());
@@ -133,115 +131,116 @@
         *self = fresh;
     }
 
-    /// Takes over what the engine says, in place of what the book says.
-    ///
-    /// Requests that were assigned go on counting, whatever it holds.
-    pub(super) fn adopt(
+    /// Replaces the view with the engine's status; assigned requests are kept.
+    pub(super) fn apply_status(
         &mut self,
-        facts: &EngineFacts,
+        status: &EngineFacts,
         load: &LoadSettings,
         now: Millis,
     ) {
         let before = std::mem::take(&mut self.places);
         let old = |adapter: AdapterVersion| before.iter().find(|place| place.adapter == adapter);
-        let take = |model, adapter, state| match old(adapter) {
+        let merge = |model, adapter, state| match old(adapter) {
             Some(place) => Place { state, ..*place },
             None => Place::new(model, adapter, state),
         };
-        let present = facts
+        let loaded = status
             .adapters
             .iter()
-            .map(|&(model, adapter)| take(model, adapter, PlaceState::Present));
-        let coming = PlaceState::Coming {
+            .map(|&(model, adapter)| merge(model, adapter, ResidentState::Loaded));
+        let new_load = ResidentState::Loading {
             ready_at: now + load.cold,
             is_cold: true,
         };
-        let on_the_way = facts.coming.iter().map(|&(model, adapter)| {
-            let state = old(adapter).map_or(coming, |place| match place.state {
-                PlaceState::Coming { .. } => place.state,
-                _ => coming,
+        let still_loading = status.coming.iter().map(|&(model, adapter)| {
+            let state = old(adapter).map_or(new_load, |place| match place.state {
+                ResidentState::Loading { .. } => place.state,
+                _ => new_load,
             });
-            take(model, adapter, state)
+            merge(model, adapter, state)
         });
-        self.places = present.chain(on_the_way).collect();
-        if let Some(place) = self.going.and_then(|going| self.place_mut(going)) {
-            place.state = PlaceState::Going;
+        self.places = loaded.chain(still_loading).collect();
+        if let Some(place) = self
+            .unloading
+            .and_then(|unloading| self.place_mut(unloading))
+        {
+            place.state = ResidentState::Unloading;
         } else {
-            self.going = None;
+            self.unloading = None;
         }
         for place in before {
             if self.place(place.adapter).is_none() && place.is_present(now) {
-                self.drop_place(place.adapter, load.kept_warm);
+                self.remove_resident(place.adapter, load.warm_capacity);
             }
         }
-        self.seq = facts.seq.unwrap_or(self.seq);
-        self.models.clone_from(&facts.models);
+        self.seq = status.seq.unwrap_or(self.seq);
+        self.models.clone_from(&status.models);
         if self
             .loading
-            .is_some_and(|model| facts.models.contains(&model))
+            .is_some_and(|model| status.models.contains(&model))
         {
             self.loading = None;
         }
-        self.late_loads = 0;
+        self.consecutive_late_loads = 0;
     }
 
-    /// Takes a report's word as the truth from here on, unless something is still going on there.
-    pub(super) fn trust(
+    /// Marks the view as up to date after a report, unless an unload is still pending.
+    pub(super) fn mark_synced(
         &mut self,
         now: Millis,
     ) {
         self.reserved = None;
-        if self.going.is_some() {
+        if self.unloading.is_some() {
             self.doubt(now);
         } else {
-            self.knowledge = Knowledge::Sure;
+            self.view_state = ViewState::Synced;
         }
     }
 
-    /// Stops trusting the book until a report has come.
+    /// Marks the view as stale until the next report.
     pub(super) fn doubt(
         &mut self,
         now: Millis,
     ) {
         self.reserved = None;
-        self.knowledge = Knowledge::Doubted {
-            ask_at: now + REPORT_LAG,
+        self.view_state = ViewState::Stale {
+            request_at: now + REPORT_DELAY,
         };
     }
 
-    /// Whether a report is to be asked for now; then notes that it was.
-    fn wants_report(
+    /// Returns whether a report is due, and if so schedules the next attempt.
+    fn take_due_report(
         &mut self,
         now: Millis,
     ) -> bool {
-        let due = self.report_due().is_some_and(|at| now >= at);
-        if due {
-            self.knowledge = Knowledge::Asked {
-                again_at: now + REPORT_LAG,
+        let is_due = self.report_due().is_some_and(|at| now >= at);
+        if is_due {
+            self.view_state = ViewState::Requested {
+                retry_at: now + REPORT_DELAY,
             };
         }
-        due
+        is_due
     }
 
-    /// Notes that its report is asked for, if that is wanted now; returns until when the answer is waited for.
+    /// Starts a report request if one is due; returns when to stop waiting for the response.
     pub(super) fn ask_report(
         &mut self,
         now: Millis,
     ) -> Option<Millis> {
-        let wants = !self.has_order && self.wants_report(now);
+        let wants = !self.has_order && self.take_due_report(now);
         wants.then(|| self.report_due()).flatten()
     }
 
-    /// When a report is wanted.
+    /// When the next report is due, if one is needed.
     pub(super) fn report_due(&self) -> Option<Millis> {
-        match self.knowledge {
-            Knowledge::Sure => None,
-            Knowledge::Doubted { ask_at } => Some(ask_at.max(self.orders_from)),
-            Knowledge::Asked { again_at } => Some(again_at),
+        match self.view_state {
+            ViewState::Synced => None,
+            ViewState::Stale { request_at } => Some(request_at.max(self.orders_from)),
+            ViewState::Requested { retry_at } => Some(retry_at),
         }
     }
 
-    /// Whether an order may be given now.
+    /// Whether an order can be sent now.
     pub(super) fn takes_orders(
         &self,
         now: Millis,
@@ -249,24 +248,24 @@
         !self.rests
             && !self.has_order
             && now >= self.orders_from
-            && self.knowledge == Knowledge::Sure
+            && self.view_state == ViewState::Synced
     }
 
-    /// How long until an order may be given, as far as that can be told; none where this scheduler gives it no more.
+    /// Estimated time until an order can be sent; `None` if orders are stopped.
     pub(super) fn order_wait(
         &self,
         now: Millis,
     ) -> Option<Millis> {
-        let answer = match self.knowledge {
-            _ if self.has_order => ORDER_TIME,
-            Knowledge::Sure => Millis::ZERO,
-            Knowledge::Doubted { ask_at } => ask_at.since(now) + ORDER_TIME,
-            Knowledge::Asked { .. } => ORDER_TIME,
+        let answer = match self.view_state {
+            _ if self.has_order => ORDER_LATENCY,
+            ViewState::Synced => Millis::ZERO,
+            ViewState::Stale { request_at } => request_at.since(now) + ORDER_LATENCY,
+            ViewState::Requested { .. } => ORDER_LATENCY,
         };
         (!self.rests).then(|| answer.max(self.orders_from.since(now)))
     }
 
-    /// Notes that an order is sent.
+    /// Records that an order was sent.
     pub(super) const fn note_order(
         &mut self,
         now: Millis,
@@ -275,20 +274,21 @@
         self.ordered_at = now;
     }
 
-    /// Whether a report tells of a time before the last order. Reports are some hundred milliseconds old; long after the
-    /// last order one that counts fewer orders than the book is right, and the book is wrong: an engine that says of an
-    /// order that it holds already may or may not count it. Taken for an old one, it left its engine without orders for
-    /// good.
-    pub(super) fn is_outdated(
+    /// Whether a report predates the last order.
+    ///
+    /// A report that counts fewer orders is outdated only for a short time after the last
+    /// order. Later it is the view that is wrong: an engine may or may not count an order that
+    /// had no effect, and ignoring its reports would block its orders permanently.
+    pub(super) fn is_report_outdated(
         &self,
-        facts: &EngineFacts,
+        status: &EngineFacts,
         now: Millis,
     ) -> bool {
-        let counts_less = facts.seq.is_some_and(|seq| seq < self.seq);
-        counts_less && now.since(self.ordered_at) < REPORT_LAG
+        let counts_less = status.seq.is_some_and(|seq| seq < self.seq);
+        counts_less && now.since(self.ordered_at) < REPORT_DELAY
     }
 
-    /// Whether one more request fits, beside what was assigned.
+    /// Whether one more request fits beside the assigned ones.
     pub(super) fn has_room(
         &self,
         running: u32,
@@ -316,7 +316,7 @@
             .find(|place| place.adapter == adapter)
     }
 
-    /// Any version of the adapter that takes a place.
+    /// The resident adapter with this id, whatever its version.
     pub(super) fn place_of(
         &self,
         adapter: AdapterId,
@@ -326,53 +326,53 @@
             .find(|place| place.adapter.adapter == adapter)
     }
 
-    /// Whether an adapter can be loaded without another one going.
+    /// Whether an adapter of this model can be loaded without an eviction.
     pub(super) fn has_free_place(
         &self,
         model: ModelId,
     ) -> bool {
-        self.places.len() < self.limits.adapter_slots && self.has_memory_for_one_more(model)
+        self.places.len() < self.limits.adapter_slots && self.has_memory_for(model)
     }
 
-    /// Adapters on their way.
+    /// Number of adapters being loaded.
     pub(super) fn coming(
         &self,
         now: Millis,
     ) -> usize {
-        let is_coming = |place: &&Place| matches!(place.state, PlaceState::Coming { ready_at, .. } if now < ready_at);
-        self.places.iter().filter(is_coming).count()
+        let is_loading = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, .. } if now < ready_at);
+        self.places.iter().filter(is_loading).count()
     }
 
-    /// Adapters on their way from the adapter store.
-    pub(super) fn coming_cold(
+    /// Number of adapters being loaded from the adapter store.
+    pub(super) fn cold_loads(
         &self,
         now: Millis,
     ) -> usize {
-        let is_cold = |place: &&Place| matches!(place.state, PlaceState::Coming { ready_at, is_cold: true } if now < ready_at);
+        let is_cold = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, is_cold: true } if now < ready_at);
         self.places.iter().filter(is_cold).count()
     }
 
-    /// Whether it held the adapter lately, so that it loads quickly.
+    /// Whether the adapter was unloaded recently, so that it reloads quickly.
     pub(super) fn keeps_warm(
         &self,
         adapter: AdapterVersion,
     ) -> bool {
-        self.dropped.contains(&adapter)
+        self.recently_unloaded.contains(&adapter)
     }
 
-    /// Whether it has any version of an adapter or can load one quickly.
-    pub(super) fn may_have(
+    /// Whether any version of the adapter is resident or was unloaded recently.
+    pub(super) fn may_hold(
         &self,
         adapter: AdapterId,
     ) -> bool {
-        let is_kept = self
-            .dropped
+        let was_held = self
+            .recently_unloaded
             .iter()
             .any(|dropped| dropped.adapter == adapter);
-        is_kept || self.place_of(adapter).is_some()
+        was_held || self.place_of(adapter).is_some()
     }
 
-    /// Requests that use an adapter.
+    /// Number of assigned requests that use the adapter.
     pub(super) fn users_of(
         &self,
         adapter: AdapterVersion,
@@ -380,17 +380,17 @@
         self.users.get(&adapter).copied().unwrap_or_default()
     }
 
-    /// Whether a request is just finding out whether the adapter is there by now.
+    /// Whether an assigned request is already probing whether the adapter is loaded.
     pub(super) fn is_being_tried(
         &self,
         adapter: AdapterVersion,
     ) -> bool {
-        let is_unproven = self.place(adapter).is_some_and(Place::is_unproven);
-        is_unproven && self.users_of(adapter) > 0
+        let needs_probe = self.place(adapter).is_some_and(Place::needs_probe);
+        needs_probe && self.users_of(adapter) > 0
     }
 
-    /// Notes a use of an adapter.
-    pub(super) fn use_adapter(
+    /// Records a request that uses the adapter.
+    pub(super) fn acquire_adapter(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
@@ -401,8 +401,8 @@
         }
     }
 
-    /// Notes the end of a use.
-    pub(super) fn leave_adapter(
+    /// Records the end of a request that used the adapter.
+    pub(super) fn release_adapter(
         &mut self,
         adapter: AdapterVersion,
     ) {
@@ -414,62 +414,64 @@
         }
     }
 
-    /// Takes an adapter off the book and remembers that the engine held it.
-    pub(super) fn drop_place(
+    /// Removes a resident adapter and remembers it as recently unloaded.
+    pub(super) fn remove_resident(
         &mut self,
         adapter: AdapterVersion,
-        kept_warm: usize,
+        warm_capacity: usize,
     ) {
         self.places.retain(|place| place.adapter != adapter);
-        self.dropped.retain(|&dropped| dropped != adapter);
-        self.dropped.push_back(adapter);
-        while self.dropped.len() > kept_warm {
-            self.dropped.pop_front();
+        self.recently_unloaded.retain(|&dropped| dropped != adapter);
+        self.recently_unloaded.push_back(adapter);
+        while self.recently_unloaded.len() > warm_capacity {
+            self.recently_unloaded.pop_front();
         }
     }
 
-    /// Notes that a load takes longer than expected; the engine is asked what it holds when that repeats.
+    /// Records a load that takes longer than expected; requests a report after several in a row.
     pub(super) fn note_late(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
     ) {
-        self.late_loads += 1;
-        if self.late_loads >= LATE_LOADS {
-            self.late_loads = 0;
-            self.knowledge = Knowledge::Doubted { ask_at: now };
+        self.consecutive_late_loads += 1;
+        if self.consecutive_late_loads >= MAX_LATE_LOADS {
+            self.consecutive_late_loads = 0;
+            self.view_state = ViewState::Stale { request_at: now };
         }
         if let Some(place) = self.place_mut(adapter) {
             place.note_late(now);
         }
     }
 
-    /// Notes that an adapter has proved to be there.
+    /// Records that a request found the adapter loaded.
     pub(super) fn note_ready(
         &mut self,
         adapter: AdapterVersion,
     ) {
-        self.late_loads = 0;
+        self.consecutive_late_loads = 0;
         if let Some(place) = self.place_mut(adapter)
-            && matches!(place.state, PlaceState::Coming { .. })
+            && matches!(place.state, ResidentState::Loading { .. })
         {
-            place.state = PlaceState::Present;
-            place.lates = 0;
+            place.state = ResidentState::Loaded;
+            place.late_count = 0;
         }
     }
 
-    /// Since when an adapter is on its way from the adapter store, if the engine has accepted the order to load it: one
-    /// that left it unanswered may carry it out seconds later, which says nothing about the store.
-    pub(super) fn cold_since(
+    /// When the engine accepted the order to load this adapter from the adapter store.
+    ///
+    /// `None` without an acceptance: such an order may be executed seconds later, which says
+    /// nothing about the speed of the store.
+    pub(super) fn cold_load_accepted_at(
         &self,
         adapter: AdapterVersion,
     ) -> Option<Millis> {
         let place = self.place(adapter)?;
-        let is_cold = matches!(place.state, PlaceState::Coming { is_cold: true, .. });
+        let is_cold = matches!(place.state, ResidentState::Loading { is_cold: true, .. });
         place.accepted_at.filter(|_| is_cold)
     }
 
-    fn has_memory_for_one_more(
+    fn has_memory_for(
         &self,
         model: ModelId,
     ) -> bool {
@@ -486,7 +488,7 @@
             .filter_map(|place| size(place.model))
             .map(|&(_, _, mb)| mb)
             .sum();
-        let one_more = size(model).map_or(0.0, |&(_, _, mb)| mb);
-        weights + adapters + one_more <= self.limits.weights_mb
+        let added = size(model).map_or(0.0, |&(_, _, mb)| mb);
+        weights + adapters + added <= self.limits.weights_mb
     }
 }
--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -1,13 +1,13 @@
 use {
     super::{
         EngineFacts, EngineLimits, Job, LoadSettings, Outcome, UpstreamFacts,
-        backlog::Reading,
+        backlog::PrefillSample,
         choose::{MANY, PreferredEngines},
         engine::Engine,
         fleet_totals::FleetTotals,
         holders::Holders,
-        load_pace::LoadPace,
-        read_time::{ReadLine, ReadTime},
+        load_slowdown::LoadSlowdown,
+        prefill_estimator::{PrefillEstimator, PrefillTime},
         upstream::Upstream,
     },
     crate::{
@@ -17,26 +17,26 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// All upstreams, with what the scheduler knows of them.
+/// All upstreams, and the scheduler's view of each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fleet {
     pub upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// The upstreams of each service, in the order of their ids.
+    /// The upstreams of each service, sorted by id.
     members: HashMap<ServiceId, Vec<UpstreamId>>,
     holders: Holders,
     preferred: PreferredEngines,
     pub totals: FleetTotals,
-    /// What the engines of a service can hold; a service without an entry is a plain one.
+    /// Engine capacity by service; services without an entry have no engines.
     engines: HashMap<ServiceId, EngineLimits>,
-    /// From when on engines may be ordered that were not known before.
+    /// No orders to newly added engines before this time.
     pub orders_from: Millis,
-    /// How fast the engines of a service read prompts.
-    read_times: HashMap<ServiceId, ReadTime>,
-    load_pace: LoadPace,
+    /// Prefill time estimators, by service.
+    prefill_estimators: HashMap<ServiceId, PrefillEstimator>,
+    load_slowdown: LoadSlowdown,
 }
 
 impl Fleet {
-    /// Sets which services have engines, and what these can hold.
+    /// Sets which services have engines, and the capacity of these.
     pub(super) fn set_engines(
         &mut self,
         engines: HashMap<ServiceId, EngineLimits>,
@@ -53,47 +53,49 @@
         self.upstreams = upstreams;
     }
 
-    /// The book on an engine of a service that was not known before; none where the service has no engines.
+    /// The initial view of an engine; `None` if the service has no engines.
     fn new_engine(
         &self,
         service: ServiceId,
     ) -> Option<Engine> {
         let limits = self.engines.get(&service)?;
         let mut engine = Engine::new(limits.clone());
-        engine.backlog.set_line(self.read_line(service));
+        engine.backlog.set_prefill_time(self.read_line(service));
         engine.orders_from = self.orders_from;
         Some(engine)
     }
 
-    /// Takes what an upstream's entry says. `is_sole_orderer` says that nobody else gives orders: then
-    /// what the book has of an engine is newer than its entry.
+    /// Adds or updates an upstream from its store entry.
+    ///
+    /// `is_only_scheduler` means that no other scheduler sends orders; an up-to-date view is then
+    /// newer than the entry.
     pub(super) fn set(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
-        is_sole_orderer: bool,
+        status: &UpstreamFacts,
+        is_only_scheduler: bool,
         load: &LoadSettings,
         now: Millis,
     ) {
         if !self.upstreams.contains_key(&id) {
-            let engine = self.new_engine(facts.service);
+            let engine = self.new_engine(status.service);
             self.upstreams
-                .insert(id, Upstream::new(id, facts, engine, now));
-            self.join(id, facts.service);
+                .insert(id, Upstream::new(id, status, engine, now));
+            self.add_member(id, status.service);
         }
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
         let before = upstream.service;
-        upstream.update(facts, now);
-        if before != facts.service {
-            self.leave(id, before);
-            self.join(id, facts.service);
+        upstream.update(status, now);
+        if before != status.service {
+            self.remove_member(id, before);
+            self.add_member(id, status.service);
         }
-        self.take_holdings(id, facts, is_sole_orderer, load, now);
+        self.apply_entry_status(id, status, is_only_scheduler, load, now);
     }
 
-    fn join(
+    fn add_member(
         &mut self,
         id: UpstreamId,
         service: ServiceId,
@@ -105,7 +107,7 @@
         self.preferred.note_joined(id);
     }
 
-    fn leave(
+    fn remove_member(
         &mut self,
         id: UpstreamId,
         service: ServiceId,
@@ -116,59 +118,59 @@
         self.preferred.note_left();
     }
 
-    fn take_holdings(
+    fn apply_entry_status(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
-        is_sole_orderer: bool,
+        status: &UpstreamFacts,
+        is_only_scheduler: bool,
         load: &LoadSettings,
         now: Millis,
     ) {
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let (Some(engine), Some(said)) = (&mut upstream.engine, &facts.engine) else {
+        let (Some(engine), Some(engine_status)) = (&mut upstream.engine, &status.engine) else {
             return;
         };
-        if !is_sole_orderer || !matches!(engine.knowledge, super::engine::Knowledge::Sure) {
-            engine.adopt(said, load, now);
-            self.index_holdings(id);
+        if !is_only_scheduler || !matches!(engine.view_state, super::engine::ViewState::Synced) {
+            engine.apply_status(engine_status, load, now);
+            self.index_residents(id);
         } else {
-            engine.models.clone_from(&said.models);
+            engine.models.clone_from(&engine_status.models);
             if engine
                 .loading
-                .is_some_and(|model| said.models.contains(&model))
+                .is_some_and(|model| engine_status.models.contains(&model))
             {
                 engine.loading = None;
             }
         }
     }
 
-    /// Takes an engine's own report.
+    /// Applies a report from an engine.
     pub(super) fn report(
         &mut self,
         id: UpstreamId,
-        facts: &EngineFacts,
+        status: &EngineFacts,
         load: &LoadSettings,
         now: Millis,
     ) {
         let Some(engine) = self.engine_mut(id) else {
             return;
         };
-        // A report older than an order that was accepted since would undo it in the book.
-        if engine.is_outdated(facts, now) || engine.has_order {
+        // A report older than an accepted order would revert that order in the view.
+        if engine.is_report_outdated(status, now) || engine.has_order {
             engine.doubt(now);
             return;
         }
-        engine.adopt(facts, load, now);
-        engine.trust(now);
-        if facts.is_busy && engine.loading.is_none() {
+        engine.apply_status(status, load, now);
+        engine.mark_synced(now);
+        if status.is_busy && engine.loading.is_none() {
             engine.loading = engine.limits.models.first().map(|&(model, ..)| model);
         }
-        self.index_holdings(id);
+        self.index_residents(id);
     }
 
-    fn index_holdings(
+    fn index_residents(
         &mut self,
         id: UpstreamId,
     ) {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Notes that an engine has an adapter or gets it.
+    /// Records that an engine holds an adapter or is loading it.
     pub(super) fn note_holder(
         &mut self,
         adapter: AdapterId,
@@ -191,12 +193,12 @@
         let upstreams = &self.upstreams;
         let holds = |listed: UpstreamId| {
             let engine = upstreams.get(&listed).and_then(|up| up.engine.as_ref());
-            engine.is_some_and(|engine| engine.may_have(adapter))
+            engine.is_some_and(|engine| engine.may_hold(adapter))
         };
         self.holders.add(adapter, id, holds);
     }
 
-    /// Upstreams that have an adapter or had it lately, and some that don't any more.
+    /// Upstreams that may hold an adapter or have unloaded it recently; `None` if removed.
     pub(super) fn holders(
         &self,
         adapter: AdapterId,
@@ -205,7 +207,7 @@
         ids.iter().map(|id| self.upstreams.get(id))
     }
 
-    /// Makes ready what a choice for a request asks of [`Self::preferred`].
+    /// Updates the list that [`Self::preferred`] returns for this request.
     pub(super) fn prepare(
         &mut self,
         job: &Job,
@@ -238,7 +240,7 @@
             .map(|up| up.id)
     }
 
-    /// The engines of a service that an adapter prefers, the best first.
+    /// The preferred engines of an adapter, best first.
     pub(super) fn preferred(
         &self,
         service: ServiceId,
@@ -248,7 +250,7 @@
         ids.iter().filter_map(|id| self.upstreams.get(id))
     }
 
-    /// The upstreams of a service, whether or not they take work.
+    /// All upstreams of a service, ready or not.
     pub(super) fn members(
         &self,
         service: ServiceId,
@@ -256,13 +258,13 @@
         self.members.get(&service).map_or(&[], Vec::as_slice)
     }
 
-    /// Forgets an upstream that is gone.
+    /// Removes an upstream.
     pub(super) fn remove(
         &mut self,
         id: UpstreamId,
     ) {
         if let Some(upstream) = self.upstreams.remove(&id) {
-            self.leave(id, upstream.service);
+            self.remove_member(id, upstream.service);
         }
     }
 
@@ -282,14 +284,14 @@
             .and_then(|upstream| upstream.engine.as_mut())
     }
 
-    /// Engines, with their ids.
+    /// All engines with their ids.
     pub(super) fn engines_mut(&mut self) -> impl Iterator<Item = (UpstreamId, &mut Engine)> {
         self.upstreams
             .values_mut()
             .filter_map(|upstream| Some((upstream.id, upstream.engine.as_mut()?)))
     }
 
-    /// Upstreams of a service that take new work.
+    /// Upstreams of a service that accept new requests.
     pub(super) fn ready(
         &self,
         service: ServiceId,
@@ -300,7 +302,7 @@
             .filter(|upstream| upstream.is_ready)
     }
 
-    /// Brings the sums over all upstreams up to date, as often as their number allows.
+    /// Recomputes the totals if they are due.
     pub(super) fn refresh_totals(
         &mut self,
         now: Millis,
@@ -308,13 +310,13 @@
         if !self.totals.is_due(self.upstreams.len(), now) {
             return;
         }
-        if self.totals.lines_changed {
-            self.spread_lines();
+        if self.totals.prefill_times_changed {
+            self.copy_prefill_times();
         }
         self.totals = FleetTotals::of(self.upstreams.values(), now);
     }
 
-    /// Work of a service that its upstreams do in a millisecond: tokens of prompts, or calls.
+    /// Throughput of a service per millisecond: prompt tokens on engines, otherwise calls.
     pub(super) fn capacity(
         &self,
         service: ServiceId,
@@ -322,73 +324,76 @@
         self.totals.capacity(service)
     }
 
-    /// How long engines of a service take to read prompts.
+    /// The prefill time model of a service.
     pub(super) fn read_line(
         &self,
         service: ServiceId,
-    ) -> ReadLine {
-        let known = self.read_times.get(&service).copied();
-        known.unwrap_or_default().line()
+    ) -> PrefillTime {
+        let known = self.prefill_estimators.get(&service).copied();
+        known.unwrap_or_default().prefill_time()
     }
 
-    /// Learns from how long an engine of a service took to read a prompt.
+    /// Records a measured prefill time.
     pub(super) fn note_reading(
         &mut self,
         service: ServiceId,
-        reading: Reading,
+        sample: PrefillSample,
     ) {
-        let read_time = self.read_times.entry(service).or_default();
-        read_time.note(reading.tokens, reading.took);
-        self.totals.lines_changed = true;
+        let prefill_estimator = self.prefill_estimators.entry(service).or_default();
+        prefill_estimator.note(sample.tokens, sample.took);
+        self.totals.prefill_times_changed = true;
     }
 
-    /// Tells all engines how fast those of their service read prompts.
-    fn spread_lines(&mut self) {
-        let lines: HashMap<ServiceId, ReadLine> = self
-            .read_times
+    /// Copies the prefill time model of each service to its engines.
+    fn copy_prefill_times(&mut self) {
+        let prefill_times: HashMap<ServiceId, PrefillTime> = self
+            .prefill_estimators
             .iter()
-            .map(|(&service, read_time)| (service, read_time.line()))
+            .map(|(&service, prefill_estimator)| (service, prefill_estimator.prefill_time()))
             .collect();
         for upstream in self.upstreams.values_mut() {
-            if let (Some(engine), Some(&line)) =
-                (&mut upstream.engine, lines.get(&upstream.service))
+            if let (Some(engine), Some(&prefill_time)) =
+                (&mut upstream.engine, prefill_times.get(&upstream.service))
             {
-                engine.backlog.set_line(line);
+                engine.backlog.set_prefill_time(prefill_time);
             }
         }
     }
 
-    /// Cold loads at a time that don't slow each other down: the users' adapter store grows with their engines, four for
-    /// nine of them at ninety and more, and is never smaller than the settings say.
-    fn loads_at_once(
+    /// Cold loads that can run concurrently without slowing each other down.
+    ///
+    /// The adapter store's throughput grows with the number of engines; the setting is the lower
+    /// bound.
+    fn max_concurrent_cold_loads(
         &self,
         load: &LoadSettings,
     ) -> u64 {
-        u64::from(load.at_once.max(1)).max(self.totals.engines as u64 * 4 / 9)
+        u64::from(load.max_concurrent_cold.max(1)).max(self.totals.engines as u64 * 4 / 9)
     }
 
-    /// How long a load from the adapter store takes if it begins now. Loads that share the store take longer in proportion
-    /// beyond a number of them.
+    /// Expected duration of a cold load that starts now.
     pub(super) fn cold_time(
         &self,
         load: &LoadSettings,
         now: Millis,
     ) -> Millis {
-        let expected = self.settings_time(load).0 as f64;
-        Millis((expected * self.load_pace.factor(now)) as u64)
+        let expected = self.nominal_cold_time(load).0 as f64;
+        Millis((expected * self.load_slowdown.factor(now)) as u64)
     }
 
-    /// How long it would take if the store were as fast as the settings say.
-    fn settings_time(
+    /// Duration of a cold load at the store speed given in the settings.
+    ///
+    /// It grows in proportion to the loads beyond those that the store serves at full speed.
+    fn nominal_cold_time(
         &self,
         load: &LoadSettings,
     ) -> Millis {
-        let crowd = self.totals.coming_cold as u64 + 1;
-        let at_once = self.loads_at_once(load);
-        Millis(load.cold.0 * crowd.max(at_once) / at_once)
+        let concurrent_loads = self.totals.cold_loads as u64 + 1;
+        let max_concurrent_cold = self.max_concurrent_cold_loads(load);
+        Millis(load.cold.0 * concurrent_loads.max(max_concurrent_cold) / max_concurrent_cold)
     }
 
-    /// Notes that a request was assigned.
+    /// Records that a request was assigned.
     pub(super) fn assign(
         &mut self,
         id: UpstreamId,
@@ -405,12 +410,12 @@
             engine.kv_used += tokens.total;
             engine.backlog.push(request, tokens.unread, now);
             if let Some(adapter) = adapter {
-                engine.use_adapter(adapter, now);
+                engine.acquire_adapter(adapter, now);
             }
         }
     }
 
-    /// Notes that an assigned request has ended, or will never begin.
+    /// Records that an assigned request has ended or won't start.
     pub(super) fn release(
         &mut self,
         id: UpstreamId,
@@ -427,12 +432,12 @@
             engine.kv_used = engine.kv_used.saturating_sub(total);
             engine.backlog.remove(request, now);
             if let Some(adapter) = adapter {
-                engine.leave_adapter(adapter);
+                engine.release_adapter(adapter);
             }
         }
     }
 
-    /// Learns from how a request ended.
+    /// Updates health, latency and load estimates from the outcome of a request.
     pub(super) fn learn(
         &mut self,
         id: UpstreamId,
@@ -441,24 +446,27 @@
         load: &LoadSettings,
         now: Millis,
     ) {
-        let expected = self.settings_time(load);
+        let expected = self.nominal_cold_time(load);
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let cold_since = adapter.and_then(|adapter| upstream.engine.as_ref()?.cold_since(adapter));
-        if let (Some(since), Outcome::Shed | Outcome::NotLoaded) = (cold_since, outcome) {
-            self.load_pace.note_late(now.since(since), expected, now);
+        let cold_load_accepted_at =
+            adapter.and_then(|adapter| upstream.engine.as_ref()?.cold_load_accepted_at(adapter));
+        if let (Some(since), Outcome::Shed | Outcome::NotLoaded) = (cold_load_accepted_at, outcome)
+        {
+            self.load_slowdown
+                .note_late(now.since(since), expected, now);
         }
         match outcome {
             Outcome::Answered { took } => {
-                upstream.health.answered(now);
+                upstream.health.note_success(now);
                 upstream.note_call(took);
             }
-            // A load that isn't over yet is answered like a full engine.
+            // An engine also sheds requests for an adapter that is still loading.
             Outcome::Shed if upstream.is_loading(adapter) => upstream.note_late(adapter, now),
-            Outcome::Failed | Outcome::Shed | Outcome::Lost => upstream.health.failed(now),
-            Outcome::Unreachable | Outcome::Silent => upstream.health.missed(now),
-            // Its entry will go or change; until then it is not the upstream that was meant.
+            Outcome::Failed | Outcome::Shed | Outcome::Lost => upstream.health.note_failure(now),
+            Outcome::Unreachable | Outcome::Silent => upstream.health.note_unreachable(now),
+            // Another upstream has taken over the address; not used until its store entry changes.
             Outcome::OtherUpstream => upstream.is_ready = false,
             Outcome::Abandoned => {}
             Outcome::NotLoaded => upstream.note_late(adapter, now),
@@ -466,17 +474,17 @@
     }
 }
 
-/// How much work a request is for an engine.
+/// Cost of a request on a particular engine, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
-    /// Tokens of its prompt that have to be read.
+    /// Prompt tokens to prefill, without those in the prefix cache.
     pub unread: f64,
-    /// Tokens that it takes up in the end.
+    /// Prompt and output tokens that the request occupies in the KV cache.
     pub total: u64,
 }
 
 impl Load {
-    /// How much work a request would be for an engine.
+    /// The cost of a request on an engine.
     pub(super) fn of(
         job: &Job,
         engine: &Engine,
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -1,54 +1,54 @@
 use crate::{clock::Millis, decayed::Decayed};
 
-/// How fast what an upstream has done is forgotten.
+/// Half-life of recorded successes and failures.
 const HALF_LIFE: Millis = Millis(3_000);
-/// Successes that an upstream is given in advance, so that one failure doesn't count as all failing.
-const PRIOR: f64 = 4.0;
-/// The first pause after an upstream couldn't be reached; doubled with each further time.
-const FIRST_PAUSE: Millis = Millis(200);
-/// The longest pause; an upstream that is back is noticed this late at most.
-const MOST_PAUSE: Millis = Millis(1_600);
+/// Assumed earlier successes, so that a single failure doesn't give a failure rate of 1.
+const PRIOR_SUCCESSES: f64 = 4.0;
+/// Pause after the first failed connection; doubled with each further one.
+const MIN_PAUSE: Millis = Millis(200);
+/// Upper bound of the pause, and so of the delay in noticing a recovery.
+const MAX_PAUSE: Millis = Millis(1_600);
 
-/// How an upstream has been doing lately, as seen from what became of requests.
+/// Recent health of an upstream, measured by the outcomes of its requests.
 ///
-/// Its own health check can be good while it fails a part of its requests; only their outcomes tell.
+/// A passing health check doesn't show that some of its requests fail.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
-    failed: Decayed,
-    answered: Decayed,
-    misses: u32,
+    failures: Decayed,
+    successes: Decayed,
+    consecutive_unreachable: u32,
     paused_until: Millis,
 }
 
 impl Health {
-    pub(super) fn answered(
+    pub(super) fn note_success(
         &mut self,
         now: Millis,
     ) {
-        self.answered.add(1.0, now, HALF_LIFE);
-        self.misses = 0;
+        self.successes.add(1.0, now, HALF_LIFE);
+        self.consecutive_unreachable = 0;
         self.paused_until = Millis::ZERO;
     }
 
-    pub(super) fn failed(
+    pub(super) fn note_failure(
         &mut self,
         now: Millis,
     ) {
-        self.failed.add(1.0, now, HALF_LIFE);
+        self.failures.add(1.0, now, HALF_LIFE);
     }
 
-    /// Notes that it wasn't reached or stayed silent: it gets nothing for a while.
-    pub(super) fn missed(
+    /// Records a connection failure or a timeout; pauses the upstream.
+    pub(super) fn note_unreachable(
         &mut self,
         now: Millis,
     ) {
-        self.failed(now);
-        let pause = Millis(FIRST_PAUSE.0 << self.misses.min(8)).min(MOST_PAUSE);
-        self.misses += 1;
+        self.note_failure(now);
+        let pause = Millis(MIN_PAUSE.0 << self.consecutive_unreachable.min(8)).min(MAX_PAUSE);
+        self.consecutive_unreachable += 1;
         self.paused_until = now + pause;
     }
 
-    /// Whether it may get requests.
+    /// Whether the upstream is not paused.
     pub(super) fn is_open(
         &self,
         now: Millis,
@@ -56,12 +56,12 @@
         now >= self.paused_until
     }
 
-    /// The share of its requests that it fails, from 0 to 1.
+    /// Recent failure rate, from 0 to 1.
     pub(super) fn failing(
         &self,
         now: Millis,
     ) -> f64 {
-        let failed = self.failed.get(now, HALF_LIFE);
-        failed / (failed + self.answered.get(now, HALF_LIFE) + PRIOR)
+        let failures = self.failures.get(now, HALF_LIFE);
+        failures / (failures + self.successes.get(now, HALF_LIFE) + PRIOR_SUCCESSES)
     }
 }
--- /dev/null
+++ b/crates/core/src/scheduler/load_slowdown.rs
@@ -0,0 +1,43 @@
+use crate::clock::Millis;
+
+/// Margin on the observed time, because the load was not finished by then.
+const MARGIN_FACTOR: f64 = 1.1;
+/// Upper bound of the factor: late loads may have other causes.
+const MAX_FACTOR: f64 = 3.0;
+/// Half-life of an observed slowdown.
+const HALF_LIFE: Millis = Millis(6_000);
+
+/// How much slower cold loads are than the settings say, from observed late loads.
+///
+/// After a restart, hundreds of adapters are loaded at once. Requests sent before their adapter is
+/// loaded are rejected by the engine and use up the retry budget.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct LoadSlowdown {
+    /// Slowdown factor minus one, at `observed_at`.
+    excess: f64,
+    observed_at: Millis,
+}
+
+impl LoadSlowdown {
+    /// Records a load that was expected to take `expected` and was not finished after `elapsed`.
+    pub(super) fn note_late(
+        &mut self,
+        elapsed: Millis,
+        expected: Millis,
+        now: Millis,
+    ) {
+        let observed = elapsed.0 as f64 / expected.0.max(1) as f64 * MARGIN_FACTOR;
+        let factor = observed.clamp(1.0, MAX_FACTOR).max(self.factor(now));
+        self.excess = factor - 1.0;
+        self.observed_at = now;
+    }
+
+    /// The slowdown factor, at least 1.
+    pub(super) fn factor(
+        self,
+        now: Millis,
+    ) -> f64 {
+        let halvings = now.since(self.observed_at).0 as f64 / HALF_LIFE.0 as f64;
+        1.0 + self.excess * (-halvings).exp2()
+    }
+}
--- a/crates/core/src/scheduler/place.rs
+++ b/crates/core/src/scheduler/place.rs
@@ -4,41 +4,41 @@
     ids::{AdapterVersion, ModelId},
 };
 
-/// How fast the memory of an adapter's use fades.
+/// Half-life of an adapter's recorded demand.
 pub(super) const DEMAND_HALF_LIFE: Millis = Millis(5_000);
 
-/// How much longer a load is expected to take when a request was told that the adapter is not there yet; doubled each
-/// time, so often at the most.
-const LATE_LOAD: Millis = Millis(40);
-const MOST_DOUBLED: u32 = 4;
+/// Delay before a late load is checked again; doubled each time.
+const LATE_LOAD_DELAY: Millis = Millis(40);
+/// Upper bound of the doublings of this delay.
+const MAX_DELAY_DOUBLINGS: u32 = 4;
 
-/// Where an adapter on an engine stands.
+/// State of an adapter on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PlaceState {
-    /// On its way; expected to be ready at a point in time.
-    Coming {
-        /// When.
+pub(super) enum ResidentState {
+    /// Being loaded.
+    Loading {
+        /// When the load is expected to finish.
         ready_at: Millis,
-        /// Whether it is fetched from the adapter store.
+        /// Whether it is loaded from the adapter store.
         is_cold: bool,
     },
-    /// Ready for requests.
-    Present,
-    /// Ordered to go.
-    Going,
+    /// Loaded.
+    Loaded,
+    /// Being unloaded.
+    Unloading,
 }
 
-/// An adapter that takes one of an engine's places.
+/// An adapter that occupies one of an engine's adapter slots.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Place {
     pub model: ModelId,
     pub adapter: AdapterVersion,
-    pub state: PlaceState,
-    /// How much it is used, fading.
+    pub state: ResidentState,
+    /// Recent requests, decayed.
     pub demand: Decayed,
-    /// How often requests were told that it is not there yet, since it was last seen to be.
-    pub lates: u32,
-    /// When the engine accepted the order to load it, if it is known to have.
+    /// Requests rejected since the adapter was last known to be loaded.
+    pub late_count: u32,
+    /// When the engine accepted the order to load it.
     pub accepted_at: Option<Millis>,
 }
 
@@ -46,58 +46,58 @@
     pub(super) fn new(
         model: ModelId,
         adapter: AdapterVersion,
-        state: PlaceState,
+        state: ResidentState,
     ) -> Self {
         Self {
             model,
             adapter,
             state,
             demand: Decayed::default(),
-            lates: 0,
+            late_count: 0,
             accepted_at: None,
         }
     }
 
-    /// Whether requests may be sent to it: a load counts as done once its time is up.
+    /// Whether requests can be sent to it; a load counts as finished at its expected time.
     pub(super) fn is_present(
         &self,
         now: Millis,
     ) -> bool {
         match self.state {
-            PlaceState::Present => true,
-            PlaceState::Coming { ready_at, .. } => now >= ready_at,
-            PlaceState::Going => false,
+            ResidentState::Loaded => true,
+            ResidentState::Loading { ready_at, .. } => now >= ready_at,
+            ResidentState::Unloading => false,
         }
     }
 
-    /// Notes that a request was told that it is not there yet.
+    /// Records a request that was rejected because the load is not finished.
     pub(super) fn note_late(
         &mut self,
         now: Millis,
     ) {
-        let is_cold = matches!(self.state, PlaceState::Coming { is_cold: true, .. });
-        let ready_at = now + Millis(LATE_LOAD.0 << self.lates.min(MOST_DOUBLED));
-        self.state = PlaceState::Coming { ready_at, is_cold };
-        self.lates += 1;
+        let is_cold = matches!(self.state, ResidentState::Loading { is_cold: true, .. });
+        let ready_at = now + Millis(LATE_LOAD_DELAY.0 << self.late_count.min(MAX_DELAY_DOUBLINGS));
+        self.state = ResidentState::Loading { ready_at, is_cold };
+        self.late_count += 1;
     }
 
-    /// Whether one request has to find out whether it is there before others are sent.
+    /// Whether a single request must confirm the load before others are sent.
     ///
-    /// An engine that carries an order out late answers all who come too early that it lacks the adapter. Each of these
-    /// is sent again, and the repeats that a service may get were used up by them.
-    pub(super) const fn is_unproven(&self) -> bool {
-        self.lates > 0 && matches!(self.state, PlaceState::Coming { .. })
+    /// Otherwise a late load would cause many rejections, whose retries use up the service's retry
+    /// budget.
+    pub(super) const fn needs_probe(&self) -> bool {
+        self.late_count > 0 && matches!(self.state, ResidentState::Loading { .. })
     }
 
-    /// How long until requests may be sent to it; none if never.
+    /// Expected time until requests can be sent to it; `None` while it is being unloaded.
     pub(super) fn wait(
         &self,
         now: Millis,
     ) -> Option<Millis> {
         match self.state {
-            PlaceState::Present => Some(Millis::ZERO),
-            PlaceState::Coming { ready_at, .. } => Some(ready_at.since(now)),
-            PlaceState::Going => None,
+            ResidentState::Loaded => Some(Millis::ZERO),
+            ResidentState::Loading { ready_at, .. } => Some(ready_at.since(now)),
+            ResidentState::Unloading => None,
         }
     }
 }
--- a/crates/core/src/scheduler/prefix_cache.rs
+++ b/crates/core/src/scheduler/prefix_cache.rs
@@ -3,21 +3,19 @@
     std::collections::HashMap,
 };
 
-/// Parts remembered for one engine. An engine of the users' holds some hundred thousand tokens, a part has
-/// a few hundred.
-const MOST_PARTS: usize = 512;
-/// A part that was not used for this long counts as gone: an engine's memory turns over in about that time
-/// on a busy day.
-const KEPT: Millis = Millis(15_000);
+/// Upper bound of parts tracked per engine, above what its KV cache holds.
+const MAX_PARTS: usize = 512;
+/// Time after its last use at which a part counts as evicted from the KV cache.
+const PART_TTL: Millis = Millis(15_000);
 
-/// Which beginnings of prompts an engine still has, by what was sent to it.
+/// Estimate of the prompt prefixes in an engine's KV cache, from the prompts sent to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefixCache {
-    used: HashMap<(Option<AdapterId>, u64), Millis>,
+    last_used_at: HashMap<(Option<AdapterId>, u64), Millis>,
 }
 
 impl PrefixCache {
-    /// Tokens at the start of a prompt that need not be read again.
+    /// Tokens at the start of a prompt that need no prefill.
     pub(super) fn cached(
         &self,
         adapter: Option<AdapterId>,
@@ -27,14 +25,14 @@
         parts
             .iter()
             .take_while(|part| {
-                let used = self.used.get(&(adapter, part.id));
-                used.is_some_and(|&at| now.since(at) < KEPT)
+                let last_used_at = self.last_used_at.get(&(adapter, part.id));
+                last_used_at.is_some_and(|&at| now.since(at) < PART_TTL)
             })
             .map(|part| part.tokens)
             .sum()
     }
 
-    /// Notes that a prompt was read.
+    /// Records that a prompt was prefilled.
     pub(super) fn note(
         &mut self,
         adapter: Option<AdapterId>,
@@ -42,13 +40,13 @@
         now: Millis,
     ) {
         for part in parts {
-            self.used.insert((adapter, part.id), now);
+            self.last_used_at.insert((adapter, part.id), now);
         }
-        if self.used.len() > MOST_PARTS {
-            self.used.retain(|_, at| now.since(*at) < KEPT);
+        if self.last_used_at.len() > MAX_PARTS {
+            self.last_used_at.retain(|_, at| now.since(*at) < PART_TTL);
         }
-        if self.used.len() > MOST_PARTS {
-            self.used.clear();
+        if self.last_used_at.len() > MAX_PARTS {
+            self.last_used_at.clear();
         }
     }
 }
--- a/crates/core/src/scheduler/report_line.rs
+++ b/crates/core/src/scheduler/report_line.rs
@@ -3,32 +3,31 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Reports that are asked for at a time. After a takeover all engines' are wanted: thousands of connections at once
-/// would take all descriptors, and the answers be lost behind each other.
-const MAX_ASKED: usize = 48;
+/// Upper bound of pending report requests, which limits connections and file descriptors.
+const MAX_PENDING_REPORTS: usize = 48;
 
-/// Engines whose reports are wanted, and those that were asked for theirs.
+/// Queue of engines to request reports from, and the pending requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportLine {
-    /// Those that a request waits for.
+    /// Engines that a request is waiting for.
     urgent: VecDeque<UpstreamId>,
     due: VecDeque<UpstreamId>,
-    /// Engines whose answer is out, with until when it is waited for.
-    asked: HashMap<UpstreamId, Millis>,
+    /// Pending report requests, with the time at which each expires.
+    pending: HashMap<UpstreamId, Millis>,
 }
 
 impl ReportLine {
-    /// Notes that a request waits until an engine can be ordered.
+    /// Records that a request is waiting until the engine can take orders.
     pub(super) fn note_urgent(
         &mut self,
         engine: UpstreamId,
     ) {
-        if self.urgent.len() < MAX_ASKED && !self.urgent.contains(&engine) {
+        if self.urgent.len() < MAX_PENDING_REPORTS && !self.urgent.contains(&engine) {
             self.urgent.push_back(engine);
         }
     }
 
-    /// Takes the engines whose reports are due, in place of those known before.
+    /// Replaces the engines whose reports are due, and drops expired requests.
     pub(super) fn set_due<I>(
         &mut self,
         due: I,
@@ -38,18 +37,18 @@
     {
         self.due.clear();
         self.due.extend(due);
-        self.asked.retain(|_, until| now < *until);
+        self.pending.retain(|_, expires_at| now < *expires_at);
     }
 
-    /// Notes that an engine has answered, or won't.
+    /// Records that a report request was answered or has failed.
     pub(super) fn note_answer(
         &mut self,
         engine: UpstreamId,
     ) {
-        self.asked.remove(&engine);
+        self.pending.remove(&engine);
     }
 
-    /// The next engine to ask, as far as `wants` says that its report is still wanted.
+    /// The next engine to request a report from; `wants` returns when that request expires.
     pub(super) fn next<F>(
         &mut self,
         mut wants: F,
@@ -57,10 +56,10 @@
     where
         F: FnMut(UpstreamId) -> Option<Millis>,
     {
-        while self.asked.len() < MAX_ASKED {
+        while self.pending.len() < MAX_PENDING_REPORTS {
             let engine = self.urgent.pop_front().or_else(|| self.due.pop_front())?;
-            if let Some(until) = wants(engine) {
-                self.asked.insert(engine, until);
+            if let Some(expires_at) = wants(engine) {
+                self.pending.insert(engine, expires_at);
                 return Some(engine);
             }
         }
--- a/crates/core/src/scheduler/rights.rs
+++ b/crates/core/src/scheduler/rights.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Job, Work, own_use::OwnUse},
+    super::{Job, Work, local_usage::LocalUsage},
     crate::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -12,45 +12,46 @@
     std::collections::BTreeMap,
 };
 
-/// What a scheduler that takes over may assume to be unused of an account, in percent of the most that
-/// the account may use in [`LOOK_BACK`]. The scheduler before may have used up everything at the last moment;
-/// what is assumed on top of that has to stay within the tolerance of the limit.
-const ASSUMED_PERCENT: u64 = 5;
-/// How far ahead tokens are kept back for a caller that is over its rate. One that comes back later is late in any
-/// case, and an account over its rate has others that could have been on time with the same tokens.
-const PROMISED: Millis = Millis(600);
-/// What all VMs together may assume so while each decides alone. With nothing at all a VM that has just started
-/// refuses its first callers.
-const ASSUMED_ALONE_PERCENT: u64 = 3;
-/// The part of an account's burst that generations leave to calls, and the most that is: eight of the users' calls,
-/// of which an account makes some two a second.
-const CALLS_PART: u64 = 8;
-const MOST_FOR_CALLS: u64 = 1_600;
-/// For how long after a refusal an account counts as over its rate.
-const OVER: Millis = Millis(3_000);
-/// The time over which a limit is judged, in seconds.
-const LOOK_BACK: u64 = 8;
+/// Initial grant of a scheduler that takes over, in percent of the limit over the window.
+///
+/// The previous scheduler may have used everything, so this has to stay within the limit's
+/// tolerance.
+const TAKEOVER_GRANT_PERCENT: u64 = 5;
+/// How far ahead tokens are reserved for a rate-limited caller that is told when to retry.
+const RESERVATION_HORIZON: Millis = Millis(600);
+/// Initial grant of all VMs together while there is no scheduler, in percent of the same limit.
+///
+/// Zero would make a VM that has just started reject its first requests.
+const STANDALONE_GRANT_PERCENT: u64 = 3;
+/// Share of an account's burst that generations leave for calls, as a divisor.
+const CALL_RESERVE_DIVISOR: u64 = 8;
+/// Upper bound of the tokens that generations leave for calls.
+const MAX_CALL_RESERVE: u64 = 1_600;
+/// How long an account counts as over its rate after a rejection.
+const OVER_RATE_TIMEOUT: Millis = Millis(3_000);
+/// Time over which a limit is enforced, in seconds.
+const LIMIT_WINDOW_SECS: u64 = 8;
 
-/// Which part of all accounts' rates this scheduler may use.
+/// Share of all accounts' rate limits that this scheduler may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RightsShare {
-    /// All of it; nothing was used before.
+    /// The whole limit; nothing has been used yet.
     Fresh,
-    /// All of it, taken over from another that is gone.
+    /// The whole limit, taken over from a previous scheduler.
     TakenOver,
-    /// One of so many even parts, while no scheduler answers.
+    /// One of this many equal shares, while there is no scheduler.
     Part(u64),
 }
 
-/// The rates of all accounts, as far as this scheduler may use them.
+/// Rate limiter for all accounts, within this scheduler's share.
 #[derive(Debug)]
 pub(super) struct AccountRates {
     ledger: RightsLedger,
     limits: BTreeMap<AccountId, Limit>,
     share: RightsShare,
-    /// When a request of an account was last refused for its rate.
+    /// When a request of each account was last rate-limited.
     refused_at: BTreeMap<AccountId, Millis>,
-    own_use: OwnUse,
+    local_usage: LocalUsage,
 }
 
 impl AccountRates {
@@ -60,53 +61,54 @@
             limits: BTreeMap::new(),
             share,
             refused_at: BTreeMap::new(),
-            own_use: OwnUse::default(),
+            local_usage: LocalUsage::default(),
         }
     }
 
-    /// Takes another share, with as few tokens as is safe.
+    /// Changes the share and restarts with the tokens that are safe to grant.
     pub(super) fn set_share(
         &mut self,
         share: RightsShare,
         now: Millis,
     ) {
-        let goes_on = matches!(share, RightsShare::Part(_)) && self.own_use.begin_alone(now);
-        if self.share == share && !goes_on {
+        let has_allowance =
+            matches!(share, RightsShare::Part(_)) && self.local_usage.begin_standalone(now);
+        if self.share == share && !has_allowance {
             return;
         }
         self.share = share;
         self.ledger = new_ledger();
         for (&account, &limit) in &self.limits {
-            let besides = if goes_on {
-                self.own_use.allowance(account, now)
+            let extra_tokens = if has_allowance {
+                self.local_usage.allowance(account, now)
             } else {
                 0
             };
             self.ledger.set_limit(account, limit, now);
-            grant(&mut self.ledger, account, limit, share, besides, now);
+            grant(&mut self.ledger, account, limit, share, extra_tokens, now);
         }
     }
 
-    /// Notes that a request of this VM's own callers was let through, whoever decided.
+    /// Records a request of this VM's own callers that was admitted by any scheduler.
     pub(super) fn note_own_use(
         &mut self,
         account: AccountId,
         cost: u64,
         now: Millis,
     ) {
-        self.own_use.note(account, cost, now);
+        self.local_usage.note(account, cost, now);
     }
 
-    /// Notes that one was refused because its account was over its rate.
+    /// Records a request of this VM's own callers that was rate-limited by any scheduler.
     pub(super) fn note_own_refusal(
         &mut self,
         account: AccountId,
         now: Millis,
     ) {
-        self.own_use.note_refused(account, now);
+        self.local_usage.note_refused(account, now);
     }
 
-    /// Sets the limits of all accounts that have one.
+    /// Replaces the limits; accounts without an entry are unlimited.
     pub(super) fn set_limits(
         &mut self,
         limits: BTreeMap<AccountId, Limit>,
@@ -117,7 +119,7 @@
             if before != Some(&limit) {
                 self.ledger.set_limit(account, limit, now);
             }
-            // An account that was without a limit for a while has its rights still: they are granted once.
+            // The ledger ignores a second grant to an account that had a limit before.
             if before.is_none() {
                 grant(&mut self.ledger, account, limit, self.share, 0, now);
             }
@@ -125,7 +127,7 @@
         self.limits = limits;
     }
 
-    /// Charges a request, or refuses it with when its tokens will have been earned.
+    /// Charges a request, or rejects it with the time when its tokens will be available.
     pub(super) fn admit(
         &mut self,
         job: &Job,
@@ -149,12 +151,12 @@
     ) -> Result<Option<Charge>, Refusal> {
         let claim = match job.work {
             Work::Call => Claim::First,
-            Work::Generation(_) => Claim::Leaving(self.left_to_calls(account, job.cost, now)),
+            Work::Generation(_) => Claim::Leaving(self.call_reserve(account, job.cost, now)),
         };
         let ledger = &mut self.ledger;
         match ledger.try_admit_as(claim, account, job.cost, job.caller, now) {
             Admission::Admitted(charge) => Ok(Some(charge)),
-            // No refill will ever do for it; to its caller that is a rate that it is over all the same.
+            // The cost exceeds the burst, so no refill is enough; reported as a rate limit.
             Admission::Refused(refusal) if refusal.kind == ErrorKind::LargerThanBurst => {
                 Err(Refusal::new(ErrorKind::RateLimited))
             }
@@ -165,31 +167,31 @@
         }
     }
 
-    /// Tokens that a generation leaves to its account's calls, while the account is over its rate.
+    /// Tokens that a generation must leave for calls while its account is over its rate.
     ///
-    /// A call costs a tenth of a generation, and somebody waits for it at a counter. Without this an account whose
-    /// generations use up its rate can't read a status either.
-    fn left_to_calls(
+    /// Calls are cheap and interactive. Without this, an account whose generations use up its rate
+    /// can't read a status either.
+    fn call_reserve(
         &self,
         account: AccountId,
         cost: u64,
         now: Millis,
     ) -> u64 {
-        // A part of a rate is too little to keep some of it back.
+        // A fractional share is too small to reserve tokens.
         if matches!(self.share, RightsShare::Part(_)) {
             return 0;
         }
         let refused_at = self.refused_at.get(&account);
-        if refused_at.is_none_or(|&at| now.since(at) >= OVER) {
+        if refused_at.is_none_or(|&at| now.since(at) >= OVER_RATE_TIMEOUT) {
             return 0;
         }
         let burst = self.limits.get(&account).map_or(0, |limit| limit.burst);
-        (burst / CALLS_PART)
-            .min(MOST_FOR_CALLS)
+        (burst / CALL_RESERVE_DIVISOR)
+            .min(MAX_CALL_RESERVE)
             .min(burst.saturating_sub(cost))
     }
 
-    /// Settles a charge: what did not run is given back.
+    /// Settles a charge; it is refunded if the request did not run.
     pub(super) fn settle(
         &mut self,
         charge: Charge,
@@ -202,17 +204,17 @@
 }
 
 fn new_ledger() -> RightsLedger {
-    // The ledger's transfers between holders stay unused: here one scheduler holds what there is.
-    let me = Holder {
+    // Transfers between holders are unused: this ledger has a single holder.
+    let holder = Holder {
         vm: VmId(0),
         role: Role::Controller,
         incarnation: Incarnation(1),
     };
     let mut ledger = RightsLedger::new(
-        me,
+        holder,
         RightsSettings {
             sharing: false,
-            horizon: PROMISED,
+            horizon: RESERVATION_HORIZON,
             ..RightsSettings::default()
         },
     );
@@ -220,27 +222,29 @@
     ledger
 }
 
-/// Grants an account's rights; `besides` are tokens on top of those that the share brings.
+/// Grants an account's rate share; `extra_tokens` is added to the tokens granted at once.
 fn grant(
     ledger: &mut RightsLedger,
     account: AccountId,
     limit: Limit,
     share: RightsShare,
-    besides: u64,
+    extra_tokens: u64,
     now: Millis,
 ) {
     let part = match share {
         RightsShare::Fresh | RightsShare::TakenOver => SHARE_WHOLE,
         RightsShare::Part(parts) => SHARE_WHOLE / parts.max(1),
     };
-    let most = limit.rate * LOOK_BACK + limit.burst;
+    let max_usage = limit.rate * LIMIT_WINDOW_SECS + limit.burst;
     let tokens = match share {
         RightsShare::Fresh => limit.burst,
-        RightsShare::TakenOver => (most * ASSUMED_PERCENT / 100).min(limit.burst),
-        RightsShare::Part(parts) => most * ASSUMED_ALONE_PERCENT / 100 / parts.max(1) + besides,
+        RightsShare::TakenOver => (max_usage * TAKEOVER_GRANT_PERCENT / 100).min(limit.burst),
+        RightsShare::Part(parts) => {
+            max_usage * STANDALONE_GRANT_PERCENT / 100 / parts.max(1) + extra_tokens
+        }
     };
     let tokens = tokens.min(limit.burst);
-    // Tokens need room, which is counted in parts of the burst.
+    // Tokens need room, which is expressed as a share of the burst.
     let room = SHARE_WHOLE * tokens / limit.burst.max(1);
     let right = Right {
         account,
--- a/crates/core/src/scheduler/version_book.rs
+++ b/crates/core/src/scheduler/version_book.rs
@@ -6,59 +6,63 @@
     std::collections::HashMap,
 };
 
-/// How an announcement became known.
+/// How an announced version became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announcement {
-    /// It was made just now.
+    /// It was announced just now.
     New,
-    /// It was there when the store was read. It may be seconds old: a VM that has just started must not count the
-    /// time from then on, or the old version is used twice as long as allowed.
+    /// It was found in the store at startup and may be old, so no grace period starts.
     Found,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Announced {
     version: u32,
-    /// When it was made; none where that isn't known.
-    made_at: Option<Millis>,
+    /// When it was announced; `None` if unknown.
+    announced_at: Option<Millis>,
 }
 
-/// The versions of adapters that operators have announced.
+/// The adapter versions announced by operators.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionBook {
     announced: HashMap<AdapterId, Announced>,
 }
 
-/// The version that an adapter has before any is announced.
-const FIRST: u32 = 1;
+/// Version of an adapter before any announcement.
+const INITIAL_VERSION: u32 = 1;
 
 impl VersionBook {
-    /// Notes an announcement; an older one than is known changes nothing.
+    /// Records an announcement; ignores versions that are not newer.
     pub(super) fn announce(
         &mut self,
         adapter: AdapterId,
         version: u32,
-        how: Announcement,
+        source: Announcement,
         now: Millis,
     ) {
         let known = self.announced.get(&adapter);
         if known.is_none_or(|known| known.version < version) {
-            let made_at = (how == Announcement::New).then_some(now);
-            self.announced
-                .insert(adapter, Announced { version, made_at });
+            let announced_at = (source == Announcement::New).then_some(now);
+            self.announced.insert(
+                adapter,
+                Announced {
+                    version,
+                    announced_at,
+                },
+            );
         }
     }
 
-    /// The version that is to be used.
+    /// The version to use.
     pub(super) fn wanted(
         &self,
         adapter: AdapterId,
     ) -> AdapterVersion {
-        let version = self.announced_version(adapter).unwrap_or(FIRST);
+        let version = self.announced_version(adapter).unwrap_or(INITIAL_VERSION);
         AdapterVersion { adapter, version }
     }
 
-    /// The version that an operator has named, if one has.
+    /// The announced version, if any.
     pub(super) fn announced_version(
         &self,
         adapter: AdapterId,
@@ -73,7 +77,10 @@
         grace: Millis,
         now: Millis,
     ) -> bool {
-        let made_at = self.announced.get(&adapter).and_then(|known| known.made_at);
-        made_at.is_some_and(|made_at| now.since(made_at) < grace)
+        let announced_at = self
+            .announced
+            .get(&adapter)
+            .and_then(|known| known.announced_at);
+        announced_at.is_some_and(|announced_at| now.since(announced_at) < grace)
     }
 }
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Decisions for hundreds and thousands of engines.
+//! Scheduling with hundreds and thousands of engines.
 
 mod scheduler_world;
 
@@ -11,15 +11,15 @@
     },
 };
 
-/// Reports that a scheduler may have out at a time: fewer than the descriptors that a small VM has to spare.
-const MOST_OUT: usize = 64;
+/// Upper bound of pending report requests; below the file descriptor limit of a small VM.
+const MAX_PENDING_REPORTS: usize = 64;
 
-/// How long an engine reads a prompt, and within which time its first token is wanted.
-const READING: Millis = Millis(120);
+/// Prefill time of a prompt, and the objective for its first token.
+const PREFILL_TIME: Millis = Millis(120);
 const OBJECTIVE: Millis = Millis(1_000);
 
-/// A leader that knows engines from their entries only.
-fn unreported(engines: u32) -> World {
+/// A leader that has no engine reports yet.
+fn world_without_reports(engines: u32) -> World {
     let mut world = World::leading(0);
     for id in 0..engines {
         world.set(UpstreamId(id), &upstream(Some(engine(None, &[]))));
@@ -27,18 +27,18 @@
     world
 }
 
-/// Guards against a takeover that opens a connection to each of a thousand engines at once.
+/// Guards against a takeover that connects to all engines at once.
 #[test]
 fn reports_take_turns() {
-    let mut world = unreported(1_000);
+    let mut world = world_without_reports(1_000);
     world.pass(200);
-    assert!(world.reports_asked.len() <= MOST_OUT);
+    assert!(world.reports_asked.len() <= MAX_PENDING_REPORTS);
     let mut asked = BTreeSet::new();
     for _ in 0..1_000 {
-        let out = std::mem::take(&mut world.reports_asked);
-        assert!(out.len() <= MOST_OUT);
-        asked.extend(out.iter().copied());
-        for id in out {
+        let pending = std::mem::take(&mut world.reports_asked);
+        assert!(pending.len() <= MAX_PENDING_REPORTS);
+        asked.extend(pending.iter().copied());
+        for id in pending {
             world.report(id, &engine(Some(0), &[]));
         }
         world.pass(1);
@@ -46,10 +46,10 @@
     assert_eq!(asked.len(), 1_000);
 }
 
-/// Guards against a request that waits for its engine's report behind those of a thousand idle engines.
+/// Guards against a report that a request needs being queued behind those of idle engines.
 #[test]
 fn wanted_reports_come_first() {
-    let mut world = unreported(1_000);
+    let mut world = world_without_reports(1_000);
     world.pass(100);
     let number = world.generate(7);
     let mut answered = 0;
@@ -59,18 +59,17 @@
             world.report(id, &engine(Some(0), &[]));
             answered += 1;
         }
-        assert!(answered < 200, "{answered} reports before the order");
+        assert!(answered < 200, "no order after {answered} reports");
     }
     world.pass(300);
     assert!(world.sent_to(number).is_some());
 }
 
-/// Guards against requests that wait for one more copy of their adapter while a copy that is there stands idle: 62 of
-/// these 800 were sent within 3 s before the first in line was sent to it, all in time since.
+/// Guards against requests waiting for another copy of their adapter while a loaded copy is idle.
 #[test]
 fn popular_adapters_spread() {
     let mut world = World::leading(400);
-    let mut read = VecDeque::new();
+    let mut prefilling = VecDeque::new();
     let mut waiting = Vec::new();
     let mut late = 0;
     for step in 0..600 {
@@ -82,20 +81,24 @@
         waiting.retain(|&(asked, number)| {
             let is_sent = world.sent_to(number).is_some();
             if is_sent {
-                read.push_back((world.now + READING, number));
-                late += usize::from(world.now + READING > asked + OBJECTIVE);
+                prefilling.push_back((world.now + PREFILL_TIME, number));
+                late += usize::from(world.now + PREFILL_TIME > asked + OBJECTIVE);
             }
             !is_sent
         });
-        while let Some((_, number)) = read.pop_front_if(|&mut (at, _)| at <= world.now) {
+        while let Some((_, number)) = prefilling.pop_front_if(|&mut (at, _)| at <= world.now) {
             world.first_event(number);
         }
     }
-    assert!(waiting.is_empty(), "{} are not sent", waiting.len());
+    assert!(
+        waiting.is_empty(),
+        "{} requests were not sent",
+        waiting.len()
+    );
     assert_eq!(late, 0);
 }
 
-/// Guards against a request that waits for a place on the engines that its adapter prefers while others stand idle.
+/// Guards against waiting for an adapter slot on preferred engines while other engines are idle.
 #[test]
 fn idle_places_are_found() {
     let mut world = World::leading(0);
@@ -118,7 +121,7 @@
     assert_eq!(sent.count(), 20);
 }
 
-/// Guards against preferences that don't follow engines as they come and go.
+/// Guards against preferred engines that are not updated when engines join or leave.
 #[test]
 fn preferences_follow_engines() {
     let mut world = World::leading(60);
@@ -143,10 +146,10 @@
     let later: BTreeSet<u32> = (0..4).flat_map(|_| used(&mut world, 0..60)).collect();
     assert!(later.iter().all(|&id| id >= 30));
     let joined = later.iter().filter(|&&id| id >= 100).count();
-    assert!(joined >= 15, "{joined} of 30 that joined are used");
+    assert!(joined >= 15, "only {joined} of 30 new engines are used");
 }
 
-/// The time that a scheduler takes for requests that come and go, on so many engines.
+/// Time that a scheduler takes for a fixed number of requests.
 fn cost(engines: u32) -> Duration {
     let mut world = World::leading(engines);
     let began = Instant::now();
@@ -163,12 +166,11 @@
     began.elapsed()
 }
 
-/// A request costs a scheduler as much with 3,000 engines as with 150. By the example `scheduler_cost`, from 140 to 3,000
-/// engines: 66 to 1,663 us before sums, holders and preferences were kept, 74 to 61 us after.
+/// Guards against scheduling cost that grows with the number of engines.
 #[test]
 fn cost_stays_flat() {
     let best = |engines| (0..3).map(|_| cost(engines)).min();
     let (few, many) = (best(150), best(3_000));
     let ratio = many.unwrap_or_default().as_secs_f64() / few.unwrap_or_default().as_secs_f64();
-    assert!(ratio < 5.0, "{ratio:.1} times");
+    assert!(ratio < 5.0, "cost grew by a factor of {ratio:.1}");
 }
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler with engines that carry out its orders: what the tests of the scheduler drive.
+//! Test driver: a scheduler with simulated engines that execute its orders.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -21,33 +21,33 @@
 pub const CALLS: ServiceId = ServiceId(2);
 pub const MODEL: ModelId = ModelId(0);
 pub const HERE: DataCentreId = DataCentreId(0);
-/// Adapters that one engine holds.
+/// Adapter slots per engine.
 pub const PLACES: usize = 2;
 
-/// What was decided for a request.
+/// The scheduler's decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     Sent(UpstreamId, Option<u32>),
     Refused(Refusal),
 }
 
-/// A scheduler, the time, and what came of its actions.
+/// A scheduler with a simulated clock and the results of its actions.
 pub struct World {
     pub scheduler: Scheduler,
     pub now: Millis,
     pub decisions: BTreeMap<u64, Decision>,
     pub orders: Vec<(UpstreamId, Order)>,
     pub reports_asked: Vec<UpstreamId>,
-    /// Orders that engines leave unanswered, for the test to answer.
+    /// Orders left unanswered, for the test to answer.
     pub unanswered: Vec<(UpstreamId, Order)>,
-    /// Whether engines answer at once.
+    /// Whether engines answer orders at once.
     pub engines_answer: bool,
     seqs: HashMap<UpstreamId, u64>,
-    next: u64,
+    next_number: u64,
 }
 
 impl World {
-    /// A leader with `engines` empty engines and no plain upstream.
+    /// A leader with `engines` empty engines and no other upstream.
     pub fn leading(engines: u32) -> Self {
         Self::with(engines, SchedulerSettings::default(), true)
     }
@@ -70,7 +70,7 @@
             unanswered: Vec::new(),
             engines_answer: true,
             seqs: HashMap::new(),
-            next: 0,
+            next_number: 0,
         };
         for id in 0..engines {
             world.add_engine(UpstreamId(id), &[]);
@@ -83,8 +83,8 @@
         id: UpstreamId,
         adapters: &[u32],
     ) {
-        let facts = upstream(Some(engine(None, adapters)));
-        self.set(id, &facts);
+        let status = upstream(Some(engine(None, adapters)));
+        self.set(id, &status);
         self.report(id, &engine(Some(0), adapters));
     }
 
@@ -92,31 +92,31 @@
         &mut self,
         id: UpstreamId,
     ) {
-        let facts = UpstreamFacts {
+        let status = UpstreamFacts {
             service: CALLS,
             slots: 6,
             engine: None,
             ..upstream(None)
         };
-        self.set(id, &facts);
+        self.set(id, &status);
     }
 
     pub fn set(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
+        status: &UpstreamFacts,
     ) {
-        let actions = self.scheduler.set_upstream(id, facts, self.now);
-        self.act(actions);
+        let actions = self.scheduler.set_upstream(id, status, self.now);
+        self.apply_actions(actions);
     }
 
     pub fn report(
         &mut self,
         id: UpstreamId,
-        facts: &EngineFacts,
+        status: &EngineFacts,
     ) {
-        let actions = self.scheduler.report(id, Some(facts), self.now);
-        self.act(actions);
+        let actions = self.scheduler.report(id, Some(status), self.now);
+        self.apply_actions(actions);
     }
 
     pub fn limit(
@@ -129,7 +129,7 @@
         self.scheduler.set_limits(limits, self.now);
     }
 
-    /// Places a generation for an adapter and returns its number.
+    /// Submits a generation for an adapter and returns its number.
     pub fn generate(
         &mut self,
         adapter: u32,
@@ -141,11 +141,11 @@
         &mut self,
         job: Job,
     ) -> u64 {
-        self.next += 1;
-        let ticket = ticket(self.next);
+        self.next_number += 1;
+        let ticket = ticket(self.next_number);
         let actions = self.scheduler.place(ticket, job, self.now);
-        self.act(actions);
-        self.next
+        self.apply_actions(actions);
+        self.next_number
     }
 
     pub fn first_event(
@@ -153,7 +153,7 @@
         number: u64,
     ) {
         let actions = self.scheduler.first_event(ticket(number), self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn end(
@@ -162,7 +162,7 @@
         outcome: Outcome,
     ) {
         let actions = self.scheduler.ended(ticket(number), outcome, self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn answer(
@@ -172,10 +172,10 @@
         end: OrderEnd,
     ) {
         let actions = self.scheduler.order_ended(upstream, order, end, self.now);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
-    /// Lets time pass, with the machine's timers.
+    /// Advances the clock and runs the scheduler's timers.
     pub fn pass(
         &mut self,
         ms: u64,
@@ -184,7 +184,7 @@
         while self.now < until {
             self.now = self.scheduler.wake_at(self.now).min(until);
             let actions = self.scheduler.tick(self.now);
-            self.act(actions);
+            self.apply_actions(actions);
         }
     }
 
@@ -195,7 +195,7 @@
         self.decisions.get(&number).copied()
     }
 
-    /// Where a request was sent.
+    /// The upstream that a request was sent to.
     pub fn sent_to(
         &self,
         number: u64,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Orders to load an adapter, whatever its version.
+    /// Number of orders to load any version of an adapter.
     pub fn loads_of(
         &self,
         adapter: u32,
@@ -218,7 +218,7 @@
             .count()
     }
 
-    fn act(
+    fn apply_actions(
         &mut self,
         actions: Vec<Action>,
     ) {
@@ -261,7 +261,7 @@
             return;
         }
         let seq = self.seqs.entry(upstream).or_default();
-        assert_eq!(*seq, after_seq, "the engine would refuse {order:?}");
+        assert_eq!(*seq, after_seq, "sequence number mismatch for {order:?}");
         *seq += 1;
         let end = match order {
             Order::Unload { .. } => OrderEnd::Holds,
