--- a/crates/core/src/scheduler/choose/best.rs
+++ b/crates/core/src/scheduler/choose/best.rs
@@ -1,98 +1,104 @@
 use {
-    super::{Choice, LoadPlan, Way},
+    super::{Choice, LoadPlan, ServingOption},
     crate::{
         ids::{AdapterVersion, ModelId, UpstreamId},
         scheduler::WaitReason,
     },
 };
 
-/// The best that was found so far among the engines that were looked at; costs in milliseconds.
+/// The cheapest options found so far among the evaluated engines, with costs in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Best {
-    /// The way that costs least.
-    way: Option<(f64, UpstreamId, Way)>,
-    /// Where the adapter is ready, whatever waits for it.
+pub(super) struct BestOptions {
+    /// The cheapest option of any kind.
+    option: Option<(f64, UpstreamId, ServingOption)>,
+    /// The cheapest engine that has the adapter ready, without the delay by requests queued for it.
     ready: Option<(f64, UpstreamId, AdapterVersion)>,
-    /// Where an older version may still be used.
+    /// The cheapest engine with an older version that may still be used.
     stale: Option<(f64, UpstreamId, AdapterVersion)>,
 }
 
-impl Best {
-    /// Weighs a way; `alone` is what it would cost if nobody else waited for the adapter.
-    pub(super) fn weigh(
+impl BestOptions {
+    /// Considers an option; `cost_without_queue` leaves out the requests already queued for the
+    /// adapter.
+    pub(super) fn consider(
         &mut self,
         engine: UpstreamId,
-        way: Way,
+        option: ServingOption,
         cost: f64,
-        alone: f64,
+        cost_without_queue: f64,
     ) {
-        if let Way::Send(Some(adapter)) = way {
-            keep_less(&mut self.ready, (alone, engine, adapter));
+        if let ServingOption::Send(Some(adapter)) = option {
+            keep_cheaper(&mut self.ready, (cost_without_queue, engine, adapter));
         }
-        keep_less(&mut self.way, (cost, engine, way));
+        keep_cheaper(&mut self.option, (cost, engine, option));
     }
 
-    /// Weighs an older version that is still on an engine.
-    pub(super) fn weigh_stale(
+    /// Considers an older version of the adapter that an engine still holds.
+    pub(super) fn consider_stale(
         &mut self,
         engine: UpstreamId,
         adapter: AdapterVersion,
         cost: f64,
     ) {
-        keep_less(&mut self.stale, (cost, engine, adapter));
+        keep_cheaper(&mut self.stale, (cost, engine, adapter));
     }
 
-    /// Whether all that could be done is to wait for one of these engines' places.
-    pub(super) const fn lacks_place(&self) -> bool {
-        matches!(self.way, None | Some((.., Way::Wait(WaitReason::Place))))
+    /// Whether the evaluated engines offer nothing better than waiting for an adapter slot.
+    pub(super) const fn is_short_of_slots(&self) -> bool {
+        matches!(
+            self.option,
+            None | Some((.., ServingOption::Wait(WaitReason::Place)))
+        )
     }
 
-    /// What is to be done for a request of a model.
-    pub(super) fn choice(
+    /// Turns the options into the decision for a request for `model`.
+    pub(super) fn into_choice(
         self,
         model: ModelId,
     ) -> Choice {
-        let (least, upstream, way) = self.way.unwrap_or((
+        let (lowest, upstream, option) = self.option.unwrap_or((
             f64::INFINITY,
             UpstreamId::default(),
-            Way::Wait(WaitReason::Place),
+            ServingOption::Wait(WaitReason::Place),
         ));
-        // A further copy is for those behind this request, which has nobody ahead of it.
-        let ready = self.ready.filter(|&(alone, ..)| alone <= least);
-        let now = ready.or(self.stale);
-        let later = |waits_for| Choice {
-            send: now.map(|(_, upstream, adapter)| (upstream, Some(adapter))),
-            waits_for,
+        // This request is next in its queue: a new copy only helps those behind it.
+        let ready = self
+            .ready
+            .filter(|&(cost_without_queue, ..)| cost_without_queue <= lowest);
+        let available = ready.or(self.stale);
+        let wait_for = |wait_reason| Choice {
+            send: available.map(|(_, upstream, adapter)| (upstream, Some(adapter))),
+            wait_reason,
             ..Choice::default()
         };
-        match way {
-            Way::Send(adapter) => Choice {
+        match option {
+            ServingOption::Send(adapter) => Choice {
                 send: Some((upstream, adapter)),
                 ..Choice::default()
             },
-            Way::Wait(WaitReason::Order) => Choice {
-                unsure: Some(upstream),
-                ..later(WaitReason::Order)
+            ServingOption::Wait(WaitReason::Order) => Choice {
+                needs_report: Some(upstream),
+                ..wait_for(WaitReason::Order)
             },
-            Way::Wait(waits_for) => later(waits_for),
-            Way::Load { adapter, evict } => Choice {
+            ServingOption::Wait(wait_reason) => wait_for(wait_reason),
+            ServingOption::Load { adapter, evict } => Choice {
                 load: Some(LoadPlan {
                     upstream,
                     model,
                     adapter,
                     evict,
                 }),
-                ..later(WaitReason::Load)
+                ..wait_for(WaitReason::Load)
             },
         }
     }
 }
 
-fn keep_less<T>(
-    least: &mut Option<(f64, UpstreamId, T)>,
-    other: (f64, UpstreamId, T),
+fn keep_cheaper<T>(
+    lowest: &mut Option<(f64, UpstreamId, T)>,
+    candidate: (f64, UpstreamId, T),
 ) {
-    if least.as_ref().is_none_or(|least| other.0 < least.0) {
-        *least = Some(other);
+    if lowest.as_ref().is_none_or(|lowest| candidate.0 < lowest.0) {
+        *lowest = Some(candidate);
     }
 }
--- a/crates/core/src/scheduler/choose/load.rs
+++ b/crates/core/src/scheduler/choose/load.rs
@@ -1,7 +1,7 @@
-//! Whether an adapter is loaded for a request, onto which engine, and what has to go for it.
+//! Cost of loading an adapter onto an engine, and which adapter to evict for it.
 
 use {
-    super::{Copies, ORDER_MS, View, Way},
+    super::{AdapterCopies, ORDER_ROUND_TRIP_MS, SelectionContext, ServingOption},
     crate::{
         ids::{AdapterVersion, ModelId},
         placement::rendezvous,
@@ -15,107 +15,114 @@
     },
 };
 
-/// What a load from the adapter store counts as beyond its time. The users pay for each a third of what an
-/// answer is worth, so it is worth a wait, but not a late answer.
-const COLD_LOAD_MS: f64 = 1_500.0;
-/// What a load that the engine still has at hand counts as beyond its time.
-const WARM_LOAD_MS: f64 = 15.0;
-/// How long a place is waited for on an engine that has an adapter at hand while all its places are in use. A
-/// generation takes about half a second, and some places have several.
-const PLACE_MS: f64 = 300.0;
-/// What one recent use of the adapter that would have to go counts as; it will be loaded again.
-const EVICTION_MS: f64 = 8.0;
-/// The most that counts as.
-const MOST_EVICTION_MS: f64 = 150.0;
-/// Among engines that are alike, each adapter prefers another one, so that what engines hold at hand differs.
-const AFFINITY_MS: f64 = 12.0;
+/// Penalty for a load from the adapter store, besides its time. High enough to prefer a short wait
+/// to a load, but not a late answer.
+const COLD_LOAD_PENALTY_MS: f64 = 1_500.0;
+/// Penalty for reloading an adapter from the engine's cache, besides its time.
+const WARM_LOAD_PENALTY_MS: f64 = 15.0;
+/// Expected wait for an adapter slot on an engine that caches the adapter while all its slots are
+/// in use.
+const SLOT_WAIT_MS: f64 = 300.0;
+/// Penalty per recent use of the adapter to evict, which will probably be loaded again.
+const EVICTION_PENALTY_MS: f64 = 8.0;
+const MAX_EVICTION_PENALTY_MS: f64 = 150.0;
+/// Maximum penalty for an engine that the adapter doesn't prefer; spreads adapters over otherwise
+/// equal engines.
+const MAX_AFFINITY_PENALTY_MS: f64 = 12.0;
 
-impl View<'_> {
-    /// The cost if the adapter were loaded here now.
-    pub(super) fn load_way(
+impl SelectionContext<'_> {
+    /// The option of loading the adapter here, with its cost in milliseconds; `None` if the engine
+    /// can't load it.
+    pub(super) fn load_option(
         &self,
         generation: &Generation,
         up: &Upstream,
         engine: &Engine,
         wanted: AdapterVersion,
         base: f64,
-        copies: Copies,
-    ) -> Option<(f64, Way)> {
-        if !self.may_order || engine.coming(self.now) >= self.settings.loads.per_engine {
+        copies: AdapterCopies,
+    ) -> Option<(f64, ServingOption)> {
+        if !self.can_order || engine.coming(self.now) >= self.settings.loads.per_engine {
             return None;
         }
         let is_warm = engine.keeps_warm(wanted);
-        let Some((evict, eviction_cost)) = self.room_for(generation.model, engine, wanted) else {
-            return is_warm.then_some((base + PLACE_MS, Way::Wait(WaitReason::Place)));
+        let Some((evict, eviction_cost)) = self.find_slot(generation.model, engine, wanted) else {
+            return is_warm
+                .then_some((base + SLOT_WAIT_MS, ServingOption::Wait(WaitReason::Place)));
         };
         let order_wait = engine.order_wait(self.now)?;
-        let takes = self.load_time(is_warm) + ORDER_MS + order_wait.0 as f64;
-        let extra = (takes - engine.backlog.wait(self.now)).max(0.0);
-        let price = if is_warm {
-            WARM_LOAD_MS
+        let load_ms = self.load_time_ms(is_warm) + ORDER_ROUND_TRIP_MS + order_wait.0 as f64;
+        let extra = (load_ms - engine.backlog.wait(self.now)).max(0.0);
+        let load_penalty = if is_warm {
+            WARM_LOAD_PENALTY_MS
         } else {
-            cold_price(copies)
+            cold_load_penalty(copies)
         };
-        let affinity = rendezvous(u64::from(wanted.adapter.0), u64::from(up.id.0), 1);
-        let distance = AFFINITY_MS / (1.0 + affinity);
-        let cost = base + extra + price + eviction_cost + distance;
-        let way = if engine.takes_orders(self.now) && engine.reserved.is_none() {
-            Way::Load {
+        let affinity_score = rendezvous(u64::from(wanted.adapter.0), u64::from(up.id.0), 1);
+        let affinity_penalty = MAX_AFFINITY_PENALTY_MS / (1.0 + affinity_score);
+        let cost = base + extra + load_penalty + eviction_cost + affinity_penalty;
+        let option = if engine.takes_orders(self.now) && engine.reserved.is_none() {
+            ServingOption::Load {
                 adapter: wanted,
                 evict,
             }
         } else {
-            Way::Wait(WaitReason::Order)
+            ServingOption::Wait(WaitReason::Order)
         };
-        Some((cost, way))
+        Some((cost, option))
     }
 
-    /// How long a load takes if it begins now, in milliseconds.
-    pub(super) fn load_time(
+    /// Expected time of a load that starts now, in milliseconds.
+    pub(super) fn load_time_ms(
         &self,
         is_warm: bool,
     ) -> f64 {
         if is_warm {
             self.settings.loads.warm.0 as f64
         } else {
-            self.cold_ms
+            self.cold_load_ms
         }
     }
 
-    /// The adapter that would have to go, if one has to, and what that counts as; none where no place can be had.
-    fn room_for(
+    /// The adapter to evict, if any, and the eviction penalty in milliseconds; `None` if no slot
+    /// can be freed.
+    fn find_slot(
         &self,
         model: ModelId,
         engine: &Engine,
         wanted: AdapterVersion,
     ) -> Option<(Option<AdapterVersion>, f64)> {
-        // An older version of the same adapter is replaced in its place, once its runs have ended.
+        // An older version of the same adapter is replaced in its slot once no request uses it.
         if let Some(old) = engine.place_of(wanted.adapter) {
             return (engine.users_of(old.adapter) == 0).then_some((None, 0.0));
         }
         if engine.has_free_place(model) {
             return Some((None, 0.0));
         }
-        if !self.may_evict {
+        if !self.can_evict {
             return None;
         }
-        let value = |place: &Place| {
+        let eviction_cost = |place: &Place| {
             let is_old = self.versions.wanted(place.adapter.adapter) != place.adapter;
-            let uses = place.demand.get(self.now, DEMAND_HALF_LIFE);
-            if is_old { 0.0 } else { uses * EVICTION_MS }
+            let recent_uses = place.demand.get(self.now, DEMAND_HALF_LIFE);
+            if is_old {
+                0.0
+            } else {
+                recent_uses * EVICTION_PENALTY_MS
+            }
         };
         engine
             .places
             .iter()
             .filter(|place| engine.users_of(place.adapter) == 0 && place.is_present(self.now))
-            .filter(|place| !self.wanted.contains_key(&place.adapter.adapter))
-            .map(|place| (value(place), place.adapter))
+            .filter(|place| !self.queued_by_adapter.contains_key(&place.adapter.adapter))
+            .map(|place| (eviction_cost(place), place.adapter))
             .min_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(cost, adapter)| (Some(adapter), cost.min(MOST_EVICTION_MS)))
+            .map(|(cost, adapter)| (Some(adapter), cost.min(MAX_EVICTION_PENALTY_MS)))
     }
 
-    /// An older version of the adapter that may still be used while the newer one is being loaded.
-    pub(super) fn usable_old(
+    /// An older version on this engine that may still be used while the new one is loading.
+    pub(super) fn usable_old_version(
         &self,
         generation: &Generation,
         engine: &Engine,
@@ -130,7 +137,8 @@
         is_usable.then_some(place.adapter)
     }
 
-    pub(super) fn can_take(
+    /// Whether the engine has backlog capacity, a request slot and memory for the request now.
+    pub(super) fn has_capacity_for(
         &self,
         job: &Job,
         up: &Upstream,
@@ -142,7 +150,7 @@
             && engine.has_room(up.running, total, self.settings.memory_percent)
     }
 
-    /// Why an engine that could run a request can't take it now.
+    /// Which limit keeps an engine from accepting a request now.
     pub(super) fn full_reason(
         &self,
         job: &Job,
@@ -158,9 +166,10 @@
     }
 }
 
-/// What a load from the adapter store counts as for one request. All that will use the new copy share it: about
-/// as many as have used each of the others lately. Counted in full for the first, an adapter that is asked for
-/// ten times a second kept one copy until its requests were late.
-fn cold_price(copies: Copies) -> f64 {
-    COLD_LOAD_MS / (1.0 + copies.uses / (1.0 + copies.count))
+/// Penalty of a cold load for one request, in milliseconds.
+///
+/// The penalty is shared by the requests expected to use the new copy, estimated from the recent
+/// uses per copy, so that an adapter in demand gets another copy before its requests are late.
+fn cold_load_penalty(copies: AdapterCopies) -> f64 {
+    COLD_LOAD_PENALTY_MS / (1.0 + copies.recent_uses / (1.0 + copies.count))
 }
--- a/crates/core/src/scheduler/choose/mod.rs
+++ b/crates/core/src/scheduler/choose/mod.rs
@@ -1,4 +1,5 @@
-//! Where a request would get its first token first.
+//! Chooses the upstream with the lowest expected cost, in milliseconds to the first token plus
+//! penalties.
 
 use {
     super::{
@@ -21,126 +22,132 @@
 mod load;
 mod preferred;
 
-use best::Best;
+use best::BestOptions;
 pub(super) use preferred::PreferredEngines;
 
-/// What a request that leaves its data centre counts as, in milliseconds. Bytes between data centres are
-/// dear to the users: a prompt and its answer cost about a hundredth of what the answer is worth.
-const ELSEWHERE_MS: f64 = 15.0;
-/// What a share of failed requests counts as, in milliseconds: a request that fails is lost or waits for a
-/// whole further attempt.
-const FAILING_MS: f64 = 1_500.0;
-/// What a late first token counts as beyond its time: two thirds of an answer's worth.
-const LATE_MS: f64 = 3_500.0;
-/// From this part of what is left of its objective on a request may become late, from the other it surely does:
-/// what is expected is right to about a third.
-const LATE_FROM: f64 = 0.6;
-const LATE_BY: f64 = 1.2;
-/// Each request that runs on an engine makes its steps longer, in milliseconds until a first token.
-const RUNNING_MS: f64 = 0.4;
-/// What a stream counts as, in milliseconds, that pauses for too long: it is late as if its first token were.
-const STALL_MS: f64 = 250.0;
-/// Streams may pause for too long where the prompts that are read one after the other take this part of the longest good
-/// pause; they surely do where they take all of it.
-const STALL_FROM: f64 = 0.6;
-/// Up to so many engines are all looked at.
+/// Penalty for an upstream in another data centre, for the cost of traffic between data centres.
+const CROSS_DATA_CENTRE_PENALTY_MS: f64 = 15.0;
+/// Penalty at a failure rate of 1; it grows in proportion, as a failed request is lost or needs
+/// another attempt.
+const FAILURE_PENALTY_MS: f64 = 1_500.0;
+/// Penalty for a late first token, besides its time.
+const LATE_PENALTY_MS: f64 = 3_500.0;
+/// The lateness penalty grows from none at `LATE_START_RATIO` to full at `LATE_FULL_RATIO`, as the
+/// ratio of the expected wait to the time left until the objective. The range covers the error of
+/// the estimate.
+const LATE_START_RATIO: f64 = 0.6;
+const LATE_FULL_RATIO: f64 = 1.2;
+/// Delay of the first token per request running on the engine, as each makes its batch steps
+/// longer.
+const PER_RUNNING_REQUEST_MS: f64 = 0.4;
+/// Penalty per running stream whose gap between tokens would exceed its objective.
+const STALL_PENALTY_MS: f64 = 250.0;
+/// The stall penalty grows from none, where the unread prompts take this ratio of the gap
+/// objective, to full, where they take all of it.
+const STALL_START_RATIO: f64 = 0.6;
+/// Services with up to this many engines have all of them evaluated for each request.
 pub(super) const MANY: usize = 24;
-/// Of many engines, so many are looked at besides those that have the adapter: enough that one of them has an idle place.
-const PREFERRED: usize = 12;
-/// Of the engines that may have the adapter, so many are looked at; of those that could run a base model as many.
-const SAMPLED: usize = 64;
-/// An order and its answer take about this long.
-const ORDER_MS: f64 = 3.0;
+/// Preferred engines evaluated in a larger service, besides those that have the adapter.
+const MAX_PREFERRED_ENGINES: usize = 12;
+/// Bound on the engines sampled from those that may have the adapter, or from all members of the
+/// service.
+const MAX_SAMPLED_ENGINES: usize = 64;
+/// Expected time from sending an order to an engine until its answer.
+const ORDER_ROUND_TRIP_MS: f64 = 3.0;
 
-/// What is to be loaded where.
+/// A planned adapter load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadPlan {
     pub upstream: UpstreamId,
     pub model: ModelId,
     pub adapter: AdapterVersion,
-    /// The adapter that has to go first.
+    /// The adapter to evict first, if any.
     pub evict: Option<AdapterVersion>,
 }
 
-/// What is best for a request now.
+/// The decision for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Choice {
-    /// Send it there; none: let it wait.
+    /// The upstream and adapter version to send it to; `None` keeps it queued.
     pub send: Option<(UpstreamId, Option<AdapterVersion>)>,
-    /// Load its adapter.
+    /// An adapter load to start for it.
     pub load: Option<LoadPlan>,
-    /// What it waits for where it isn't sent.
-    pub waits_for: WaitReason,
-    /// An engine that could be ordered if it were known what it holds.
-    pub unsure: Option<UpstreamId>,
+    /// What it waits for if it isn't sent.
+    pub wait_reason: WaitReason,
+    /// The engine best suited for the load that can't be given orders yet; its report is requested.
+    pub needs_report: Option<UpstreamId>,
 }
 
-/// What a choice depends on beside the request.
+/// The scheduler state that upstream selection reads.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct View<'a> {
+pub(super) struct SelectionContext<'a> {
     pub fleet: &'a Fleet,
     pub versions: &'a VersionBook,
     pub settings: &'a SchedulerSettings,
-    /// Waiting requests by adapter: what they want isn't evicted.
-    pub wanted: &'a HashMap<AdapterId, u32>,
-    /// Whether engines may be given orders.
-    pub may_order: bool,
-    /// Whether adapters may be dropped: whoever has just taken over doesn't know yet what is in use.
-    pub may_evict: bool,
-    /// How long a load from the adapter store takes if it begins now, in milliseconds.
-    pub cold_ms: f64,
+    /// Queued requests by adapter; adapters listed here aren't evicted.
+    pub queued_by_adapter: &'a HashMap<AdapterId, u32>,
+    /// Whether this scheduler may send orders to engines.
+    pub can_order: bool,
+    /// Whether adapters may be evicted; not just after a takeover, when it isn't known which are in
+    /// use.
+    pub can_evict: bool,
+    /// Expected time of a load from the adapter store that starts now, in milliseconds.
+    pub cold_load_ms: f64,
     pub now: Millis,
 }
 
-/// The copies of an adapter, as far as all engines' choices depend on them.
+/// Estimated copies of an adapter in the whole service.
 #[derive(Clone, Copy, Debug, Default)]
-struct Copies {
-    /// Engines that have the version wanted or get it.
+struct AdapterCopies {
+    /// Engines that hold the current version or are loading it.
     count: f64,
-    /// Recent uses of all of them.
-    uses: f64,
+    /// Sum of their recent uses, decayed.
+    recent_uses: f64,
 }
 
-/// Which ready upstreams a request may be sent to.
+/// Which ready upstreams are candidates for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Filter {
-    /// Those that can be reached and haven't failed it.
-    Untried,
-    /// Those that can be reached.
-    Open,
-    /// All.
+enum CandidateFilter {
+    /// Reachable upstreams that haven't failed this request.
+    NotFailed,
+    /// Reachable upstreams.
+    Reachable,
+    /// All ready upstreams.
     Ready,
 }
 
-/// Upstreams that are looked at for a request.
-struct Near<'a> {
+/// The upstreams to evaluate for a request.
+struct EngineSample<'a> {
     engines: Vec<&'a Upstream>,
-    /// The part that they are of all that have its adapter.
-    part: f64,
+    /// The sampled fraction of the engines that may have the adapter.
+    fraction: f64,
 }
 
-impl<'a> Near<'a> {
+impl<'a> EngineSample<'a> {
     const fn all(engines: Vec<&'a Upstream>) -> Self {
-        Self { engines, part: 1.0 }
+        Self {
+            engines,
+            fraction: 1.0,
+        }
     }
 }
 
-/// How an engine could serve a request.
+/// How an engine can serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// At once.
+enum ServingOption {
+    /// Send it now.
     Send(Option<AdapterVersion>),
-    /// Later: it is full, or the adapter is on its way or takes an order that can't be given yet.
+    /// Wait: the engine is full, the adapter is loading, or the engine can't be given an order yet.
     Wait(WaitReason),
-    /// After a load.
+    /// Load the adapter first.
     Load {
         adapter: AdapterVersion,
         evict: Option<AdapterVersion>,
     },
 }
 
-impl View<'_> {
-    /// Decides about a request that is next in its account's line.
+impl SelectionContext<'_> {
+    /// Decides about a request that is next in its account's queue.
     pub(super) fn choose(
         &self,
         job: &Job,
@@ -163,7 +170,7 @@
             .min_by(|a, b| cost(a).total_cmp(&cost(b)));
         Choice {
             send: best.map(|up| (up.id, None)),
-            waits_for: WaitReason::CallSlot,
+            wait_reason: WaitReason::CallSlot,
             ..Choice::default()
         }
     }
@@ -173,24 +180,24 @@
         job: &Job,
         generation: &Generation,
     ) -> Choice {
-        let Near { engines, part } = self.engines_to_look_at(job, generation);
-        let copies = self.copies(generation, &engines, part);
-        let mut best = Best::default();
-        self.weigh_all(job, generation, engines, copies, &mut best);
-        if best.lacks_place() && self.fleet.members(job.service).len() > MANY {
-            let others = self.others(job, generation);
-            self.weigh_all(job, generation, others, copies, &mut best);
+        let EngineSample { engines, fraction } = self.candidate_engines(job, generation);
+        let copies = self.copies(generation, &engines, fraction);
+        let mut best = BestOptions::default();
+        self.evaluate_engines(job, generation, engines, copies, &mut best);
+        if best.is_short_of_slots() && self.fleet.members(job.service).len() > MANY {
+            let others = self.sample_members(job, generation);
+            self.evaluate_engines(job, generation, others, copies, &mut best);
         }
-        best.choice(generation.model)
+        best.into_choice(generation.model)
     }
 
-    fn weigh_all(
+    fn evaluate_engines(
         &self,
         job: &Job,
         generation: &Generation,
         engines: Vec<&Upstream>,
-        copies: Copies,
-        best: &mut Best,
+        copies: AdapterCopies,
+        best: &mut BestOptions,
     ) {
         for up in engines {
             let Some(engine) = &up.engine else { continue };
@@ -198,20 +205,23 @@
                 continue;
             }
             let base = self.base_cost(job, up, engine);
-            if let Some((cost, way)) = self.way(job, generation, up, engine, base, copies) {
-                let cost = cost + self.lateness(job, cost);
-                best.weigh(up.id, way, cost, base + self.lateness(job, base));
+            if let Some((cost, option)) =
+                self.serving_option(job, generation, up, engine, base, copies)
+            {
+                let cost = cost + self.lateness_penalty(job, cost);
+                best.consider(up.id, option, cost, base + self.lateness_penalty(job, base));
             }
-            if let Some(old) = self.usable_old(generation, engine)
-                && self.can_take(job, up, engine)
+            if let Some(old) = self.usable_old_version(generation, engine)
+                && self.has_capacity_for(job, up, engine)
             {
-                best.weigh_stale(up.id, old, base);
+                best.consider_stale(up.id, old, base);
             }
         }
     }
 
-    /// Some more engines, where those that an adapter prefers have no place for it: others may stand idle.
-    fn others(
+    /// A sample of all members of the service, for requests without an adapter or whose preferred
+    /// engines are full.
+    fn sample_members(
         &self,
         job: &Job,
         generation: &Generation,
@@ -220,135 +230,151 @@
         let members = self.fleet.members(job.service).iter();
         let all = members.map(|id| self.fleet.upstreams.get(id));
         let salt = generation.adapter.map_or(0, |adapter| adapter.0);
-        let takes = |up: &&Upstream| self.passes(filter, job, up);
-        self.sample(all, u64::from(salt), takes).engines
+        let is_candidate = |up: &&Upstream| self.matches_filter(filter, job, up);
+        self.sample(all, u64::from(salt), is_candidate).engines
     }
 
-    /// The upstreams that are worth a closer look. Where there are many engines, these are some that have the adapter or
-    /// had it lately, and a few that it prefers.
-    fn engines_to_look_at(
+    /// The upstreams to evaluate for a generation.
+    ///
+    /// In a large service these are a sample of the engines that hold or cache the adapter, and a
+    /// few that it prefers.
+    fn candidate_engines(
         &self,
         job: &Job,
         generation: &Generation,
-    ) -> Near<'_> {
+    ) -> EngineSample<'_> {
         let members = self.fleet.members(job.service);
         if members.len() <= MANY {
-            return Near::all(self.candidates(job));
+            return EngineSample::all(self.candidates(job));
         }
         let filter = self.filter(job);
-        let takes = |up: &&Upstream| self.passes(filter, job, up);
+        let is_candidate = |up: &&Upstream| self.matches_filter(filter, job, up);
         let Some(adapter) = generation.adapter else {
-            return Near::all(self.others(job, generation));
+            return EngineSample::all(self.sample_members(job, generation));
         };
         let wanted = self.versions.wanted(adapter);
-        let has_it = |up: &Upstream| {
+        let has_adapter = |up: &Upstream| {
             let engine = up.engine.as_ref();
             engine.is_some_and(|e| e.place_of(adapter).is_some() || e.keeps_warm(wanted))
         };
         let holders = self.fleet.holders(adapter);
-        let mut near = self.sample(holders, u64::from(adapter.0), |up| {
-            up.service == job.service && has_it(up) && takes(up)
+        let mut candidates = self.sample(holders, u64::from(adapter.0), |up| {
+            up.service == job.service && has_adapter(up) && is_candidate(up)
         });
         let others = self.fleet.preferred(job.service, adapter);
-        let others = others.filter(|up| !has_it(up) && takes(up));
-        near.engines.extend(others.take(PREFERRED));
-        near
+        let others = others.filter(|up| !has_adapter(up) && is_candidate(up));
+        candidates
+            .engines
+            .extend(others.take(MAX_PREFERRED_ENGINES));
+        candidates
     }
 
-    /// Some of a list of upstreams, each time others: the same part of it whatever its order.
+    /// Samples a list at equal steps, from an offset that changes with the time, and keeps the
+    /// upstreams that match.
     fn sample<'b, I, F>(
         &self,
         list: I,
         salt: u64,
-        takes: F,
-    ) -> Near<'b>
+        is_candidate: F,
+    ) -> EngineSample<'b>
     where
         I: ExactSizeIterator<Item = Option<&'b Upstream>>,
         F: Fn(&&Upstream) -> bool,
     {
         let len = list.len();
-        let step = len.div_ceil(SAMPLED).max(1);
+        let step = len.div_ceil(MAX_SAMPLED_ENGINES).max(1);
         let first = rendezvous_hash(salt, self.now.0) as usize % step;
         let sampled = list.skip(first).step_by(step);
-        let part = 1.0 / step as f64;
-        let engines = sampled.flatten().filter(takes).collect();
-        Near { engines, part }
+        let fraction = 1.0 / step as f64;
+        let engines = sampled.flatten().filter(is_candidate).collect();
+        EngineSample { engines, fraction }
     }
 
-    /// What of an adapter there is on the engines that are looked at, among which is that part of all that have it.
+    /// Estimates the copies of an adapter from those on `engines`, a sample of `fraction` of all
+    /// that may have it.
     fn copies(
         &self,
         generation: &Generation,
         engines: &[&Upstream],
-        part: f64,
-    ) -> Copies {
+        fraction: f64,
+    ) -> AdapterCopies {
         let Some(adapter) = generation.adapter else {
-            return Copies::default();
+            return AdapterCopies::default();
         };
         let wanted = self.versions.wanted(adapter);
         let places = engines
             .iter()
             .filter_map(|up| up.engine.as_ref()?.place(wanted));
-        let seen = places.fold(Copies::default(), |copies, place| Copies {
+        let seen = places.fold(AdapterCopies::default(), |copies, place| AdapterCopies {
             count: copies.count + 1.0,
-            uses: copies.uses + place.demand.get(self.now, DEMAND_HALF_LIFE),
+            recent_uses: copies.recent_uses + place.demand.get(self.now, DEMAND_HALF_LIFE),
         });
-        Copies {
-            count: seen.count / part,
-            uses: seen.uses / part,
+        AdapterCopies {
+            count: seen.count / fraction,
+            recent_uses: seen.recent_uses / fraction,
         }
     }
 
-    /// Ready upstreams, without those that failed this request or that can't be reached, as long as there are others.
+    /// Ready upstreams, without unreachable ones and those that failed this request if any others
+    /// are left.
     fn candidates(
         &self,
         job: &Job,
     ) -> Vec<&Upstream> {
         let filter = self.filter(job);
         let ready = self.fleet.ready(job.service);
-        ready.filter(|up| self.passes(filter, job, up)).collect()
+        ready
+            .filter(|up| self.matches_filter(filter, job, up))
+            .collect()
     }
 
-    /// The strictest filter that leaves an upstream of the service.
+    /// The strictest filter that at least one upstream of the service matches.
     fn filter(
         &self,
         job: &Job,
-    ) -> Filter {
-        let leaves_one = |&filter: &Filter| {
+    ) -> CandidateFilter {
+        let has_candidate = |&filter: &CandidateFilter| {
             let mut ready = self.fleet.ready(job.service);
-            ready.any(|up| self.passes(filter, job, up))
+            ready.any(|up| self.matches_filter(filter, job, up))
         };
-        let strict = [Filter::Untried, Filter::Open];
-        strict.into_iter().find(leaves_one).unwrap_or(Filter::Ready)
+        let strict = [CandidateFilter::NotFailed, CandidateFilter::Reachable];
+        strict
+            .into_iter()
+            .find(has_candidate)
+            .unwrap_or(CandidateFilter::Ready)
     }
 
-    fn passes(
+    fn matches_filter(
         &self,
-        filter: Filter,
+        filter: CandidateFilter,
         job: &Job,
         up: &Upstream,
     ) -> bool {
-        let is_open = || up.health.is_open(self.now);
+        let is_reachable = || up.health.is_open(self.now);
         up.is_ready
             && match filter {
-                Filter::Untried => is_open() && !job.avoid.contains(&up.id),
-                Filter::Open => is_open(),
-                Filter::Ready => true,
+                CandidateFilter::NotFailed => is_reachable() && !job.avoid.contains(&up.id),
+                CandidateFilter::Reachable => is_reachable(),
+                CandidateFilter::Ready => true,
             }
     }
 
-    /// What counts against an upstream whatever the request is, in milliseconds.
+    /// Penalty for data centre and recent failures, in milliseconds.
     fn penalty(
         &self,
         job: &Job,
         up: &Upstream,
     ) -> f64 {
-        let is_elsewhere = job.data_centre.is_some() && job.data_centre != up.data_centre;
-        let way = if is_elsewhere { ELSEWHERE_MS } else { 0.0 };
-        way + up.health.failing(self.now) * FAILING_MS
+        let is_cross_data_centre = job.data_centre.is_some() && job.data_centre != up.data_centre;
+        let distance = if is_cross_data_centre {
+            CROSS_DATA_CENTRE_PENALTY_MS
+        } else {
+            0.0
+        };
+        distance + up.health.failing(self.now) * FAILURE_PENALTY_MS
     }
 
-    /// The time to the first token if the adapter were there.
+    /// The cost of an engine in milliseconds if it had the adapter loaded.
     fn base_cost(
         &self,
         job: &Job,
@@ -356,74 +382,84 @@
         engine: &Engine,
     ) -> f64 {
         let unread = Load::of(job, engine, self.now).unread;
-        let reading = engine.backlog.wait(self.now) + engine.backlog.time_for(unread, self.now);
-        reading
-            + stall(job, up, engine, reading)
-            + f64::from(up.running) * RUNNING_MS
+        let prefill_ms = engine.backlog.wait(self.now) + engine.backlog.time_for(unread, self.now);
+        prefill_ms
+            + stall_penalty(job, up, engine, prefill_ms)
+            + f64::from(up.running) * PER_RUNNING_REQUEST_MS
             + self.penalty(job, up)
     }
 
-    /// What a first token after `wait` milliseconds counts as for being late.
-    fn lateness(
+    /// Penalty for the risk that a first token after `wait` milliseconds is late, in milliseconds.
+    fn lateness_penalty(
         &self,
         job: &Job,
         wait: f64,
     ) -> f64 {
-        let left = job.objective.since(self.now).0 as f64;
-        let (from, by) = (left * LATE_FROM, left * LATE_BY);
-        LATE_MS * ((wait - from) / (by - from).max(1.0)).clamp(0.0, 1.0)
+        let remaining = job.objective.since(self.now).0 as f64;
+        let (start, full) = (remaining * LATE_START_RATIO, remaining * LATE_FULL_RATIO);
+        LATE_PENALTY_MS * ((wait - start) / (full - start).max(1.0)).clamp(0.0, 1.0)
     }
 
-    fn way(
+    /// How this engine can serve the request, with the cost in milliseconds.
+    fn serving_option(
         &self,
         job: &Job,
         generation: &Generation,
         up: &Upstream,
         engine: &Engine,
         base: f64,
-        copies: Copies,
-    ) -> Option<(f64, Way)> {
+        copies: AdapterCopies,
+    ) -> Option<(f64, ServingOption)> {
         let Some(adapter) = generation.adapter else {
-            let way = if self.can_take(job, up, engine) {
-                Way::Send(None)
+            let option = if self.has_capacity_for(job, up, engine) {
+                ServingOption::Send(None)
             } else {
-                Way::Wait(self.full_reason(job, up, engine))
+                ServingOption::Wait(self.full_reason(job, up, engine))
             };
-            return Some((base, way));
+            return Some((base, option));
         };
         let wanted = self.versions.wanted(adapter);
         if let Some(wait) = engine.place(wanted).and_then(|place| place.wait(self.now)) {
             let extra = (wait.0 as f64 - engine.backlog.wait(self.now)).max(0.0);
-            let extra = extra + self.queue_ahead(job, adapter, engine, copies);
-            let way = match wait {
-                Millis::ZERO if engine.is_being_tried(wanted) => Way::Wait(WaitReason::Load),
-                Millis::ZERO if self.can_take(job, up, engine) => Way::Send(Some(wanted)),
-                Millis::ZERO => Way::Wait(self.full_reason(job, up, engine)),
-                _ => Way::Wait(WaitReason::Load),
+            let extra = extra + self.queue_delay(job, adapter, engine, copies);
+            let option = match wait {
+                Millis::ZERO if engine.is_being_tried(wanted) => {
+                    ServingOption::Wait(WaitReason::Load)
+                }
+                Millis::ZERO if self.has_capacity_for(job, up, engine) => {
+                    ServingOption::Send(Some(wanted))
+                }
+                Millis::ZERO => ServingOption::Wait(self.full_reason(job, up, engine)),
+                _ => ServingOption::Wait(WaitReason::Load),
             };
-            return Some((base + extra, way));
+            return Some((base + extra, option));
         }
         if engine
             .reserved
             .is_some_and(|(_, reserved)| reserved == wanted)
         {
-            // Its load follows as soon as a place is free. Another engine's would be a second copy for nothing.
-            let takes = self.load_time(engine.keeps_warm(wanted)) + ORDER_MS;
-            let extra = (takes - engine.backlog.wait(self.now)).max(0.0);
-            return Some((base + extra, Way::Wait(WaitReason::Load)));
+            // The load starts once the slot is free; loading on another engine would make a
+            // needless second copy.
+            let load_ms = self.load_time_ms(engine.keeps_warm(wanted)) + ORDER_ROUND_TRIP_MS;
+            let extra = (load_ms - engine.backlog.wait(self.now)).max(0.0);
+            return Some((base + extra, ServingOption::Wait(WaitReason::Load)));
         }
-        self.load_way(generation, up, engine, wanted, base, copies)
+        self.load_option(generation, up, engine, wanted, base, copies)
     }
 
-    /// How long the requests that wait for an adapter hold up the last of them, in milliseconds.
-    fn queue_ahead(
+    /// Delay by the other requests queued for the adapter, in milliseconds.
+    fn queue_delay(
         &self,
         job: &Job,
         adapter: AdapterId,
         engine: &Engine,
-        copies: Copies,
+        copies: AdapterCopies,
     ) -> f64 {
-        let waiting = self.wanted.get(&adapter).copied().unwrap_or_default();
+        let waiting = self
+            .queued_by_adapter
+            .get(&adapter)
+            .copied()
+            .unwrap_or_default();
         let others = waiting.saturating_sub(1);
         let each = engine
             .backlog
@@ -432,24 +468,23 @@
     }
 }
 
-/// What the pauses count as that the streams on an engine would have if it read this prompt too; `reading` is how long
-/// it would read in one go, in milliseconds.
+/// Penalty for delaying the tokens of the streams running on an engine, in milliseconds;
+/// `prefill_ms` is the time for all unread prompts including this one.
 ///
-/// An engine reads prompts in pieces between the tokens of its streams, each of which then takes as long as a piece. A
-/// stream whose event holds several tokens pauses for as many pieces, so one that comes after another without an end
-/// makes all streams there late, though their first tokens were in time.
-fn stall(
+/// Engines process prompts in chunks between decode steps, so a long run of prompts stretches the
+/// gap between the tokens of every running stream.
+fn stall_penalty(
     job: &Job,
     up: &Upstream,
     engine: &Engine,
-    reading: f64,
+    prefill_ms: f64,
 ) -> f64 {
     let Some(gap) = job.gap_objective else {
         return 0.0;
     };
     let gap = gap.0 as f64;
-    let from = gap * STALL_FROM;
-    let share = ((reading - from) / (gap - from).max(1.0)).clamp(0.0, 1.0);
+    let from = gap * STALL_START_RATIO;
+    let share = ((prefill_ms - from) / (gap - from).max(1.0)).clamp(0.0, 1.0);
     let streams = up.running.saturating_sub(engine.backlog.len() as u32);
-    share * f64::from(streams) * STALL_MS
+    share * f64::from(streams) * STALL_PENALTY_MS
 }
--- a/crates/core/src/scheduler/choose/preferred.rs
+++ b/crates/core/src/scheduler/choose/preferred.rs
@@ -6,60 +6,63 @@
     std::collections::HashMap,
 };
 
-/// Engines kept for an adapter besides those that have it: twice what is looked at, as some may be failing or have
-/// failed the request.
-const SPARE: usize = 24;
-/// Adapters for which they are kept; all are forgotten beyond.
-const MAX_ADAPTERS: usize = 16_384;
-/// Engines that have joined since, at most, before lists are made anew instead of brought up to date.
-const MAX_JOINED: usize = 256;
+/// Engines kept per adapter besides those that hold it; more than are evaluated, as some may be
+/// unusable for a request.
+const SPARE_ENGINES: usize = 24;
+/// Bound on the cached rankings; all are cleared when it is reached.
+const MAX_RANKINGS: usize = 16_384;
+/// Bound on the log of joined engines; beyond it all rankings are rebuilt instead of updated.
+const MAX_JOIN_LOG: usize = 256;
 
-/// The engines that each adapter prefers by rendezvous hashing, kept up to date as engines come and go.
+/// Caches each adapter's engines in order of rendezvous hash, and updates them as engines join and
+/// leave.
 ///
-/// Hashing all engines for each look at a request costs more than the rest of the decision where there are thousands.
+/// With thousands of engines, hashing all of them for each evaluation would dominate its cost.
 #[derive(Clone, Debug, Default)]
 pub(in crate::scheduler) struct PreferredEngines {
-    lists: HashMap<(ServiceId, AdapterId), List>,
-    /// Engines of any service, in the order in which they joined.
+    rankings: HashMap<(ServiceId, AdapterId), Ranking>,
+    /// Log of joined engines of all services, oldest first.
     joined: Vec<UpstreamId>,
-    /// Engines that have left a service so far.
+    /// Number of engines that have left their service so far.
     departures: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct List {
-    /// The best first.
+struct Ranking {
+    /// Highest score first.
     engines: Vec<UpstreamId>,
-    /// How many are kept at the most.
-    kept: usize,
-    /// How many have left since the list was made.
-    lost: usize,
-    /// The departures that were looked at.
+    /// Bound on the length of `engines`.
+    capacity: usize,
+    /// Engines removed since the ranking was built.
+    removed: usize,
+    /// Value of [`PreferredEngines::departures`] at the last update.
     departures: u64,
-    /// How many of those that joined were considered.
-    considered: usize,
+    /// Entries of [`PreferredEngines::joined`] that have been applied.
+    applied_joins: usize,
 }
 
 impl PreferredEngines {
-    /// Notes an engine that was not known before.
+    /// Records an engine that has joined a service.
     pub(in crate::scheduler) fn note_joined(
         &mut self,
         engine: UpstreamId,
     ) {
         self.joined.push(engine);
-        if self.joined.len() > MAX_JOINED {
+        if self.joined.len() > MAX_JOIN_LOG {
             self.joined.clear();
-            self.lists.clear();
+            self.rankings.clear();
         }
     }
 
-    /// Notes that an engine has left its service.
+    /// Records that an engine has left its service.
     pub(in crate::scheduler) const fn note_left(&mut self) {
         self.departures += 1;
     }
 
-    /// Brings the list of an adapter up to date with the engines of a service, which are sorted by id; as many as
-    /// `holders` of them may have it already.
+    /// Updates an adapter's ranking to the engines of a service.
+    ///
+    /// `members` must be sorted by id; `holders` is an upper bound on the engines that have the
+    /// adapter already.
     pub(in crate::scheduler) fn prepare(
         &mut self,
         service: ServiceId,
@@ -67,73 +70,75 @@
         members: &[UpstreamId],
         holders: usize,
     ) {
-        if self.lists.len() >= MAX_ADAPTERS && !self.lists.contains_key(&(service, adapter)) {
-            self.lists.clear();
+        if self.rankings.len() >= MAX_RANKINGS && !self.rankings.contains_key(&(service, adapter)) {
+            self.rankings.clear();
         }
-        let list = self.lists.entry((service, adapter)).or_default();
+        let ranking = self.rankings.entry((service, adapter)).or_default();
         let is_member = |engine: &UpstreamId| members.binary_search(engine).is_ok();
-        if list.departures != self.departures {
-            let before = list.engines.len();
-            list.engines.retain(is_member);
-            list.lost += before - list.engines.len();
-            list.departures = self.departures;
+        if ranking.departures != self.departures {
+            let before = ranking.engines.len();
+            ranking.engines.retain(is_member);
+            ranking.removed += before - ranking.engines.len();
+            ranking.departures = self.departures;
         }
-        let kept = (holders + SPARE).next_power_of_two();
-        if kept > list.kept || list.lost > SPARE / 2 {
-            *list = List::of_all(adapter, members, kept);
-            list.departures = self.departures;
+        let capacity = (holders + SPARE_ENGINES).next_power_of_two();
+        if capacity > ranking.capacity || ranking.removed > SPARE_ENGINES / 2 {
+            *ranking = Ranking::build(adapter, members, capacity);
+            ranking.departures = self.departures;
         } else {
-            let new = self.joined[list.considered..].iter().copied();
+            let new = self.joined[ranking.applied_joins..].iter().copied();
             new.filter(is_member)
-                .for_each(|engine| list.consider(adapter, engine));
+                .for_each(|engine| ranking.insert(adapter, engine));
         }
-        list.considered = self.joined.len();
+        ranking.applied_joins = self.joined.len();
     }
 
-    /// The engines that an adapter prefers, the best first; none unless they were prepared.
+    /// An adapter's preferred engines, best first; empty before the first [`Self::prepare`].
     pub(in crate::scheduler) fn of(
         &self,
         service: ServiceId,
         adapter: AdapterId,
     ) -> &[UpstreamId] {
-        let list = self.lists.get(&(service, adapter));
-        list.map_or(&[], |list| list.engines.as_slice())
+        let ranking = self.rankings.get(&(service, adapter));
+        ranking.map_or(&[], |ranking| ranking.engines.as_slice())
     }
 }
 
-impl List {
-    fn of_all(
+impl Ranking {
+    fn build(
         adapter: AdapterId,
         engines: &[UpstreamId],
-        kept: usize,
+        capacity: usize,
     ) -> Self {
         let mut scored: Vec<(u64, UpstreamId)> = engines
             .iter()
             .map(|&engine| (score(adapter, engine), engine))
             .collect();
-        if scored.len() > kept {
-            scored.select_nth_unstable_by(kept - 1, |a, b| b.cmp(a));
-            scored.truncate(kept);
+        if scored.len() > capacity {
+            scored.select_nth_unstable_by(capacity - 1, |a, b| b.cmp(a));
+            scored.truncate(capacity);
         }
         scored.sort_unstable_by(|a, b| b.cmp(a));
         Self {
             engines: scored.into_iter().map(|(_, engine)| engine).collect(),
-            kept,
+            capacity,
             ..Self::default()
         }
     }
 
-    fn consider(
+    fn insert(
         &mut self,
         adapter: AdapterId,
         engine: UpstreamId,
     ) {
         let rank = |engine: UpstreamId| (score(adapter, engine), engine);
-        let mine = rank(engine);
-        let at = self.engines.partition_point(|&other| rank(other) > mine);
-        if at < self.kept && self.engines.get(at) != Some(&engine) {
+        let own_rank = rank(engine);
+        let at = self
+            .engines
+            .partition_point(|&other| rank(other) > own_rank);
+        if at < self.capacity && self.engines.get(at) != Some(&engine) {
             self.engines.insert(at, engine);
-            self.engines.truncate(self.kept);
+            self.engines.truncate(self.capacity);
         }
     }
 }
--- a/crates/core/src/scheduler/machine/admission.rs
+++ b/crates/core/src/scheduler/machine/admission.rs
@@ -1,7 +1,7 @@
-//! Whether a request is taken in, and what the queue is told of it.
+//! Admission checks for new requests, and their queue entries.
 
 use {
-    super::{LEAST_RETRY, Scheduler},
+    super::{MIN_RETRY_AFTER, Scheduler},
     crate::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -12,21 +12,22 @@
     },
 };
 
-/// The line of requests whose callers belong to no account.
+/// Queue of requests without an account.
 const NO_ACCOUNT: AccountId = AccountId(u32::MAX);
-/// From the word to send a request until it is at its engine, and from its first event until that is known.
-const ON_THE_WAY: Millis = Millis(40);
+/// Allowance for the network: from the assignment to the engine, and from the first event back to
+/// the scheduler.
+const DISPATCH_DELAY: Millis = Millis(40);
 
 impl Scheduler {
-    /// A repeat is refused where the service has had its share of them.
-    pub(super) fn check_repeat(
+    /// Refuses a retry if the service's retry budget is used up.
+    pub(super) fn check_retry_budget(
         &mut self,
         job: &Job,
         now: Millis,
     ) -> Result<(), Refusal> {
         let taken_over_at = self.taken_over_at;
         let budget = self
-            .repeats
+            .retry_budgets
             .entry(job.service)
             .or_insert_with(|| RepeatBudget::taken_over(taken_over_at));
         if job.attempt <= 1 {
@@ -40,36 +41,38 @@
         }
     }
 
-    /// A request that could not be sent before its deadline is refused when it comes.
-    pub(super) fn check_wait(
+    /// Refuses a request that is not expected to meet its deadline.
+    pub(super) fn check_deadline(
         &self,
         job: &Job,
         now: Millis,
     ) -> Result<(), Refusal> {
         let wait = self.expected_wait(job.service);
-        let left = job.deadline.since(now + self.least_time(job));
-        if wait < left {
+        let remaining = job.deadline.since(now + self.min_service_time(job));
+        if wait < remaining {
             return Ok(());
         }
-        let late = wait.since(left).max(LEAST_RETRY);
-        Err(Refusal::after(ErrorKind::CannotMeetDeadline, late))
+        let retry_after = wait.since(remaining).max(MIN_RETRY_AFTER);
+        Err(Refusal::after(ErrorKind::CannotMeetDeadline, retry_after))
     }
 
-    /// How long all that waits for a service keeps its upstreams busy. An upstream's own speed says so, and not how
-    /// fast the queue has emptied lately: what waits for an adapter holds up nobody else.
+    /// How long the queued work of a service keeps its upstreams busy.
+    ///
+    /// Computed from the capacity of the upstreams rather than the recent drain rate of the queue,
+    /// as requests that wait for an adapter delay no others.
     pub(super) fn expected_wait(
         &self,
         service: ServiceId,
     ) -> Millis {
-        let waiting = self.waiting.get(&service).copied().unwrap_or_default();
+        let queued = self.queued_work.get(&service).copied().unwrap_or_default();
         let per_ms = self.fleet.capacity(service);
         match per_ms {
-            none if none <= 0.0 => Millis::ZERO,
-            per_ms => Millis((waiting / per_ms) as u64),
+            zero if zero <= 0.0 => Millis::ZERO,
+            per_ms => Millis((queued / per_ms) as u64),
         }
     }
 
-    /// A request is charged for its first attempt only.
+    /// Charges the account's rate for the first attempt of a request; later attempts are free.
     pub(super) fn charge(
         &mut self,
         job: &Job,
@@ -81,26 +84,27 @@
         self.rates.admit(job, now)
     }
 
-    pub(super) fn waiting(
+    /// The queue entry of a request.
+    pub(super) fn queue_item(
         &self,
         request: RequestId,
         job: &Job,
         now: Millis,
     ) -> Waiting {
-        let least = self.least_time(job);
-        let latest = Millis(job.deadline.0.saturating_sub(least.0));
+        let min_time = self.min_service_time(job);
+        let send_deadline = Millis(job.deadline.0.saturating_sub(min_time.0));
         Waiting {
             request,
             account: job.account.unwrap_or(NO_ACCOUNT),
-            priority: class(job.priority),
+            priority: priority_class(job.priority),
             cost: job.cost.max(1),
-            deadline: latest.max(now),
+            deadline: send_deadline.max(now),
             target: target(job),
         }
     }
 
-    /// Until when a request has to be sent to be on time: behind as many prompts as an engine may have, and with
-    /// its own to be read.
+    /// The latest time to send a request that can still be on time, behind a full engine backlog
+    /// and its own prompt.
     pub(super) fn timely_until(
         &self,
         job: &Job,
@@ -109,15 +113,15 @@
             None => self.settings.least_call,
             Some(generation) => {
                 let tokens = f64::from(generation.size.prompt);
-                let read = self.fleet.read_line(job.service).time_for(tokens);
-                self.settings.engine_backlog + Millis(read as u64) + ON_THE_WAY
+                let read_ms = self.fleet.read_line(job.service).time_for(tokens);
+                self.settings.engine_backlog + Millis(read_ms as u64) + DISPATCH_DELAY
             }
         };
         Millis(job.objective.0.saturating_sub(needed.0))
     }
 
-    /// How long a request takes at the least once it is sent.
-    const fn least_time(
+    /// The shortest time that a request takes once it is sent.
+    const fn min_service_time(
         &self,
         job: &Job,
     ) -> Millis {
@@ -128,8 +132,8 @@
     }
 }
 
-/// The queue's class of a rank.
-const fn class(priority: u8) -> Priority {
+/// Maps a job's priority to the queue's class.
+const fn priority_class(priority: u8) -> Priority {
     match priority {
         0 => Priority::High,
         1 | 2 => Priority::Normal,
@@ -137,8 +141,8 @@
     }
 }
 
-/// What requests can run on at the same times. The version is decided when a request is sent, so the line of
-/// an adapter is one, whatever version is announced meanwhile.
+/// The queue target of a request. An adapter's requests share one target whatever the version, as
+/// the version is chosen when a request is sent.
 fn target(job: &Job) -> Target {
     match job.generation() {
         None => Target::Service(job.service),
--- a/crates/core/src/scheduler/machine/decisions.rs
+++ b/crates/core/src/scheduler/machine/decisions.rs
@@ -1,7 +1,8 @@
-//! What is sent, loaded, put behind and refused with every event, and what a request's end sets free.
+//! Decisions after each event: dispatch, loads, postponement and refusals, and the cleanup of ended
+//! requests.
 
 use {
-    super::{LEAST_RETRY, Scheduler},
+    super::{MIN_RETRY_AFTER, Scheduler},
     crate::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -9,7 +10,7 @@
         queue::Waiting,
         scheduler::{
             Job, Outcome, SchedulerAction as Action,
-            choose::{Choice, View},
+            choose::{Choice, SelectionContext},
             fleet::Load,
             fleet_totals::FleetTotals,
             loads,
@@ -18,72 +19,72 @@
     },
 };
 
-/// Waiting requests that are looked at in a millisecond at most. When few wait, each is looked at with every event;
-/// when hundreds do, each every few ten milliseconds.
-const LOOKS_A_MS: usize = 4;
-/// Of more waiting requests than these not all are passed over with every event.
-const SHORT_QUEUE: usize = 48;
-/// So many of them are passed over in a millisecond at most. A pass over 500 takes some 50 us and there are three events a
-/// request: the longer the queue of a scheduler that was late, the later it was.
-const PASSED_A_MS: usize = 50;
-/// How long a waiting request isn't looked at again at the least: what it waits for is mostly a load of 25 or 250 ms. At
-/// 850 requests a second and 140 engines 6.5 looks a request in place of 10.4, with as many first tokens in time.
-const LEAST_LOOK_PAUSE: Millis = Millis(10);
-/// How much later a request counts as having come once it can't be on time: what comes within this time and can
-/// goes first.
-const LATE_PATIENCE: Millis = Millis(3_000);
-/// A late request is refused when what waits would take more than one part in so many of the time that it has left:
-/// what comes meanwhile and can be on time goes first.
-const HOPELESS: u64 = 2;
+/// Bound on the evaluations of queued requests per millisecond; sets the interval at which each is
+/// evaluated.
+const MAX_EVALUATIONS_PER_MS: usize = 4;
+/// A queue of up to this length is scanned after every event, a longer one at intervals.
+const SHORT_QUEUE_LEN: usize = 48;
+/// Bound on the queued requests scanned per millisecond, so that a long queue doesn't slow down the
+/// scheduler.
+const MAX_SCANNED_PER_MS: usize = 50;
+/// Minimum time between two evaluations of a queued request; short compared with the loads it
+/// usually waits for.
+const MIN_REEVALUATION_DELAY: Millis = Millis(10);
+/// How far a request that can't be on time is postponed in the queue: newer requests that arrive
+/// within this time and can be on time go first.
+const LATE_POSTPONE_DELAY: Millis = Millis(3_000);
+/// A late request is refused if the expected wait times this factor exceeds its remaining time, as
+/// newer requests that can be on time will go first.
+const LATE_WAIT_FACTOR: u64 = 2;
 
-/// How often engines are looked at, at the most: what is wanted of them can wait so long.
-const LOOK_AT_ENGINES: Millis = Millis(5);
+/// Minimum interval between checks for due reports and missing base models.
+const MIN_ENGINE_CHECK_INTERVAL: Millis = Millis(5);
 
-/// Which waiting requests are looked at.
+/// Which queued requests a dispatch pass evaluates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Turn {
-    /// Those that can still be on time.
-    Timely,
-    /// All.
+enum DispatchPhase {
+    /// Requests that can still be on time.
+    OnTime,
+    /// All requests.
     All,
 }
 
 impl Scheduler {
-    /// Sends, loads and refuses whatever can be decided now.
+    /// Takes all decisions that are possible now and returns the resulting actions.
     pub(super) fn decide(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
         self.fleet.refresh_totals(now);
-        let mut actions = self.refuse_late(now);
+        let mut actions = self.refuse_expired(now);
         actions.extend(self.postpone_late(now));
-        if now >= self.next_pass {
-            self.pass_over(now, &mut actions);
-            self.next_pass = now + self.pass_pause();
+        if now >= self.next_pass_at {
+            self.run_dispatch_pass(now, &mut actions);
+            self.next_pass_at = now + self.dispatch_pass_interval();
         }
-        if self.may_order && now >= self.engines_looked_at + self.engines_pause() {
-            self.engines_looked_at = now;
-            self.look_at_engines(now, &mut actions);
+        if self.can_order && now >= self.engines_checked_at + self.engine_check_interval() {
+            self.engines_checked_at = now;
+            self.check_engines(now, &mut actions);
         }
         self.fleet.refresh_totals(now);
         actions
     }
 
-    /// How often all engines are looked at.
-    pub(super) fn engines_pause(&self) -> Millis {
-        LOOK_AT_ENGINES.max(FleetTotals::pause(self.fleet.upstreams.len()))
+    /// Interval between checks of all engines.
+    pub(super) fn engine_check_interval(&self) -> Millis {
+        MIN_ENGINE_CHECK_INTERVAL.max(FleetTotals::pause(self.fleet.upstreams.len()))
     }
 
-    /// How long it takes to look at all that waits.
-    pub(super) fn look_through_time(&self) -> Millis {
+    /// Time to evaluate all queued requests; zero for a short queue.
+    pub(super) fn full_evaluation_time(&self) -> Millis {
         match self.queue.len() {
-            short if short <= SHORT_QUEUE => Millis::ZERO,
-            long => Millis((long / LOOKS_A_MS) as u64),
+            short if short <= SHORT_QUEUE_LEN => Millis::ZERO,
+            long => Millis((long / MAX_EVALUATIONS_PER_MS) as u64),
         }
     }
 
-    /// Sends and loads for those that wait: first for those that can be on time, then for all.
-    fn pass_over(
+    /// Dispatches queued requests: first those that can be on time, then all.
+    fn run_dispatch_pass(
         &mut self,
         now: Millis,
         actions: &mut Vec<Action>,
@@ -91,21 +92,22 @@
         if self.queue.is_empty() {
             return;
         }
-        let mut cold = self.fleet.cold_time(&self.settings.loads, now);
-        for turn in [Turn::Timely, Turn::All] {
-            self.send_and_load(turn, &mut cold, now, actions);
+        let mut cold_load = self.fleet.cold_time(&self.settings.loads, now);
+        for phase in [DispatchPhase::OnTime, DispatchPhase::All] {
+            self.dispatch(phase, &mut cold_load, now, actions);
         }
     }
 
-    fn pass_pause(&self) -> Millis {
+    /// Time until the next dispatch pass; zero for a short queue.
+    fn dispatch_pass_interval(&self) -> Millis {
         match self.queue.len() {
-            short if short <= SHORT_QUEUE => Millis::ZERO,
-            long => Millis((long / PASSED_A_MS).max(1) as u64),
+            short if short <= SHORT_QUEUE_LEN => Millis::ZERO,
+            long => Millis((long / MAX_SCANNED_PER_MS).max(1) as u64),
         }
     }
 
-    /// Asks for the reports that are wanted and has base models loaded where there are none.
-    fn look_at_engines(
+    /// Requests due reports and loads base models on engines that have none.
+    fn check_engines(
         &mut self,
         now: Millis,
         actions: &mut Vec<Action>,
@@ -113,16 +115,16 @@
         actions.extend(self.model_loads.plan(&mut self.fleet, now));
         let due = self.fleet.reports_due(now);
         self.reports.set_due(due, now);
-        self.ask_reports(now, actions);
+        self.request_reports(now, actions);
     }
 
-    /// Asks for as many of the reports that are wanted as may be out at a time.
-    pub(super) fn ask_reports(
+    /// Requests pending reports, up to the bound on concurrent requests.
+    pub(super) fn request_reports(
         &mut self,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        if !self.may_order {
+        if !self.can_order {
             return;
         }
         let Self { fleet, reports, .. } = self;
@@ -132,7 +134,8 @@
         }
     }
 
-    fn refuse_late(
+    /// Refuses queued requests whose deadline has passed.
+    fn refuse_expired(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
@@ -151,37 +154,36 @@
         actions
     }
 
-    /// Puts requests that can't be on time any more behind those that can, and refuses them where even what
-    /// waits now would take most of the time that they have left.
+    /// Postpones requests that can no longer be on time, and refuses those that would hardly meet
+    /// their deadline.
     ///
-    /// When more comes than can be run, taking requests by age makes all of them late: each waits until just
-    /// after its objective. An answer in time is worth three late ones to the users, and a caller that is
-    /// refused at once can still do something else.
+    /// Under overload, serving requests in order of arrival makes nearly all of them late.
     fn postpone_late(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(&(until, request)) = self.timely.first()
+        while let Some(&(until, request)) = self.on_time.first()
             && until <= now
         {
-            self.timely.remove(&(until, request));
+            self.on_time.remove(&(until, request));
             let Some(entry) = self.entries.get(&request) else {
                 continue;
             };
             let wait = self.expected_wait(entry.job.service);
-            let left = entry.job.deadline.since(now);
-            if Millis(wait.0 * HOPELESS) > left {
-                let refusal = Refusal::after(ErrorKind::CannotMeetDeadline, wait.max(LEAST_RETRY));
+            let remaining = entry.job.deadline.since(now);
+            if Millis(wait.0 * LATE_WAIT_FACTOR) > remaining {
+                let refusal =
+                    Refusal::after(ErrorKind::CannotMeetDeadline, wait.max(MIN_RETRY_AFTER));
                 actions.extend(self.refuse(request, refusal, now));
             } else {
-                self.queue.postpone(request, LATE_PATIENCE, now);
+                self.queue.postpone(request, LATE_POSTPONE_DELAY, now);
             }
         }
         actions
     }
 
-    /// Refuses a request that waits.
+    /// Refuses a queued request.
     fn refuse(
         &mut self,
         request: RequestId,
@@ -199,15 +201,16 @@
         })
     }
 
-    fn send_and_load(
+    /// Sends queued requests and starts loads for them, as far as the phase allows.
+    fn dispatch(
         &mut self,
-        turn: Turn,
-        cold: &mut Millis,
+        phase: DispatchPhase,
+        cold_load: &mut Millis,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        let may_order = self.may_order;
-        let mut looked = 0;
+        let can_order = self.can_order;
+        let mut evaluations = 0;
         loop {
             let mut sent = None;
             let popped = {
@@ -217,56 +220,58 @@
                     fleet,
                     versions,
                     settings,
-                    wanted,
-                    timely,
+                    queued_by_adapter,
+                    on_time,
                     reports,
-                    look_epoch,
+                    evaluation_epoch,
                     ..
                 } = self;
 
-                let pause = Millis((queue.len() / LOOKS_A_MS) as u64).max(LEAST_LOOK_PAUSE);
-                let may_evict = now >= self.evicts_from;
+                let evaluation_interval = Millis((queue.len() / MAX_EVALUATIONS_PER_MS) as u64)
+                    .max(MIN_REEVALUATION_DELAY);
+                let can_evict = now >= self.evictions_allowed_at;
                 queue.pop(now, |waiting| {
                     let Some(entry) = entries.get_mut(&waiting.request) else {
                         return true;
                     };
                     let until = entry.timely_until;
-                    let is_early = now < entry.look_at && entry.look_epoch == *look_epoch;
-                    if is_early
-                        || (turn == Turn::Timely && !timely.contains(&(until, waiting.request)))
+                    let is_deferred = now < entry.look_at && entry.look_epoch == *evaluation_epoch;
+                    if is_deferred
+                        || (phase == DispatchPhase::OnTime
+                            && !on_time.contains(&(until, waiting.request)))
                     {
                         return false;
                     }
-                    looked += 1;
-                    entry.look_epoch = *look_epoch;
+                    evaluations += 1;
+                    entry.look_epoch = *evaluation_epoch;
                     fleet.prepare(&entry.job);
-                    let view = View {
+                    let selection = SelectionContext {
                         fleet,
                         versions,
                         settings,
-                        wanted,
-                        may_order,
-                        may_evict,
-                        cold_ms: cold.0 as f64,
+                        queued_by_adapter,
+                        can_order,
+                        can_evict,
+                        cold_load_ms: cold_load.0 as f64,
                         now,
                     };
                     let Choice {
                         send,
                         load,
-                        waits_for,
-                        unsure,
-                    } = view.choose(&entry.job);
-                    if let Some(engine) = unsure {
+                        wait_reason,
+                        needs_report,
+                    } = selection.choose(&entry.job);
+                    if let Some(engine) = needs_report {
                         reports.note_urgent(engine);
                     }
                     if let Some(plan) = load {
                         let order = loads::begin(fleet, versions, &plan, &settings.loads, now);
                         actions.extend(order);
-                        *cold = fleet.cold_time(&settings.loads, now);
+                        *cold_load = fleet.cold_time(&settings.loads, now);
                     }
                     if send.is_none() {
-                        entry.look_at = now + pause;
-                        entry.waits_for(waits_for, now);
+                        entry.look_at = now + evaluation_interval;
+                        entry.waits_for(wait_reason, now);
                     }
                     sent = send;
                     send.is_some()
@@ -280,9 +285,10 @@
                 (None, _) => break,
             }
         }
-        self.looked += looked;
+        self.evaluations += evaluations;
     }
 
+    /// Moves a queued request to an upstream.
     pub(super) fn assign(
         &mut self,
         request: RequestId,
@@ -291,11 +297,11 @@
         now: Millis,
     ) -> Option<Action> {
         let job = self.entries.get(&request)?.job.clone();
-        let load = self.load(&job, upstream, now);
+        let load = self.request_load(&job, upstream, now);
         self.fleet.assign(upstream, request, adapter, load, now);
-        self.note_wanted(&job, false);
+        self.update_queued_work(&job, false);
         let entry = self.entries.get_mut(&request)?;
-        self.timely.remove(&(entry.timely_until, request));
+        self.on_time.remove(&(entry.timely_until, request));
         entry.stage = Stage::Running { upstream, adapter };
         let waited_for = entry.waited_for(now);
         self.waits.add_all(&entry.waited);
@@ -310,7 +316,8 @@
         })
     }
 
-    pub(super) fn load(
+    /// The work that a request is for an upstream; zero if that isn't an engine.
+    pub(super) fn request_load(
         &self,
         job: &Job,
         upstream: UpstreamId,
@@ -324,30 +331,32 @@
         engine.map_or_else(Load::default, |engine| Load::of(job, engine, now))
     }
 
-    pub(super) fn note_wanted(
+    /// Adds a request to the totals of queued work, or removes it from them.
+    pub(super) fn update_queued_work(
         &mut self,
         job: &Job,
-        waits: bool,
+        is_queued: bool,
     ) {
         let work = job
             .generation()
             .map_or(1.0, |generation| f64::from(generation.size.prompt));
-        let sum = self.waiting.entry(job.service).or_default();
-        *sum = (*sum + if waits { work } else { -work }).max(0.0);
+        let queued_work = self.queued_work.entry(job.service).or_default();
+        *queued_work = (*queued_work + if is_queued { work } else { -work }).max(0.0);
         let Some(adapter) = job.generation().and_then(|generation| generation.adapter) else {
             return;
         };
-        let count = self.wanted.entry(adapter).or_default();
-        *count = if waits {
+        let count = self.queued_by_adapter.entry(adapter).or_default();
+        *count = if is_queued {
             *count + 1
         } else {
             count.saturating_sub(1)
         };
         if *count == 0 {
-            self.wanted.remove(&adapter);
+            self.queued_by_adapter.remove(&adapter);
         }
     }
 
+    /// Removes a request, releases what it occupied and records its outcome.
     pub(super) fn finish(
         &mut self,
         request: RequestId,
@@ -362,9 +371,9 @@
             Stage::Waiting => {
                 entry.waits_for(entry.waits_for, now);
                 self.waits.add_all(&entry.waited);
-                self.timely.remove(&(entry.timely_until, request));
+                self.on_time.remove(&(entry.timely_until, request));
                 self.queue.cancel(request, now);
-                self.note_wanted(&entry.job, false);
+                self.update_queued_work(&entry.job, false);
                 false
             }
             Stage::Running { upstream, adapter } => {
--- a/crates/core/src/scheduler/machine/commands.rs
+++ b/crates/core/src/scheduler/machine/events.rs
@@ -1,7 +1,8 @@
-//! What the scheduler is told: its role, settings, upstreams, requests and their ends.
+//! Events that the scheduler receives: roles, settings, upstreams, reports, requests and their
+//! outcomes.
 
 use {
-    super::{FORGET_AFTER, Scheduler},
+    super::{ORPHAN_TIMEOUT, Scheduler},
     crate::{
         clock::Millis,
         ids::{AccountId, AdapterId, AdapterVersion, RequestId, ServiceId, UpstreamId},
@@ -17,22 +18,22 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// How long after a takeover the other VMs have all told what they run. An adapter that is ordered to go while it
-/// is used blocks its engine until its runs have ended, and nobody can be sent to it meanwhile.
-const INTRODUCTIONS: Millis = Millis(500);
+/// Eviction is off for this long after a takeover, until all VMs have reported their running
+/// requests: evicting an adapter in use blocks the engine until those requests end.
+const TAKEOVER_EVICTION_DELAY: Millis = Millis(500);
 
 impl Scheduler {
-    /// Changes what may be decided here: orders to engines, and the share of the rights.
+    /// Sets whether this scheduler may send orders to engines, and its share of the account rates.
     pub fn set_role(
         &mut self,
-        may_order: bool,
+        can_order: bool,
         share: RightsShare,
         now: Millis,
     ) {
-        if may_order && !self.may_order {
-            self.evicts_from = match share {
+        if can_order && !self.can_order {
+            self.evictions_allowed_at = match share {
                 RightsShare::Fresh => now,
-                RightsShare::TakenOver | RightsShare::Part(_) => now + INTRODUCTIONS,
+                RightsShare::TakenOver | RightsShare::Part(_) => now + TAKEOVER_EVICTION_DELAY,
             };
             let orders_from = match share {
                 RightsShare::Fresh => now,
@@ -41,7 +42,7 @@
             self.fleet.orders_from = orders_from;
             if share != RightsShare::Fresh {
                 self.taken_over_at = Some(now);
-                self.repeats.clear();
+                self.retry_budgets.clear();
             }
             for (_, engine) in self.fleet.engines_mut() {
                 engine.has_order = false;
@@ -50,11 +51,12 @@
                 engine.doubt(Millis::ZERO);
             }
         }
-        self.may_order = may_order;
+        self.can_order = can_order;
         self.rates.set_share(share, now);
     }
 
-    /// The scheduler before was an earlier run on this VM. To engines that is the same orderer, and it is surely over.
+    /// Allows orders at once after a takeover from an earlier process on this VM, whose orders
+    /// can't overlap with new ones.
     pub fn continue_own_orders(
         &mut self,
         now: Millis,
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Takes from the scheduler before how long ago each engine had its last order.
+    /// Sets how long ago the previous scheduler sent an engine its last order.
     pub fn note_rested(
         &mut self,
         upstream: UpstreamId,
@@ -78,11 +80,10 @@
         }
     }
 
-    /// Gives engines no more orders, as the lead is about to be handed on.
+    /// Stops sending orders to `engines` before a planned handover of leadership.
     ///
-    /// Where engines check no fencing tokens, whoever follows must not order an engine until some time after its last
-    /// order. If all had their last one with the end of the lead, nothing could be loaded for that time, for seconds on
-    /// every planned restart of the VM that schedules.
+    /// Without fencing tokens, the next scheduler must wait for `order_gap` after an engine's last
+    /// order. Stopping half of the engines early lets it load adapters on those at once.
     pub fn rest(
         &mut self,
         engines: Rest,
@@ -96,8 +97,10 @@
         }
     }
 
-    /// How long ago each engine had its last order, for whoever follows: from this scheduler, or from one before it, which
-    /// an engine that may not be ordered yet may have had just before this one took over.
+    /// How long ago each engine got its last order, for the next scheduler.
+    ///
+    /// An engine without an order from this scheduler counts as having had one just before the
+    /// takeover, unless the previous scheduler reported a longer time.
     pub fn rested(
         &self,
         now: Millis,
@@ -110,13 +113,13 @@
         engines
             .filter(|(_, engine)| !engine.has_order)
             .map(|(id, engine)| {
-                let by_others = engine.orders_from.since(self.settings.order_gap);
-                (id, now.since(engine.ordered_at.max(by_others)))
+                let previous_order_at = engine.orders_from.since(self.settings.order_gap);
+                (id, now.since(engine.ordered_at.max(previous_order_at)))
             })
             .collect()
     }
 
-    /// Changes how it decides.
+    /// Replaces the settings.
     pub fn set_settings(
         &mut self,
         settings: SchedulerSettings,
@@ -124,7 +127,7 @@
         self.settings = settings;
     }
 
-    /// Sets the limits of the accounts that have one.
+    /// Replaces the rate limits; accounts that are not listed have no limit.
     pub fn set_limits(
         &mut self,
         limits: BTreeMap<AccountId, Limit>,
@@ -133,7 +136,7 @@
         self.rates.set_limits(limits, now);
     }
 
-    /// Sets which services have engines, and what these can hold.
+    /// Sets which services run on engines, and the limits of these engines.
     pub fn set_engines(
         &mut self,
         engines: HashMap<ServiceId, EngineLimits>,
@@ -141,7 +144,7 @@
         self.fleet.set_engines(engines);
     }
 
-    /// Takes what an upstream's entry says.
+    /// Adds or updates an upstream from its store entry.
     pub fn set_upstream(
         &mut self,
         id: UpstreamId,
@@ -149,11 +152,11 @@
         now: Millis,
     ) -> Vec<Action> {
         let load = self.settings.loads;
-        self.fleet.set(id, facts, self.may_order, &load, now);
+        self.fleet.set(id, facts, self.can_order, &load, now);
         self.decide(now)
     }
 
-    /// Forgets an upstream whose entry is gone.
+    /// Removes an upstream whose store entry is gone.
     pub fn remove_upstream(
         &mut self,
         id: UpstreamId,
@@ -161,18 +164,18 @@
         self.fleet.remove(id);
     }
 
-    /// Notes that an operator has announced a version of an adapter.
+    /// Records that an operator has announced a version of an adapter.
     pub fn announce_version(
         &mut self,
         adapter: AdapterId,
         version: u32,
-        how: Announcement,
+        source: Announcement,
         now: Millis,
     ) {
-        self.versions.announce(adapter, version, how, now);
+        self.versions.announce(adapter, version, source, now);
     }
 
-    /// Takes an engine's own report; none where it couldn't be had.
+    /// Applies an engine's own report; `None` if the request for it failed.
     pub fn report(
         &mut self,
         id: UpstreamId,
@@ -183,26 +186,26 @@
         if let Some(facts) = facts {
             let load = self.settings.loads;
             self.fleet.report(id, facts, &load, now);
-            self.look_at_all(now);
+            self.reevaluate_all(now);
         }
         let mut actions = self.decide(now);
-        self.ask_reports(now, &mut actions);
+        self.request_reports(now, &mut actions);
         actions
     }
 
-    /// Has all waiting requests looked at with the next event, as an engine may take orders again; of a long queue only
-    /// as often as it can be looked through.
-    fn look_at_all(
+    /// Marks all queued requests for evaluation, as an engine may accept orders again; for long
+    /// queues at most once per [`Self::full_evaluation_time`].
+    fn reevaluate_all(
         &mut self,
         now: Millis,
     ) {
-        if now >= self.next_epoch {
-            self.look_epoch += 1;
-            self.next_epoch = now + self.look_through_time();
+        if now >= self.next_epoch_at {
+            self.evaluation_epoch += 1;
+            self.next_epoch_at = now + self.full_evaluation_time();
         }
     }
 
-    /// Takes the answer to an order.
+    /// Applies the result of an order.
     pub fn order_ended(
         &mut self,
         upstream: UpstreamId,
@@ -219,7 +222,7 @@
         actions
     }
 
-    /// A request wants an upstream.
+    /// Queues a request, or refuses it at once.
     pub fn place(
         &mut self,
         ticket: Ticket,
@@ -234,10 +237,10 @@
             }]
         };
         self.fleet.refresh_totals(now);
-        if let Err(refusal) = self.check_repeat(&job, now) {
+        if let Err(refusal) = self.check_retry_budget(&job, now) {
             return refuse(refusal);
         }
-        if let Err(refusal) = self.check_wait(&job, now) {
+        if let Err(refusal) = self.check_deadline(&job, now) {
             return refuse(refusal);
         }
         let charge = match self.charge(&job, now) {
@@ -245,21 +248,22 @@
             Err(refusal) => return refuse(refusal),
         };
         let request = RequestId(self.next_request);
-        let waiting = self.waiting(request, &job, now);
-        if let Err(refusal) = self.queue.push(waiting, now) {
+        let queue_item = self.queue_item(request, &job, now);
+        if let Err(refusal) = self.queue.push(queue_item, now) {
             if let Some(charge) = charge {
                 self.rates.settle(charge, false, now);
             }
             return refuse(refusal);
         }
         self.next_request += 1;
-        self.note_wanted(&job, true);
-        self.timely.insert((self.timely_until(&job), request));
-        self.enter(request, ticket, job, Stage::Waiting, charge, now);
+        self.update_queued_work(&job, true);
+        self.on_time.insert((self.timely_until(&job), request));
+        self.add_entry(request, ticket, job, Stage::Waiting, charge, now);
         self.decide(now)
     }
 
-    fn enter(
+    /// Adds a request to the scheduler's entries.
+    fn add_entry(
         &mut self,
         request: RequestId,
         ticket: Ticket,
@@ -273,11 +277,11 @@
             ticket,
             timely_until: self.timely_until(&job),
             look_at: Millis::ZERO,
-            look_epoch: self.look_epoch,
+            look_epoch: self.evaluation_epoch,
             waits_for: WaitReason::Turn,
             waits_since: now,
             waited: WaitTimes::default(),
-            forget_at: job.deadline + FORGET_AFTER,
+            forget_at: job.deadline + ORPHAN_TIMEOUT,
             job,
             stage,
             charge,
@@ -285,7 +289,7 @@
         self.entries.insert(request, entry);
     }
 
-    /// Notes what was decided of a request of this VM's own callers, whoever decided.
+    /// Records the decision about a request of this VM's own callers, by this or another scheduler.
     pub fn note_own(
         &mut self,
         account: AccountId,
@@ -299,7 +303,7 @@
         }
     }
 
-    /// The caller of a request that waits has gone, or its VM gives it up.
+    /// Removes a request whose caller has gone or whose VM has given up on it.
     pub fn cancel(
         &mut self,
         ticket: Ticket,
@@ -308,7 +312,8 @@
         self.ended(ticket, Outcome::Abandoned, now)
     }
 
-    /// The first event of an assigned generation has been seen.
+    /// Records the first event of an assigned generation, which shows that its prompt was
+    /// processed.
     pub fn first_event(
         &mut self,
         ticket: Ticket,
@@ -340,7 +345,7 @@
         self.decide(now)
     }
 
-    /// A request has ended, whether it was assigned or still waits.
+    /// Records the outcome of an assigned or queued request.
     pub fn ended(
         &mut self,
         ticket: Ticket,
@@ -353,7 +358,7 @@
         self.decide(now)
     }
 
-    /// Takes over requests that run already.
+    /// Adds a request that was already running when this scheduler took over.
     pub fn adopt(
         &mut self,
         adopted: Adopted,
@@ -376,67 +381,68 @@
             Some(version) => AdapterVersion { adapter, version },
             None => self.versions.wanted(adapter),
         });
-        let load = self.load(&job, upstream, now);
+        let load = self.request_load(&job, upstream, now);
         self.fleet.assign(upstream, request, adapter, load, now);
         if has_begun && let Some(engine) = self.fleet.engine_mut(upstream) {
             engine.backlog.remove(request, now);
         }
         let stage = Stage::Running { upstream, adapter };
-        self.enter(request, ticket, job, stage, None, now);
+        self.add_entry(request, ticket, job, stage, None, now);
     }
 
-    /// Forgets all requests of a VM that is gone.
+    /// Removes all requests of a VM that is gone.
     pub fn forget_vm(
         &mut self,
         vm: u32,
         now: Millis,
     ) -> Vec<Action> {
-        self.forget(|ticket| ticket.vm == vm, now)
+        self.remove_matching(|ticket| ticket.vm == vm, now)
     }
 
-    /// Forgets all requests of other VMs, as they are another scheduler's from now on.
+    /// Removes all requests of VMs other than `vm`, after another scheduler has taken over.
     pub fn forget_others(
         &mut self,
         vm: u32,
         now: Millis,
     ) -> Vec<Action> {
-        self.forget(|ticket| ticket.vm != vm, now)
+        self.remove_matching(|ticket| ticket.vm != vm, now)
     }
 
-    fn forget<F>(
+    fn remove_matching<F>(
         &mut self,
-        is_gone: F,
+        is_removed: F,
         now: Millis,
     ) -> Vec<Action>
     where
         F: Fn(Ticket) -> bool,
     {
-        let gone: Vec<RequestId> = self
+        let removed: Vec<RequestId> = self
             .entries
             .iter()
-            .filter(|(_, entry)| is_gone(entry.ticket))
+            .filter(|(_, entry)| is_removed(entry.ticket))
             .map(|(&request, _)| request)
             .collect();
-        for request in gone {
+        for request in removed {
             self.finish(request, Outcome::Abandoned, now);
         }
         self.decide(now)
     }
 
-    /// Time has passed.
+    /// Advances the time: removes requests whose end was never reported, then decides about queued
+    /// ones.
     pub fn tick(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
-        if now.since(self.swept_at) >= FORGET_AFTER {
+        if now.since(self.swept_at) >= ORPHAN_TIMEOUT {
             self.swept_at = now;
-            let lost: Vec<RequestId> = self
+            let orphaned: Vec<RequestId> = self
                 .entries
                 .iter()
                 .filter(|(_, entry)| now >= entry.forget_at)
                 .map(|(&request, _)| request)
                 .collect();
-            for request in lost {
+            for request in orphaned {
                 self.finish(request, Outcome::Abandoned, now);
             }
         }
--- a/crates/core/src/scheduler/machine/mod.rs
+++ b/crates/core/src/scheduler/machine/mod.rs
@@ -1,4 +1,5 @@
-//! The machine's state. What it is told, what it answers, whom it takes in and what it decides are files of their own.
+//! State of the scheduler; its events, admission checks, decisions and queries are in the
+//! submodules.
 
 use {
     super::{
@@ -15,68 +16,72 @@
 };
 
 mod admission;
-mod commands;
 mod decisions;
+mod events;
 mod queries;
 
-/// How long after its deadline a request is forgotten whose VM never told its end.
-const FORGET_AFTER: Millis = Millis(1_000);
-/// The shortest time after which a refused caller is told to come back.
-const LEAST_RETRY: Millis = Millis(100);
+/// How long after its deadline a request is dropped if its VM has not reported its end.
+const ORPHAN_TIMEOUT: Millis = Millis(1_000);
+/// Lower bound of the retry time in refusals.
+const MIN_RETRY_AFTER: Millis = Millis(100);
 
-/// The scheduler of one deployment, or the stand-by of one VM.
+/// The scheduler of one deployment, or the standby of one VM.
+///
+/// A standby decides with a part of the account rates and sends no orders to engines.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: SchedulerSettings,
-    may_order: bool,
-    /// From when on adapters may be dropped.
-    evicts_from: Millis,
+    /// Whether this scheduler may send orders to engines.
+    can_order: bool,
+    /// Adapters may be evicted from this time on.
+    evictions_allowed_at: Millis,
     fleet: Fleet,
     versions: VersionBook,
     rates: AccountRates,
-    repeats: HashMap<ServiceId, RepeatBudget>,
-    /// When this scheduler has taken over from another one.
+    retry_budgets: HashMap<ServiceId, RepeatBudget>,
+    /// When this scheduler took over from another one, if it did.
     taken_over_at: Option<Millis>,
     queue: FairQueue,
     entries: HashMap<RequestId, Entry>,
     by_ticket: HashMap<Ticket, RequestId>,
-    /// Waiting requests by adapter.
-    wanted: HashMap<AdapterId, u32>,
-    /// Work that waits, by service: tokens of prompts, or calls.
-    waiting: HashMap<ServiceId, f64>,
-    /// Waiting requests that can still be on time, with until when.
-    timely: BTreeSet<(Millis, RequestId)>,
+    /// Number of queued requests by adapter.
+    queued_by_adapter: HashMap<AdapterId, u32>,
+    /// Queued work by service, in prompt tokens or calls.
+    queued_work: HashMap<ServiceId, f64>,
+    /// Queued requests that can still be on time, by the latest time to send them.
+    on_time: BTreeSet<(Millis, RequestId)>,
     model_loads: ModelLoads,
-    engines_looked_at: Millis,
+    engines_checked_at: Millis,
     reports: ReportLine,
-    /// Changes whenever all waiting requests are to be looked at again.
-    look_epoch: u64,
-    /// From when on that may happen again.
-    next_epoch: Millis,
-    /// From when on waiting requests are passed over again.
-    next_pass: Millis,
+    /// Incremented when all queued requests are to be evaluated again.
+    evaluation_epoch: u64,
+    /// Earliest time of the next increment of `evaluation_epoch`.
+    next_epoch_at: Millis,
+    /// Earliest time of the next dispatch pass over the queue.
+    next_pass_at: Millis,
     next_request: u64,
+    /// Last removal of requests whose VM has not reported their end.
     swept_at: Millis,
-    /// How often a waiting request was looked at.
-    looked: u64,
-    /// How long requests that don't wait any more did, by reason.
+    /// Number of evaluations of queued requests so far.
+    evaluations: u64,
+    /// Total waiting time of requests that have left the queue, by reason.
     waits: WaitTimes,
 }
 
 impl Scheduler {
-    /// A stand-by with a share of the rights, which gives no orders.
+    /// Creates a standby with `share` of the account rates, which sends no orders.
     pub fn new(
         settings: SchedulerSettings,
         share: RightsShare,
     ) -> Self {
         Self {
             settings,
-            may_order: false,
-            evicts_from: Millis::ZERO,
+            can_order: false,
+            evictions_allowed_at: Millis::ZERO,
             fleet: Fleet::default(),
             versions: VersionBook::default(),
             rates: AccountRates::new(share),
-            repeats: HashMap::new(),
+            retry_budgets: HashMap::new(),
             taken_over_at: None,
             queue: FairQueue::new(QueueSettings {
                 judges_by_rate: false,
@@ -84,18 +89,18 @@
             }),
             entries: HashMap::new(),
             by_ticket: HashMap::new(),
-            wanted: HashMap::new(),
-            waiting: HashMap::new(),
-            timely: BTreeSet::new(),
+            queued_by_adapter: HashMap::new(),
+            queued_work: HashMap::new(),
+            on_time: BTreeSet::new(),
             model_loads: ModelLoads::default(),
-            engines_looked_at: Millis::ZERO,
+            engines_checked_at: Millis::ZERO,
             reports: ReportLine::default(),
-            look_epoch: 0,
-            next_epoch: Millis::ZERO,
-            next_pass: Millis::ZERO,
+            evaluation_epoch: 0,
+            next_epoch_at: Millis::ZERO,
+            next_pass_at: Millis::ZERO,
             next_request: 0,
             swept_at: Millis::ZERO,
-            looked: 0,
+            evaluations: 0,
             waits: WaitTimes::default(),
         }
     }
--- a/crates/core/src/scheduler/machine/queries.rs
+++ b/crates/core/src/scheduler/machine/queries.rs
@@ -1,7 +1,7 @@
-//! What the scheduler answers about itself.
+//! Read-only queries about the scheduler's state.
 
 use {
-    super::{FORGET_AFTER, Scheduler},
+    super::{ORPHAN_TIMEOUT, Scheduler},
     crate::{
         clock::Millis,
         ids::{ServiceId, UpstreamId},
@@ -9,20 +9,20 @@
     },
 };
 
-/// How often an engine that waits for something is looked at again, at least.
-const LOOK_AGAIN: Millis = Millis(50);
+/// Longest time between two ticks while requests are queued.
+const REEVALUATION_INTERVAL: Millis = Millis(50);
 
 impl Scheduler {
-    /// When [`Self::tick`] is wanted at the latest.
+    /// The latest time for the next call of [`Self::tick`].
     pub fn wake_at(
         &self,
         now: Millis,
     ) -> Millis {
-        let idle = now + FORGET_AFTER;
+        let idle = now + ORPHAN_TIMEOUT;
         let totals = &self.fleet.totals;
-        let looked_next = self.engines_looked_at + self.engines_pause();
-        let report = totals.next_report.filter(|_| self.may_order);
-        let report = report.map(|at| at.max(looked_next));
+        let next_check = self.engines_checked_at + self.engine_check_interval();
+        let report = totals.next_report.filter(|_| self.can_order);
+        let report = report.map(|at| at.max(next_check));
         let soonest = report.into_iter().fold(idle, Millis::min);
         if self.queue.is_empty() {
             return soonest.max(now + Millis(1));
@@ -31,32 +31,33 @@
             .next_load
             .into_iter()
             .chain(self.queue.next_deadline())
-            .fold(soonest.min(now + LOOK_AGAIN), Millis::min)
-            .max(self.next_pass)
+            .fold(soonest.min(now + REEVALUATION_INTERVAL), Millis::min)
+            .max(self.next_pass_at)
             .max(now + Millis(1))
     }
 
-    /// Number of requests that wait.
+    /// Number of queued requests.
     pub fn waiting_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Number of requests that were assigned and have not ended.
+    /// Number of assigned requests that have not ended.
     pub fn running_len(&self) -> usize {
         self.entries.len() - self.queue.len()
     }
 
-    /// How often a waiting request was looked at: most of what the scheduler does.
+    /// Number of evaluations of queued requests so far; they make up most of the scheduler's CPU
+    /// time.
     pub const fn looked(&self) -> u64 {
-        self.looked
+        self.evaluations
     }
 
-    /// How long requests that don't wait any more did, by reason.
+    /// Total waiting time of requests that have left the queue, by reason.
     pub const fn waits(&self) -> &WaitTimes {
         &self.waits
     }
 
-    /// Whether a request was assigned and has not ended.
+    /// Whether a request is assigned and has not ended.
     pub fn is_running(
         &self,
         ticket: Ticket,
@@ -66,7 +67,7 @@
         entry.is_some_and(|entry| matches!(entry.stage, Stage::Running { .. }))
     }
 
-    /// Whether an upstream is known and takes no new work.
+    /// Whether an upstream is known but accepts no new requests.
     pub fn is_leaving(
         &self,
         id: UpstreamId,
@@ -75,7 +76,7 @@
         known.is_some_and(|upstream| !upstream.is_ready)
     }
 
-    /// Whether some upstream of the service takes work.
+    /// Whether any upstream of the service accepts requests.
     pub fn has_upstream(
         &self,
         service: ServiceId,
--- a/crates/core/tests/adapter_loads.rs
+++ b/crates/core/tests/adapter_loads.rs
@@ -1,4 +1,4 @@
-//! When an adapter is loaded, where, and what goes for it.
+//! Adapter loads: when they start, on which engine, and which adapters are evicted.
 
 mod scheduler_world;
 
@@ -16,9 +16,7 @@
 
 #[test]
 fn a_waiting_request_has_one_load() {
-    // Each of two engines has one place in use and one idle when a request for another adapter comes. One engine
-    // has to drop its idle adapter first, and its answer to that takes a moment. In that moment it had nothing
-    // left to offer, so the adapter was loaded on the other engine too; the users pay for every load.
+    // Guards against a second load on another engine while the first one waits for an eviction.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
     world.add_engine(UpstreamId(1), &[3, 4]);
@@ -28,9 +26,14 @@
     }
     world.engines_answer = false;
     let request = world.generate(9);
-    assert_eq!(world.orders.len(), 1, "one place is made free");
+    assert_eq!(world.orders.len(), 1, "one slot is being freed");
     world.pass(60);
-    assert_eq!(world.orders.len(), 1, "and no other: {:?}", world.orders);
+    assert_eq!(
+        world.orders.len(),
+        1,
+        "no other slot is freed: {:?}",
+        world.orders
+    );
     let (upstream, unload) = world.unanswered.remove(0);
     world.answer(upstream, unload, OrderEnd::Holds);
     let (upstream, load) = world.unanswered.remove(0);
@@ -42,8 +45,7 @@
 
 #[test]
 fn an_adapter_in_use_stays() {
-    // Both places of the only engine run something when a request for a third adapter comes. Dropping one in
-    // use would break off its answer; the request waits until one of them is free.
+    // Guards against evicting an adapter that a running request uses, which would abort its answer.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
     let first = world.generate(1);
@@ -52,7 +54,7 @@
     world.first_event(second);
     let third = world.generate(3);
     world.pass(200);
-    assert_eq!(world.orders, [], "nothing can go");
+    assert_eq!(world.orders, [], "no adapter can be evicted");
     world.end(first, Outcome::Answered { took: world.now });
     world.pass(400);
     assert_eq!(world.sent_to(third), Some(UpstreamId(0)));
@@ -65,8 +67,8 @@
 
 #[test]
 fn a_copy_is_waited_for_rather_than_loaded_again() {
-    // Three requests for one adapter come together; one engine has it, another is idle. The prompts are read one
-    // after the other in a few hundred milliseconds, which is in time, and a second copy costs a load.
+    // Guards against a needless load on an idle engine when the engine that has the adapter can
+    // serve all three in time.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1]);
     world.add_engine(UpstreamId(1), &[]);
@@ -79,8 +81,8 @@
 
 #[test]
 fn a_crowd_gets_a_second_copy() {
-    // Thirty requests for one adapter come at once. At some twenty tokens a millisecond its only engine would read
-    // their prompts for seconds, and most would be late although another engine is idle.
+    // Guards against queueing thirty requests at the only engine with the adapter while another
+    // engine is idle.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1]);
     world.add_engine(UpstreamId(1), &[]);
@@ -93,8 +95,8 @@
 
 #[test]
 fn what_an_engine_dropped_lately_returns_there() {
-    // An engine drops an adapter for another one, and the first is asked for again. That engine still has it at
-    // hand and loads it in a tenth of the time and for nothing, an idle one would have to fetch it.
+    // Guards against a cold load on an idle engine when the engine that evicted the adapter still
+    // caches it.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
     let mut job = generation(3, world.now);
@@ -107,7 +109,7 @@
         Order::Unload { adapter, .. } => Some(adapter.adapter.0),
         _ => None,
     });
-    let dropped = dropped.expect("one had to go");
+    let dropped = dropped.expect("an adapter was evicted");
     world.add_engine(UpstreamId(1), &[]);
     let again = world.generate(dropped);
     world.pass(100);
@@ -116,28 +118,31 @@
 
 #[test]
 fn an_old_report_changes_nothing() {
-    // A report tells what was some hundred milliseconds ago. One that was made before the last order would take
-    // an adapter off the book that is on its way, and the engine would be given more than it holds: it crashes.
+    // Guards against dropping a load in progress because of a report made before it was ordered:
+    // the engine would be given more adapters than it has slots for.
     let mut world = World::leading(1);
     let request = world.generate(7);
     assert_eq!(world.loads_of(7), 1);
     world.report(UpstreamId(0), &engine(Some(0), &[]));
     world.pass(300);
-    assert_eq!(world.loads_of(7), 1, "it is on its way still");
+    assert_eq!(world.loads_of(7), 1, "the load is still in progress");
     assert_eq!(world.sent_to(request), Some(UpstreamId(0)));
 }
 
 #[test]
 fn an_order_without_an_answer_is_repeated() {
-    // An order's answer is lost, and the engine carries the order out seconds later, after newer ones: an adapter
-    // goes while it is used, or one too many comes. The same order once more makes the first one void, as each
-    // names how many the engine has accepted before it.
+    // Guards against a delayed order that takes effect after newer ones. Sending it again with the
+    // same sequence number voids the first copy.
     let mut world = World::leading(1);
     world.engines_answer = false;
     let request = world.generate(7);
     let (upstream, order) = world.unanswered.remove(0);
     world.answer(upstream, order, OrderEnd::Lost);
-    assert_eq!(world.unanswered, [(upstream, order)], "again, at once");
+    assert_eq!(
+        world.unanswered,
+        [(upstream, order)],
+        "the same order is sent again at once"
+    );
     world.unanswered.clear();
     world.answer(upstream, order, OrderEnd::Accepted);
     world.pass(300);
@@ -146,8 +151,8 @@
 
 #[test]
 fn two_lost_answers_end_trust() {
-    // An engine answers nothing. What it holds is not known any more; whoever counts places without asking may order
-    // one too many, and the engine crashes. So it is asked, after the time by which reports lag.
+    // Guards against ordering more adapters than the engine has slots for while its state is
+    // unknown: it gets no orders until a report has arrived.
     let mut world = World::leading(1);
     world.engines_answer = false;
     world.generate(7);
@@ -157,17 +162,20 @@
         world.answer(upstream, order, OrderEnd::Lost);
     }
     world.generate(8);
-    assert_eq!(world.orders.len(), 2, "no further order while in doubt");
+    assert_eq!(
+        world.orders.len(),
+        2,
+        "no orders while its state is unknown"
+    );
     world.pass(400);
     assert!(world.reports_asked.len() > asked);
     world.report(UpstreamId(0), &engine(Some(1), &[7]));
-    assert_eq!(world.loads_of(8), 1, "orders go on after the report");
+    assert_eq!(world.loads_of(8), 1, "orders resume after the report");
 }
 
 #[test]
 fn an_engine_out_of_reach_is_not_asked_again_and_again() {
-    // An engine has crashed and refuses connections. Without a pause the same order was tried three times in a
-    // millisecond, for as long as its entry was there, and nothing else was decided meanwhile.
+    // Guards against a busy loop of orders to an engine that refuses connections.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
     world.engines_answer = false;
@@ -182,8 +190,8 @@
 
 #[test]
 fn a_new_version_replaces_the_old_one_in_time() {
-    // An operator announces version 2 while version 1 runs. Requests that begin on version 1 seconds later run
-    // on weights that were withdrawn; refusing them until the load is over would stop the adapter for a moment.
+    // Guards against an interruption while version 2 loads, and against use of version 1 after its
+    // grace period.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1]);
     world.add_engine(UpstreamId(1), &[]);
@@ -219,8 +227,7 @@
 
 #[test]
 fn a_stand_by_gives_no_orders() {
-    // A VM that has lost the scheduler decides for itself. If it gave orders too, two would count the places of
-    // one engine.
+    // Guards against two schedulers that send orders to the same engine.
     let mut world = World::with(1, SchedulerSettings::default(), false);
     world.generate(7);
     world.pass(1_000);
@@ -229,15 +236,15 @@
 
 #[test]
 fn a_version_found_at_the_start_is_in_force() {
-    // A VM starts seconds after an operator announced a version, reads that in the store and is elected. If it
-    // took the announcement for new, requests would begin on the old version long after it was withdrawn.
+    // Guards against restarting the grace period of an old version when a VM starts after the
+    // announcement.
     let mut world = World::leading(0);
     world
         .scheduler
         .announce_version(AdapterId(1), 2, Announcement::Found, world.now);
     world.add_engine(UpstreamId(0), &[1]);
     let request = world.generate(1);
-    assert_eq!(world.decision(request), None, "version 1 is no longer used");
+    assert_eq!(world.decision(request), None, "version 1 must not be used");
     world.pass(400);
     assert_eq!(
         world.decision(request),
@@ -247,8 +254,8 @@
 
 #[test]
 fn a_new_leader_drops_nothing_at_first() {
-    // A VM is elected and knows nothing yet of what the others have sent. Had it dropped an adapter for another
-    // one at once, the engine would have waited for the runs on it, seconds long, and taken no other order.
+    // Guards against evicting an adapter that is in use by requests the new leader doesn't know
+    // yet, which would block the engine until they end.
     let mut world = World::with(0, SchedulerSettings::default(), false);
     world
         .scheduler
@@ -264,29 +271,29 @@
 
 #[test]
 fn an_engine_that_waits_for_runs_is_left_alone() {
-    // A VM that is cut off still runs something on an adapter that is ordered to go. The engine accepts the order
-    // and waits; more orders are refused, one after the other, and requests for that adapter too.
+    // Guards against further orders to an engine that waits for requests of an unreachable VM
+    // before it unloads an adapter.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
     world.engines_answer = false;
     world.generate(9);
     let (upstream, unload) = world.unanswered.remove(0);
     let Order::Unload { adapter, .. } = unload else {
-        panic!("a place has to be made free: {unload:?}");
+        panic!("expected an unload order: {unload:?}");
     };
     world.answer(upstream, unload, OrderEnd::Accepted);
     world.report(upstream, &engine(Some(1), &[1, 2]));
     world.pass(300);
-    assert_eq!(world.orders.len(), 1, "nothing more while it waits");
+    assert_eq!(world.orders.len(), 1, "no orders while it waits");
     let left = 3 - adapter.adapter.0;
     world.report(upstream, &engine(Some(1), &[left]));
-    assert_eq!(world.loads_of(9), 1, "its place is free now");
+    assert_eq!(world.loads_of(9), 1, "the slot is free now");
 }
 
 #[test]
 fn engines_without_tokens_get_no_orders_in_a_takeover() {
-    // An engine checks no fencing tokens. The scheduler before sent it an order with its last breath; one of the next
-    // scheduler in the same moment would be carried out beside it, and one adapter too many make the engine crash.
+    // Guards against orders of two consecutive schedulers that overlap on an engine without fencing
+    // tokens.
     let settings = SchedulerSettings {
         order_gap: Millis(3_000),
         ..SchedulerSettings::default()
@@ -304,7 +311,8 @@
     assert!(world.sent_to(request).is_some());
 }
 
-fn with_gap(engines: u32) -> World {
+/// A world just after a takeover, with an order gap of three seconds.
+fn world_after_takeover(engines: u32) -> World {
     let settings = SchedulerSettings {
         order_gap: Millis(3_000),
         ..SchedulerSettings::default()
@@ -320,9 +328,9 @@
 
 #[test]
 fn a_rested_engine_is_ordered_at_once() {
-    // A leader stops as planned and tells that one of two engines has had no order for three seconds. If its follower
-    // let that one rest again, a caller would wait seconds for an adapter that could be loaded now.
-    let mut world = with_gap(2);
+    // Guards against waiting the order gap again for an engine that got no orders for that long
+    // before the handover.
+    let mut world = world_after_takeover(2);
     world
         .scheduler
         .note_rested(UpstreamId(1), Millis(3_000), world.now);
@@ -338,14 +346,17 @@
         world.generate(adapter);
     }
     world.pass(400);
-    let of_other = world.orders.iter().any(|(of, _)| *of == UpstreamId(0));
-    assert!(of_other, "the other one has rested by now");
+    let has_order_for_other = world.orders.iter().any(|(of, _)| *of == UpstreamId(0));
+    assert!(
+        has_order_for_other,
+        "the order gap of the other engine is over"
+    );
 }
 
 #[test]
 fn an_engine_named_late_rests_too() {
-    // A scheduler takes over before it has the configuration that says which upstreams are engines. One that it knew as a
-    // plain upstream until then may have had an order from the scheduler before just now, like any other.
+    // Guards against an order within the gap to an upstream that the configuration names as an
+    // engine after the takeover.
     let settings = SchedulerSettings {
         order_gap: Millis(3_000),
         ..SchedulerSettings::default()
@@ -367,9 +378,9 @@
 
 #[test]
 fn ones_own_orders_need_no_rest() {
-    // The process that schedules is killed and leads again at once. To engines it is the same orderer, so nobody has to
-    // wait for a load.
-    let mut world = with_gap(1);
+    // Guards against a needless order gap when the scheduler process restarts and becomes leader
+    // again.
+    let mut world = world_after_takeover(1);
     world.scheduler.continue_own_orders(world.now);
     let request = world.generate(9);
     world.pass(400);
@@ -378,8 +389,8 @@
 
 #[test]
 fn half_the_engines_rest_before_a_stop() {
-    // Before a planned stop every second engine gets its last order, so that the next scheduler may order it at once.
-    // Loads go to the others meanwhile, and what had been idle for long is told to have rested.
+    // Guards against a planned stop after which the next scheduler must wait the order gap on every
+    // engine.
     let mut world = World::leading(4);
     world.scheduler.rest(Rest::EverySecond);
     for adapter in 1..5 {
@@ -394,7 +405,11 @@
     let before = world.orders.len();
     world.generate(7);
     world.pass(400);
-    assert_eq!(world.orders.len(), before, "no order after the last word");
+    assert_eq!(
+        world.orders.len(),
+        before,
+        "no orders after all engines were stopped"
+    );
     for (upstream, rested) in world.scheduler.rested(world.now) {
         assert!(rested >= Millis(3_000), "{upstream:?}: {rested:?}");
     }
@@ -402,9 +417,9 @@
 
 #[test]
 fn a_short_lead_knows_no_rest() {
-    // A scheduler is stopped a second after it took over. An engine that it has not ordered may have had an order from the
-    // one before it just then. Told that it has rested for ever, the third one orders it 1.2 seconds after the first did.
-    let mut world = with_gap(1);
+    // Guards against reporting an engine as idle for longer than this scheduler has led: the
+    // previous one may have sent it an order just before the takeover.
+    let mut world = world_after_takeover(1);
     world.pass(1_000);
     world.scheduler.rest(Rest::All);
     assert_eq!(
@@ -415,9 +430,8 @@
 
 #[test]
 fn a_wrong_count_of_orders_is_mended() {
-    // An engine says of an order that what it asks for holds already and doesn't count it. The book counts one order more
-    // than the engine, and the next one conflicts. Were every report taken for an old one because it counts fewer,
-    // the engine would get no order for as long as the scheduler lives.
+    // Guards against an engine without orders for good after it counted one order fewer than the
+    // scheduler, whose reports would then all look outdated.
     let mut world = World::leading(1);
     world.engines_answer = false;
     world.generate(7);
@@ -433,13 +447,17 @@
     let before = world.orders.len();
     world.report(upstream, &engine(Some(0), &[7]));
     world.pass(50);
-    assert_eq!(world.orders.len(), before + 1, "it is ordered again");
+    assert_eq!(
+        world.orders.len(),
+        before + 1,
+        "the engine gets orders again"
+    );
 }
 
 #[test]
 fn an_idle_engine_is_used() {
-    // Long prompts come for adapters that no engine has. Engines that have read some are known to be quick; one that has
-    // read none yet must not be taken for slow, or callers wait behind others while it does nothing.
+    // Guards against an engine that stays idle because its unmeasured prompt speed is assumed to be
+    // slow.
     let mut world = World::leading(4);
     let mut ready = Vec::new();
     for adapter in 0..40 {
@@ -450,7 +468,7 @@
         }
         ready.push(world.place(job));
         world.pass(100);
-        // Engines read 40 tokens in a millisecond, and the answer is short.
+        // Engines process 40 prompt tokens per millisecond, and the answer is short.
         let sent: Vec<u64> = ready
             .iter()
             .copied()
--- a/crates/core/tests/calls_ahead.rs
+++ b/crates/core/tests/calls_ahead.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service that is nearly full: how many of them are answered in time.
+//! Calls to a plain service near its capacity: the share that is answered in time.
 
 mod scheduler_world;
 
@@ -12,17 +12,18 @@
     std::collections::VecDeque,
 };
 
-/// What a call takes once it has a slot.
-const WORK: Millis = Millis(60);
-/// From the end of a call at its upstream until the scheduler knows, and from its word until the next one is there.
-const NOTICE: Millis = Millis(8);
-const ON_THE_WAY: Millis = Millis(3);
+/// Service time of a call once it has a slot.
+const SERVICE_TIME: Millis = Millis(60);
+/// Delay from the end of a call at its upstream until the scheduler is told.
+const END_NOTICE_DELAY: Millis = Millis(8);
+/// Delay from an assignment until the call arrives at its upstream.
+const DISPATCH_DELAY: Millis = Millis(3);
 const SLOTS: usize = 6;
 
-/// A server that runs six calls at a time and keeps the others in line.
+/// A server that runs [`SLOTS`] calls at a time and queues the others.
 #[derive(Default)]
 struct Server {
-    line: VecDeque<(Millis, u64)>,
+    queue: VecDeque<(Millis, u64)>,
     running: Vec<(Millis, u64)>,
 }
 
@@ -36,71 +37,70 @@
             .partition(|&(end, _)| end <= now);
         self.running = running;
         while self.running.len() < SLOTS
-            && self.line.front().is_some_and(|&(at, _)| at <= now)
-            && let Some((_, number)) = self.line.pop_front()
+            && self.queue.front().is_some_and(|&(at, _)| at <= now)
+            && let Some((_, number)) = self.queue.pop_front()
         {
-            self.running.push((now + WORK, number));
+            self.running.push((now + SERVICE_TIME, number));
         }
         ended
     }
 }
 
-/// Plays six seconds of 190 calls a second to two servers that can do 200; calls answered within their 300 ms, and
-/// all.
-fn play_nearly_full() -> (usize, usize) {
+/// Simulates six seconds of 190 calls per second to two servers with a capacity of 200; returns the
+/// number of calls that met their objective of 300 ms, and of all calls.
+fn simulate_nearly_full_service() -> (usize, usize) {
     let mut world = World::leading(0);
     let mut servers = [Server::default(), Server::default()];
     for id in 0..2 {
         world.add_server(UpstreamId(id));
     }
     let begin = world.now;
-    let mut asked: Vec<(u64, Millis, bool)> = Vec::new();
-    let mut notices: VecDeque<(Millis, u64)> = VecDeque::new();
-    let mut timely = 0;
+    let mut calls: Vec<(u64, Millis, bool)> = Vec::new();
+    let mut end_notices: VecDeque<(Millis, u64)> = VecDeque::new();
+    let mut on_time = 0;
     while world.now < begin + Millis(6_000) {
         let now = world.now;
         let due = (now.since(begin).0 * 190 / 1_000) as usize;
-        while asked.len() < due {
+        while calls.len() < due {
             let job = Job {
                 objective: now + Millis(300),
                 gap_objective: None,
                 deadline: now + Millis(3_000),
                 ..call(now)
             };
-            asked.push((world.place(job), now, false));
+            calls.push((world.place(job), now, false));
         }
-        for (number, _, is_sent) in asked.iter_mut().filter(|(.., is_sent)| !is_sent) {
+        for (number, _, is_sent) in calls.iter_mut().filter(|(.., is_sent)| !is_sent) {
             if let Some(UpstreamId(id)) = world.sent_to(*number) {
                 *is_sent = true;
-                let line = &mut servers[id as usize].line;
-                line.push_back((now + ON_THE_WAY, *number));
+                let queue = &mut servers[id as usize].queue;
+                queue.push_back((now + DISPATCH_DELAY, *number));
             }
         }
         for server in &mut servers {
             for (_, number) in server.step(now) {
-                let asked_at = asked.iter().find(|(known, ..)| *known == number);
-                let took = asked_at.map(|&(_, at, _)| now.since(at));
-                timely += usize::from(took.is_some_and(|took| took <= Millis(300)));
-                notices.push_back((now + NOTICE, number));
+                let sent_call = calls.iter().find(|(known, ..)| *known == number);
+                let took = sent_call.map(|&(_, at, _)| now.since(at));
+                on_time += usize::from(took.is_some_and(|took| took <= Millis(300)));
+                end_notices.push_back((now + END_NOTICE_DELAY, number));
             }
         }
-        while let Some(&(at, number)) = notices.front()
+        while let Some(&(at, number)) = end_notices.front()
             && at <= now
         {
-            notices.pop_front();
-            world.end(number, Outcome::Answered { took: WORK });
+            end_notices.pop_front();
+            world.end(number, Outcome::Answered { took: SERVICE_TIME });
         }
         world.pass(1);
     }
-    (timely, asked.len())
+    (on_time, calls.len())
 }
 
 #[test]
 fn a_nearly_full_service_keeps_its_slots_busy() {
-    // Somebody enrolls a phone while the only two servers left have nearly as much to do as they can. Each slot that
-    // falls free stands idle until its end is known, the next call is chosen and has arrived; then the service can't
-    // do what comes, everybody waits in line, and most calls are late though the servers could have done all.
-    let (timely, asked) = play_nearly_full();
-    println!("{timely} of {asked} in time");
-    assert!(timely * 100 >= asked * 90, "{timely} of {asked} in time");
+    // Guards against slots that idle between the end of a call and the arrival of the next one,
+    // which makes a service near its capacity miss most objectives.
+    let (on_time, calls) = simulate_nearly_full_service();
+    println!("{on_time} of {calls} in time");
+    assert!(on_time * 100 >= calls * 90, "{on_time} of {calls} in time");
 }
