--- a/crates/core/src/scheduler/machine/events.rs
+++ b/crates/core/src/scheduler/machine/events.rs
@@ -71,12 +71,12 @@
     pub fn note_rested(
         &mut self,
         upstream: UpstreamId,
-        rested: Millis,
+        idle_time: Millis,
         now: Millis,
     ) {
         let gap = self.settings.order_gap;
         if let Some(engine) = self.fleet.engine_mut(upstream) {
-            engine.orders_from = engine.orders_from.min(now + gap.since(rested));
+            engine.orders_from = engine.orders_from.min(now + gap.since(idle_time));
         }
     }
 
--- a/crates/core/tests/adapter_loads.rs
+++ b/crates/core/tests/adapter_loads.rs
@@ -190,8 +190,8 @@
 
 #[test]
 fn a_new_version_replaces_the_old_one_in_time() {
-    // Guards against an interruption while version 2 loads, and against use of version 1 after its
-    // grace period.
+    // Guards against an interruption while version 2 loads, and against use of version 1 once it is
+    // loaded.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1]);
     world.add_engine(UpstreamId(1), &[]);
@@ -410,8 +410,8 @@
         before,
         "no orders after all engines were stopped"
     );
-    for (upstream, rested) in world.scheduler.rested(world.now) {
-        assert!(rested >= Millis(3_000), "{upstream:?}: {rested:?}");
+    for (upstream, idle_time) in world.scheduler.rested(world.now) {
+        assert!(idle_time >= Millis(3_000), "{upstream:?}: {idle_time:?}");
     }
 }
 
--- a/crates/core/tests/scheduler_refusals.rs
+++ b/crates/core/tests/scheduler_refusals.rs
@@ -305,6 +305,6 @@
             world.pass(1);
         }
     }
-    let looked = world.scheduler.looked();
-    assert!(looked < 5_000, "{looked}");
+    let evaluations = world.scheduler.looked();
+    assert!(evaluations < 5_000, "{evaluations}");
 }
