--- a/crates/core/src/scheduler/choose/best.rs
+++ b/crates/core/src/scheduler/choose/best.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct BestOptions {
     /// The cheapest option of any kind.
-    option: Option<(f64, UpstreamId, ServingOption)>,
+    cheapest: Option<(f64, UpstreamId, ServingOption)>,
     /// The cheapest engine that has the adapter ready, without the delay by requests queued for it.
     ready: Option<(f64, UpstreamId, AdapterVersion)>,
     /// The cheapest engine with an older version that may still be used.
@@ -30,7 +30,7 @@
         if let ServingOption::Send(Some(adapter)) = option {
             keep_cheaper(&mut self.ready, (cost_without_queue, engine, adapter));
         }
-        keep_cheaper(&mut self.option, (cost, engine, option));
+        keep_cheaper(&mut self.cheapest, (cost, engine, option));
     }
 
     /// Considers an older version of the adapter that an engine still holds.
@@ -46,7 +46,7 @@
     /// Whether the evaluated engines offer nothing better than waiting for an adapter slot.
     pub(super) const fn is_short_of_slots(&self) -> bool {
         matches!(
-            self.option,
+            self.cheapest,
             None | Some((.., ServingOption::Wait(WaitReason::Place)))
         )
     }
@@ -56,7 +56,7 @@
         self,
         model: ModelId,
     ) -> Choice {
-        let (lowest, upstream, option) = self.option.unwrap_or((
+        let (lowest, upstream, option) = self.cheapest.unwrap_or((
             f64::INFINITY,
             UpstreamId::default(),
             ServingOption::Wait(WaitReason::Place),
--- a/crates/core/src/scheduler/choose/preferred.rs
+++ b/crates/core/src/scheduler/choose/preferred.rs
@@ -32,7 +32,7 @@
     /// Highest score first.
     engines: Vec<UpstreamId>,
     /// Bound on the length of `engines`.
-    capacity: usize,
+    max_len: usize,
     /// Engines removed since the ranking was built.
     removed: usize,
     /// Value of [`PreferredEngines::departures`] at the last update.
@@ -81,9 +81,9 @@
             ranking.removed += before - ranking.engines.len();
             ranking.departures = self.departures;
         }
-        let capacity = (holders + SPARE_ENGINES).next_power_of_two();
-        if capacity > ranking.capacity || ranking.removed > SPARE_ENGINES / 2 {
-            *ranking = Ranking::build(adapter, members, capacity);
+        let max_len = (holders + SPARE_ENGINES).next_power_of_two();
+        if max_len > ranking.max_len || ranking.removed > SPARE_ENGINES / 2 {
+            *ranking = Ranking::build(adapter, members, max_len);
             ranking.departures = self.departures;
         } else {
             let new = self.joined[ranking.applied_joins..].iter().copied();
@@ -108,20 +108,20 @@
     fn build(
         adapter: AdapterId,
         engines: &[UpstreamId],
-        capacity: usize,
+        max_len: usize,
     ) -> Self {
         let mut scored: Vec<(u64, UpstreamId)> = engines
             .iter()
             .map(|&engine| (score(adapter, engine), engine))
             .collect();
-        if scored.len() > capacity {
-            scored.select_nth_unstable_by(capacity - 1, |a, b| b.cmp(a));
-            scored.truncate(capacity);
+        if scored.len() > max_len {
+            scored.select_nth_unstable_by(max_len - 1, |a, b| b.cmp(a));
+            scored.truncate(max_len);
         }
         scored.sort_unstable_by(|a, b| b.cmp(a));
         Self {
             engines: scored.into_iter().map(|(_, engine)| engine).collect(),
-            capacity,
+            max_len,
             ..Self::default()
         }
     }
@@ -136,9 +136,9 @@
         let at = self
             .engines
             .partition_point(|&other| rank(other) > own_rank);
-        if at < self.capacity && self.engines.get(at) != Some(&engine) {
+        if at < self.max_len && self.engines.get(at) != Some(&engine) {
             self.engines.insert(at, engine);
-            self.engines.truncate(self.capacity);
+            self.engines.truncate(self.max_len);
         }
     }
 }
