--- a/crates/core/src/decayed.rs
+++ b/crates/core/src/decayed.rs
@@ -1,8 +1,8 @@
-//! Sums in which what lies back counts less.
+//! Sums with exponential decay.
 
 use crate::clock::Millis;
 
-/// A sum in which what lies back counts less.
+/// A sum that decays exponentially with a given half-life.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Decayed {
     value: f64,
@@ -21,7 +21,7 @@
         self.at = self.at.max(now);
     }
 
-    /// The sum as it counts at `now`.
+    /// The decayed sum at `now`.
     pub(crate) fn get(
         &self,
         now: Millis,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,8 @@
 //! Decisions of the serving layer as deterministic state machines.
 //!
-//! Nothing in this crate opens a socket, reads a clock, logs or keeps global state. Each machine
-//! takes an event and the current [`clock::Millis`] and returns actions for its daemon to carry
-//! out, so that a script, a generated order of events or another driver can run the very code that
-//! runs in production.
+//! This crate does no I/O, reads no clock, writes no logs and has no global state. Each state machine
+//! takes an event and the current [`clock::Millis`] and returns actions for its daemon to execute, so
+//! scripts and property tests run the same code as production.
 
 pub mod clock;
 mod decayed;
--- a/crates/core/src/rights/account_rights.rs
+++ b/crates/core/src/rights/account_rights.rs
@@ -9,33 +9,33 @@
     },
 };
 
-/// Own demand and that of an asker are reckoned with this much on top, in percent.
+/// Factor applied to the giver's and the asker's demand, in percent.
 const HEADROOM_PERCENT: u64 = 125;
 
-/// The longest time after which a refused caller is told to come back.
+/// Upper bound of the retry time given to a refused caller.
 const LONGEST_RETRY: Millis = Millis::from_secs(60);
 
-/// The part of the room that may be kept back for promises, in percent.
+/// Upper bound of the reserved part of the bucket capacity, in percent.
 const MOST_RESERVED_PERCENT: u64 = 50;
 
-/// For how long ahead a giver fills an asker up, in seconds of the asker's demand.
+/// Tokens given at most beyond the request, in seconds of the asker's demand.
 const FILL_SECS: u64 = 2;
 
-/// All that a holder keeps about one account.
+/// The state of one account at one holder.
 #[derive(Clone, Debug, Default)]
 pub struct AccountRights {
-    /// The part of the account's token bucket.
+    /// This holder's part of the account's token bucket.
     pub bucket: Bucket,
-    /// What callers have asked for here.
+    /// Demand of the callers at this holder.
     pub demand: Demand,
-    /// Refused callers who were told when to come back.
+    /// Reservations for refused callers.
     pub promises: Promises,
-    /// Whom to ask for more.
+    /// Selects the peers to ask for more rights.
     pub peers: PeerHints,
 }
 
 impl AccountRights {
-    /// Brings tokens and promises up to date.
+    /// Refills the bucket and drops expired reservations.
     pub fn advance(
         &mut self,
         settings: &RightsSettings,
@@ -45,9 +45,9 @@
         self.promises.expire(now, settings.grace);
     }
 
-    /// Thousandths of a token that are kept back for callers that come before this one.
+    /// Millitokens reserved for callers with an earlier retry time.
     ///
-    /// A bucket that is kept full loses what it earns, so part of the room is never kept back.
+    /// Limited to part of the capacity, because a full bucket loses the tokens it earns.
     pub fn reserved_before(
         &self,
         caller: CallerTag,
@@ -57,7 +57,7 @@
             .min(self.most_reserved())
     }
 
-    /// Tokens that neither own demand nor promises need soon, in thousandths.
+    /// Millitokens that neither local demand nor reservations need soon.
     pub fn spare(
         &self,
         settings: &RightsSettings,
@@ -70,7 +70,7 @@
             .saturating_sub(soon)
     }
 
-    /// Refuses a request and, where it can, promises when it will be served.
+    /// Refuses a request and, where possible, reserves tokens for its retry.
     pub fn promise(
         &mut self,
         milli: u64,
@@ -94,12 +94,12 @@
             self.promises.add(caller, milli, now + delay);
             return Refusal::after(ErrorKind::RateLimited, delay);
         }
-        // Nothing here can promise it; by then the fleet will have earned it.
+        // Too large or too late to reserve here: use the rate of the whole fleet.
         let fleet = time_to_earn(missing, self.bucket.limit().map_or(0, Limit::rate_milli));
         Refusal::after(ErrorKind::RateLimited, delay.min(fleet))
     }
 
-    /// What to give an asker; nothing is subtracted yet.
+    /// Computes the rights to give to an asker, without subtracting them.
     pub fn offer(
         &self,
         request: &TakeRequest,
@@ -114,7 +114,7 @@
         let rate_share = self.rate_for(own, theirs, floor);
         let large = request.needed.saturating_mul(2) >= self.burst();
         let kept = match own {
-            // A request for most of the burst needs nearly all of the room, in one place.
+            // A request for most of the burst needs nearly all of the capacity at one holder.
             0 if large => 0,
             _ => floor.max((self.bucket.rate_share() - rate_share) / 2),
         };
@@ -160,10 +160,10 @@
             .min(their_share)
     }
 
-    /// Tokens need room where they go, and so does what the moved rate will earn.
+    /// Computes the burst share that goes with the given tokens and rate.
     ///
-    /// Tokens that stay need theirs. Otherwise `kept` stays: at least half of an even part for the
-    /// rate that stays; with less it would be full in no time and what it earns be lost.
+    /// The giver keeps at least `kept`, and enough for its remaining tokens: a bucket too small for its
+    /// rate fills at once and loses the tokens it earns.
     fn room_for(
         &self,
         tokens: u64,
@@ -185,13 +185,13 @@
         wanted.min(room.saturating_sub(kept.max(staying)))
     }
 
-    /// The account's burst over the whole fleet, in thousandths of a token.
+    /// The account's fleet-wide burst, in millitokens.
     pub fn burst(&self) -> u64 {
         self.bucket.limit().map_or(0, Limit::burst_milli)
     }
 }
 
-/// How long earning `milli` takes at a rate of thousandths of a token a second.
+/// Time to earn `milli` at a rate in millitokens per second.
 fn time_to_earn(
     milli: u64,
     rate: u64,
@@ -206,7 +206,7 @@
     milli.saturating_mul(HEADROOM_PERCENT) / 100
 }
 
-/// The share of `whole` that `part` is, rounded up.
+/// Converts `part` of `whole` to a share of [`SHARE_WHOLE`], rounded up.
 fn share_of(
     part: u64,
     whole: u64,
--- a/crates/core/src/rights/admission.rs
+++ b/crates/core/src/rights/admission.rs
@@ -1,40 +1,40 @@
 use crate::{error::Refusal, ids::AccountId};
 
-/// What makes a caller that comes back after a refusal known: a digest of its key and request.
+/// Identifies a caller that retries after a refusal: a digest of its key and request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerTag(pub u64);
 
-/// Tokens taken from a holder at admission, to be settled with the actual cost.
+/// Tokens charged at admission, to be settled with the actual cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use = "a charge that is never settled is never refunded"]
 pub struct Charge {
-    /// The account.
+    /// The account that is charged.
     pub account: AccountId,
-    /// Its number in that account.
+    /// Number of the charge, unique in the account at this holder.
     pub number: u64,
     /// Tokens charged.
     pub tokens: u64,
 }
 
-/// The answer to a request for admission.
+/// The outcome of an admission attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run; its cost is charged.
+    /// The request may run; its cost is charged.
     Admitted(Charge),
-    /// This holder has too little; peers may have the rest.
+    /// This holder is short of tokens that peers may have.
     Ask {
-        /// What is missing, in thousandths of a token.
+        /// Missing millitokens.
         shortfall: u64,
     },
-    /// It may not run now.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// How a request stands to others of its account.
+/// Whether an admission may use reserved tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It may use whatever is there, also what is kept back for callers that were told to come back.
+    /// May use all tokens, including those reserved for retries of refused callers.
     First,
-    /// It leaves what is kept back, and so many tokens besides.
+    /// Must leave the reserved tokens, and this many tokens more.
     Leaving(u64),
 }
--- a/crates/core/src/rights/bucket.rs
+++ b/crates/core/src/rights/bucket.rs
@@ -6,34 +6,32 @@
 
 /// One holder's part of one account's token bucket.
 ///
-/// All amounts are in thousandths of a token. One invariant carries the limit of the fleet: tokens
-/// and what refunds may still add are together at most the room.
+/// All amounts are in millitokens. Invariant: tokens plus outstanding refunds never exceed the
+/// capacity.
 ///
-/// Refunds count because a request is charged at admission and settled when it ends, which may be
-/// long after. The bucket could have filled up meanwhile, be emptied, and then get the refund on
-/// top: more than the burst at once, seen in the engines' record only. A bucket that had charged the
-/// true cost from the start would have overflowed, so that part of the refund is void, and it is
-/// taken from the oldest charges. Each charge has its own allowance: with one for all together, an
-/// old refund that is void could use that of a newer charge.
+/// A request is charged at admission and refunded when it ends. If the bucket refills in between, a
+/// full refund would let the account use more than its burst. Refunds that don't fit are therefore
+/// voided, those of the oldest charges first. Each charge has its own allowance, so a voided refund
+/// can't use the allowance of a newer charge.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
     limit: Option<Limit>,
     rate_share: u64,
     room_share: u64,
-    /// Negative after a request used more than it was charged for.
+    /// Negative while there is debt from requests that used more than their charge.
     tokens: i64,
-    /// Part of a thousandth, of 2^32.
+    /// Fraction of a millitoken, in units of 2^-32.
     fraction: u64,
-    /// The most that the refund of each unsettled charge may still add; those with none left out.
+    /// Maximum refund of each unsettled charge, by charge number; zero entries are removed.
     refundable: BTreeMap<u64, u64>,
-    /// Sum of these.
+    /// Sum of `refundable`.
     refundable_sum: u64,
     next_charge: u64,
     filled_at: Millis,
 }
 
 impl Bucket {
-    /// Sets the account's limit; tokens above a smaller burst are lost.
+    /// Sets the account's limit; tokens above a lower burst are dropped.
     pub fn set_limit(
         &mut self,
         limit: Limit,
@@ -44,7 +42,7 @@
         self.clip();
     }
 
-    /// Adds what the rate share has earned since the last time.
+    /// Adds the tokens earned by the rate share since the last refill.
     pub fn refill(
         &mut self,
         now: Millis,
@@ -52,7 +50,7 @@
         let elapsed = now.since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
         let rate = self.limit.map_or(0, |limit| limit.rate);
-        // A token a second is a thousandth a millisecond.
+        // One token per second is one millitoken per millisecond.
         let earned = u128::from(elapsed.0) * u128::from(rate) * u128::from(self.rate_share)
             + u128::from(self.fraction);
         self.fraction = u64::from(earned as u32);
@@ -61,7 +59,7 @@
         self.clip();
     }
 
-    /// Takes `milli` at admission, if it is there, and returns the charge's number.
+    /// Charges `milli` if available, and returns the charge number.
     pub fn charge(
         &mut self,
         milli: u64,
@@ -78,7 +76,7 @@
 
     /// Replaces a charge by the actual cost.
     ///
-    /// What was charged too little becomes debt; what was charged too much comes back.
+    /// The difference is refunded or becomes debt.
     pub fn settle(
         &mut self,
         charge: u64,
@@ -96,7 +94,7 @@
         self.clip();
     }
 
-    /// Adds a right that came from a peer or with an epoch.
+    /// Adds a right from a peer or from an epoch grant.
     pub fn add(
         &mut self,
         right: &Right,
@@ -107,7 +105,7 @@
         self.clip();
     }
 
-    /// Takes a right out; each part is cut down to what is there.
+    /// Removes a right, each part limited to what is available, and returns it.
     pub fn take(
         &mut self,
         wanted: &Right,
@@ -125,7 +123,7 @@
         taken
     }
 
-    /// Everything held, as a right.
+    /// Returns the whole bucket as a right.
     pub fn held(
         &self,
         account: AccountId,
@@ -138,12 +136,12 @@
         }
     }
 
-    /// The account's limit, if the configuration in force here has one.
+    /// The account's limit, if it is configured here.
     pub const fn limit(&self) -> Option<Limit> {
         self.limit
     }
 
-    /// Tokens that may be used now.
+    /// Available millitokens.
     pub const fn tokens(&self) -> u64 {
         if self.tokens > 0 {
             self.tokens as u64
@@ -152,7 +150,7 @@
         }
     }
 
-    /// Tokens owed by requests that used more than they were charged for.
+    /// Millitokens used beyond the charges and not yet earned back.
     pub const fn debt(&self) -> u64 {
         if self.tokens < 0 {
             self.tokens.unsigned_abs()
@@ -161,12 +159,12 @@
         }
     }
 
-    /// The most that this bucket holds.
+    /// Capacity in millitokens.
     pub fn room(&self) -> u64 {
         part_of(self.limit.map_or(0, Limit::burst_milli), self.room_share)
     }
 
-    /// What is earned in a second.
+    /// Refill rate in millitokens per second.
     pub fn rate(&self) -> u64 {
         let rate = self
             .limit
@@ -174,18 +172,18 @@
         part_of(rate, self.rate_share)
     }
 
-    /// The share of the rate, of [`super::SHARE_WHOLE`].
+    /// Share of the account's rate, in units of [`super::SHARE_WHOLE`].
     pub const fn rate_share(&self) -> u64 {
         self.rate_share
     }
 
-    /// The share of the burst, of [`super::SHARE_WHOLE`].
+    /// Share of the account's burst, in units of [`super::SHARE_WHOLE`].
     pub const fn room_share(&self) -> u64 {
         self.room_share
     }
 
     fn clip(&mut self) {
-        // Without a limit the size of the room is unknown; it is clipped once the limit comes.
+        // The capacity is unknown until the limit is set.
         if self.limit.is_none() {
             return;
         }
@@ -197,7 +195,7 @@
         self.void_refunds(room.abs_diff(self.tokens));
     }
 
-    /// Cuts what refunds may add down to `most`, the oldest first.
+    /// Limits outstanding refunds to `most`, reducing the oldest first.
     fn void_refunds(
         &mut self,
         most: u64,
--- a/crates/core/src/rights/demand.rs
+++ b/crates/core/src/rights/demand.rs
@@ -1,18 +1,18 @@
 use crate::clock::Millis;
 
-/// How long the past counts; older demand fades.
+/// Time constant of the exponential decay.
 const MEMORY: Millis = Millis(1000);
 
-/// A fading average of what callers have asked for, admitted or not.
+/// Exponentially decaying average of the requested tokens, admitted or not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
-    /// Thousandths of a token, each faded by its age.
+    /// Decayed sum in millitokens.
     weight: f64,
     at: Millis,
 }
 
 impl Demand {
-    /// Notes a request.
+    /// Adds a request of `milli` millitokens.
     pub fn note(
         &mut self,
         milli: u64,
@@ -22,7 +22,7 @@
         self.at = self.at.max(now);
     }
 
-    /// Thousandths of a token asked for in a second.
+    /// Demand in millitokens per second.
     pub fn per_second(
         &self,
         now: Millis,
--- a/crates/core/src/rights/home.rs
+++ b/crates/core/src/rights/home.rs
@@ -3,10 +3,10 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The place of a holder among the homes of an account, the lowest first (rendezvous hashing).
+/// Rank of a holder among the home holders of an account, lowest first (rendezvous hashing).
 ///
-/// Grants go to the first few, and whoever needs rights asks them first; so all agree on where to
-/// look without telling each other, and a change of membership moves few homes.
+/// Grants go to the holders with the lowest ranks, and these are asked first. All holders compute the
+/// same order, and a membership change moves few accounts.
 pub fn home_rank(
     account: AccountId,
     holder: Holder,
--- a/crates/core/src/rights/ledger.rs
+++ b/crates/core/src/rights/ledger.rs
@@ -14,19 +14,19 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// What one holder has of the rights to all accounts.
+/// The rate rights of one holder to all accounts.
 ///
-/// The daemon asks [`Self::try_admit`] for each request. On [`Admission::Ask`] it sends what
-/// [`Self::whom_to_ask`] returns, hands the answers to [`Self::receive`] and tries again; when
-/// nobody is left to ask or the wait grows too long it takes [`Self::refuse_after_ask`].
+/// The daemon calls [`Self::try_admit`] for each request. On [`Admission::Ask`] it sends the messages
+/// from [`Self::whom_to_ask`], passes the responses to [`Self::receive`] and tries again. When no peer
+/// is left to ask or the wait takes too long, it calls [`Self::refuse_after_ask`].
 #[derive(Clone, Debug)]
 pub struct RightsLedger {
     me: Holder,
     settings: RightsSettings,
     epoch: Option<Epoch>,
-    /// What was held on entering the epoch.
+    /// Rights held when the current epoch was entered.
     entered_with: Vec<Right>,
-    /// Accounts whose grant of this epoch has been added.
+    /// Accounts whose grant of the current epoch has been applied.
     granted: BTreeSet<AccountId>,
     closed: bool,
     accounts: BTreeMap<AccountId, AccountRights>,
@@ -36,7 +36,7 @@
 }
 
 impl RightsLedger {
-    /// A holder that has nothing yet.
+    /// Creates a ledger without rights.
     pub fn new(
         me: Holder,
         settings: RightsSettings,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sets the peers that may be asked: the other holders of the same role that can be reached.
+    /// Sets the peers to ask: the reachable holders of the same role.
     pub fn set_peers(
         &mut self,
         peers: impl IntoIterator<Item = Holder>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sets an account's limit; a lower burst cuts the tokens down at once.
+    /// Sets an account's limit; tokens above a lower burst are dropped at once.
     pub fn set_limit(
         &mut self,
         account: AccountId,
@@ -82,7 +82,7 @@
         rights.bucket.set_limit(limit, now);
     }
 
-    /// Forgets an account that no longer exists; its number is never used again.
+    /// Removes a deleted account; account ids are never reused.
     pub fn remove(
         &mut self,
         account: AccountId,
@@ -91,7 +91,7 @@
         self.pending.remove_account(account);
     }
 
-    /// Admits a request of `cost` tokens, or says what has to be done first.
+    /// Tries to admit a request of `cost` tokens without using reserved tokens.
     pub fn try_admit(
         &mut self,
         account: AccountId,
@@ -102,7 +102,7 @@
         self.try_admit_as(Claim::Leaving(0), account, cost, caller, now)
     }
 
-    /// The same for a request that comes before or after others of its account.
+    /// Like [`Self::try_admit`], with explicit access to reserved tokens.
     pub fn try_admit_as(
         &mut self,
         claim: Claim,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Refuses a request, promises when it will be served and keeps tokens back for that time.
+    /// Refuses a request with a retry time, and reserves tokens for the retry where possible.
     pub fn refuse_after_ask(
         &mut self,
         account: AccountId,
@@ -170,7 +170,7 @@
         rights.promise(milli, caller, &self.settings, now)
     }
 
-    /// Settles a charge with what the engine counted.
+    /// Settles a charge with the actual usage, in tokens.
     pub fn settle(
         &mut self,
         charge: Charge,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Requests for rights to send now because `shortfall` thousandths of a token are missing.
+    /// Creates the requests to send to peers for `shortfall` missing millitokens.
     pub fn whom_to_ask(
         &mut self,
         account: AccountId,
@@ -221,9 +221,10 @@
         asks
     }
 
-    /// Requests that have waited long for their answer, to be sent again as they are.
+    /// Returns the unanswered requests that are due to be sent again, unchanged.
     ///
-    /// The giver may have subtracted already; only the answer to the same transfer brings it back.
+    /// The giver may already have subtracted the rights, which only a response to the same transfer
+    /// can deliver.
     pub fn unanswered(
         &mut self,
         now: Millis,
@@ -231,9 +232,9 @@
         self.pending.unanswered(&self.settings, now)
     }
 
-    /// Asks ahead for accounts that are in use here and whose tokens run low.
+    /// Prefetches tokens for accounts that are in use here and run low.
     ///
-    /// Peers without demand earn too; what doesn't fit in their rooms is lost unless it is fetched.
+    /// Idle peers earn tokens too, and lose those that exceed the capacity of their buckets.
     pub fn rebalance(
         &mut self,
         now: Millis,
@@ -256,7 +257,7 @@
             .collect()
     }
 
-    /// Answers a peer; what it is given is subtracted here first.
+    /// Handles a peer's request; the returned rights have been subtracted here.
     pub fn give(
         &mut self,
         request: &TakeRequest,
@@ -292,7 +293,9 @@
         given
     }
 
-    /// Adds what a peer gave, at most once and only if it was asked for in this epoch.
+    /// Adds the rights of a peer's response and returns whether there were any.
+    ///
+    /// Each transfer is applied at most once, and only in the epoch in which it was requested.
     pub fn receive(
         &mut self,
         transfer: TransferId,
@@ -322,10 +325,10 @@
         useful
     }
 
-    /// Enters an epoch and returns what is held at that moment, to be reported.
+    /// Enters an epoch and returns the rights held at that moment, to be reported.
     ///
-    /// From here on transfers of other epochs are refused, so each right is in exactly one report
-    /// or in none. Entering the same epoch again returns the same; an older one, nothing.
+    /// Transfers of other epochs are rejected from then on, so each right is in at most one report.
+    /// Entering the current epoch again returns the same report; an older epoch returns `None`.
     pub fn enter_epoch(
         &mut self,
         epoch: Epoch,
@@ -348,7 +351,7 @@
         Some(&self.entered_with)
     }
 
-    /// Adds what the epoch's record grants this holder, each account's grant once.
+    /// Applies the grants of an epoch record to this holder, once for each account.
     pub fn apply_grants(
         &mut self,
         epoch: Epoch,
@@ -367,7 +370,7 @@
         }
     }
 
-    /// Stops for good and returns all that was held: the holder's last word.
+    /// Closes the ledger and returns all rights for the final report.
     pub fn give_all_back(
         &mut self,
         now: Millis,
@@ -380,7 +383,7 @@
         held
     }
 
-    /// Drops everything and stops: others have been told that this holder is gone.
+    /// Closes the ledger and drops all rights, because they are reissued to other holders.
     pub fn forfeit(&mut self) {
         self.closed = true;
         self.accounts.clear();
@@ -388,7 +391,7 @@
         self.given.clear();
     }
 
-    /// Everything held now, as of the last use of each account.
+    /// Returns the rights held, as of the last use of each account.
     pub fn held(&self) -> Vec<Right> {
         self.accounts
             .iter()
@@ -397,7 +400,7 @@
             .collect()
     }
 
-    /// The epoch this holder is in.
+    /// The current epoch, if one has been entered.
     pub const fn epoch(&self) -> Option<Epoch> {
         self.epoch
     }
--- a/crates/core/src/rights/limit.rs
+++ b/crates/core/src/rights/limit.rs
@@ -1,21 +1,21 @@
 use super::MILLI;
 
-/// What an account may use over the whole fleet.
+/// Fleet-wide rate limit of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limit {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: u64,
-    /// Tokens at once after a rest.
+    /// Capacity of the token bucket, in tokens.
     pub burst: u64,
 }
 
 impl Limit {
-    /// The rate in thousandths of a token a second.
+    /// The rate in millitokens per second.
     pub const fn rate_milli(self) -> u64 {
         self.rate.saturating_mul(MILLI)
     }
 
-    /// The burst in thousandths of a token.
+    /// The burst in millitokens.
     pub const fn burst_milli(self) -> u64 {
         self.burst.saturating_mul(MILLI)
     }
--- a/crates/core/src/rights/peers.rs
+++ b/crates/core/src/rights/peers.rs
@@ -7,15 +7,15 @@
     std::cmp::Reverse,
 };
 
-/// What one holder knows of a peer's rights to one account.
+/// What is known about one peer, for one account.
 #[derive(Clone, Copy, Debug, Default)]
 struct Hint {
-    /// Thousandths of a token that it could spare when it answered last.
+    /// Spare millitokens in its last response.
     spare: u64,
     not_before: Millis,
     asked: Millis,
     waiting_since: Option<Millis>,
-    /// Answers in a row that brought nothing.
+    /// Consecutive empty responses.
     empty: u32,
 }
 
@@ -37,22 +37,22 @@
     }
 }
 
-/// Whom to ask for rights to one account, and when not to.
+/// Selects the peers to ask for rights to one account, with backoff.
 ///
-/// While an account is over its limit nobody has anything to spare. Asking all the same at each
-/// request would multiply a caller's excess by the number of VMs, so peers with nothing are left
-/// alone for a while, and the account as a whole after a row of empty answers.
+/// When an account is over its limit, no peer has spare tokens, and asking for each request would
+/// amplify the load. Peers with empty responses are skipped for a while, and so is the whole account
+/// after several consecutive empty responses.
 #[derive(Clone, Debug, Default)]
 pub struct PeerHints {
-    /// One for each of the ledger's peers, in their order; empty until one is asked.
+    /// Indexed like the ledger's peers; empty until the first request.
     hints: Vec<Hint>,
-    /// Answers in a row, from whomever, that brought nothing.
+    /// Consecutive empty responses from any peers.
     empty: usize,
     not_before: Millis,
 }
 
 impl PeerHints {
-    /// Whether there is somebody to ask, or an answer that is worth waiting for.
+    /// Whether a peer can be asked or a response is still expected.
     pub fn is_worth_asking(
         &self,
         peers: &[Holder],
@@ -68,10 +68,9 @@
             .any(|hint| (asks && hint.may_ask(now)) || hint.is_awaited(settings, now))
     }
 
-    /// Chooses peers: those with the most to spare, then the others in turn, the account's homes
-    /// first.
+    /// Chooses peers by spare tokens, then by the time they were last asked, then by home rank.
     ///
-    /// No more are chosen than have, by their last word, what is needed.
+    /// Stops when the last reported spare tokens of the chosen peers cover `needed`.
     pub fn choose(
         &mut self,
         account: AccountId,
@@ -113,7 +112,7 @@
         chosen
     }
 
-    /// Notes a peer's answer: whether it gave something, and what it could still spare.
+    /// Records a peer's response: whether it gave anything, and its spare millitokens.
     pub fn note_answer(
         &mut self,
         peer: usize,
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Forgets what was asked before a change of epoch or of peers.
+    /// Resets all state after a change of the epoch or the peers.
     pub fn clear(&mut self) {
         self.hints.clear();
         self.empty = 0;
--- a/crates/core/src/rights/pending_asks.rs
+++ b/crates/core/src/rights/pending_asks.rs
@@ -15,7 +15,7 @@
     tries: u32,
 }
 
-/// The requests for rights that wait for their answers, each of which is taken once.
+/// Unanswered requests for rights; each response is accepted once.
 #[derive(Clone, Debug, Default)]
 pub struct PendingAsks {
     asks: BTreeMap<TransferId, Pending>,
@@ -23,13 +23,13 @@
 }
 
 impl PendingAsks {
-    /// The number of the next request; none is used twice.
+    /// Returns a new transfer id; ids are never reused.
     pub const fn next_transfer(&mut self) -> TransferId {
         self.last += 1;
         TransferId(self.last)
     }
 
-    /// Notes a request that is sent now.
+    /// Adds a request that is sent at `now`.
     pub fn add(
         &mut self,
         ask: Ask,
@@ -43,7 +43,7 @@
         self.asks.insert(ask.request.transfer, pending);
     }
 
-    /// Takes the request that an answer belongs to; a second answer finds none.
+    /// Removes the request of a response; `None` for a duplicate response.
     pub fn take(
         &mut self,
         transfer: TransferId,
@@ -51,7 +51,7 @@
         self.asks.remove(&transfer).map(|pending| pending.ask)
     }
 
-    /// Requests to be sent again; those of an unreachable peer ever more rarely.
+    /// Returns the requests that are due to be sent again, with exponential backoff.
     pub fn unanswered(
         &mut self,
         settings: &RightsSettings,
@@ -69,7 +69,7 @@
         asks
     }
 
-    /// Forgets the requests to peers that are no longer there.
+    /// Drops the requests to other peers than these.
     pub fn keep_peers(
         &mut self,
         peers: &[Holder],
@@ -78,7 +78,7 @@
             .retain(|_, pending| peers.contains(&pending.ask.to));
     }
 
-    /// Forgets the requests for an account.
+    /// Drops the requests for an account.
     pub fn remove_account(
         &mut self,
         account: AccountId,
@@ -87,7 +87,7 @@
             .retain(|_, pending| pending.ask.request.account != account);
     }
 
-    /// Forgets all requests; their numbers stay used.
+    /// Drops all requests; their ids are not reused.
     pub fn clear(&mut self) {
         self.asks.clear();
     }
--- a/crates/core/src/rights/promises.rs
+++ b/crates/core/src/rights/promises.rs
@@ -1,9 +1,9 @@
 use {super::CallerTag, crate::clock::Millis};
 
-/// How much one outcome changes the share of callers that are expected back.
+/// Smoothing factor of the estimated return rate.
 const LEARNING: f64 = 1.0 / 16.0;
 
-/// Tokens set aside for a caller that was told when to come back.
+/// Tokens reserved for the retry of one refused caller.
 #[derive(Clone, Copy, Debug)]
 struct Promise {
     caller: CallerTag,
@@ -11,22 +11,19 @@
     due: Millis,
 }
 
-/// The refusals of one account whose time to come back was promised.
+/// Reservations for the refused callers of one account.
 ///
-/// Without them every refused caller would be told the same time, all would come back together,
-/// and newcomers would take what had been earned meanwhile: the callers would notice that coming
-/// back as told is refused again. So what will be earned is given out in order, and a newcomer
-/// can't use what a promise needs.
+/// Retry times are spread by the refill rate and new callers can't use reserved tokens; otherwise all
+/// refused callers would retry at once and be refused again.
 ///
-/// Many callers never come back. Were all kept back for them, an account over its limit would get
-/// nearly nothing, so only that part is kept back that, by what was seen, will come for it.
+/// Many callers never retry, so only the fraction that is expected to return is reserved.
 #[derive(Clone, Debug)]
 pub struct Promises {
-    /// In order of their time.
+    /// Ordered by `due`.
     open: Vec<Promise>,
-    /// Sum of what they need.
+    /// Sum of the reserved millitokens.
     milli: u64,
-    /// The share of callers that come back when told, as learned.
+    /// Moving average of the fraction of callers that return.
     return_share: f64,
 }
 
@@ -41,8 +38,7 @@
 }
 
 impl Promises {
-    /// Thousandths of a token kept back for callers that come before this one; for all, when
-    /// nothing was promised to it.
+    /// Millitokens reserved ahead of this caller; all of them if it has no reservation.
     pub fn reserved_before(
         &self,
         caller: CallerTag,
@@ -54,19 +50,17 @@
         self.expected(before)
     }
 
-    /// Thousandths of a token that all would need if every caller came back.
-    ///
-    /// This spreads the times that are named; a caller may come back at another VM.
+    /// Millitokens needed if every caller returns, used to spread retry times.
     pub const fn promised(&self) -> u64 {
         self.milli
     }
 
-    /// Thousandths of a token kept back in all.
+    /// Millitokens reserved in total, scaled by the return rate.
     pub fn reserved(&self) -> u64 {
         self.expected(self.milli)
     }
 
-    /// Thousandths of a token a second that it takes to keep all promises in time.
+    /// Rate needed to fill all reservations in time, in millitokens per second.
     pub fn per_second(
         &self,
         now: Millis,
@@ -75,7 +69,7 @@
         self.reserved() * 1000 / last.since(now).0.max(1000)
     }
 
-    /// When `caller` was told to come back.
+    /// The retry time of `caller`, if it has a reservation.
     pub fn due(
         &self,
         caller: CallerTag,
@@ -83,12 +77,12 @@
         self.position(caller).map(|at| self.open[at].due)
     }
 
-    /// Number of open promises.
+    /// Number of reservations.
     pub const fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Adds a promise.
+    /// Adds a reservation.
     pub fn add(
         &mut self,
         caller: CallerTag,
@@ -100,7 +94,7 @@
         self.milli += milli;
     }
 
-    /// Ends the promise of a caller that has come back.
+    /// Removes the reservation of a caller that has returned.
     pub fn end(
         &mut self,
         caller: CallerTag,
@@ -111,7 +105,7 @@
         }
     }
 
-    /// Ends the promises whose callers did not come back in time.
+    /// Removes the reservations whose callers did not return in time.
     pub fn expire(
         &mut self,
         now: Millis,
--- a/crates/core/src/rights/right.rs
+++ b/crates/core/src/rights/right.rs
@@ -3,28 +3,28 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The whole of an account's rate or burst, as a share.
+/// The share that stands for an account's whole rate or burst.
 pub const SHARE_WHOLE: u64 = 1 << 32;
 
-/// Thousandths in one token.
+/// Millitokens per token.
 pub const MILLI: u64 = 1000;
 
-/// Part of an account's rate, burst and tokens, as it is held, moved and reported.
+/// A part of an account's rate, burst and tokens that a holder can own, transfer and report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Right {
-    /// The account.
+    /// The account that the right belongs to.
     pub account: AccountId,
-    /// Share of the rate, of [`SHARE_WHOLE`].
+    /// Share of the rate, in units of [`SHARE_WHOLE`].
     pub rate_share: u64,
-    /// Share of the burst, of [`SHARE_WHOLE`].
+    /// Share of the burst, in units of [`SHARE_WHOLE`].
     pub room_share: u64,
-    /// Thousandths of a token, at most the room's part of the burst.
+    /// Millitokens, at most the share of the burst.
     pub tokens: u64,
 }
 
 impl Right {
-    /// No part of the account's rights.
+    /// Creates an empty right to the account.
     pub const fn none(account: AccountId) -> Self {
         Self {
             account,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Whether there is nothing in it.
+    /// Whether the right is empty.
     pub const fn is_none(&self) -> bool {
         self.rate_share == 0 && self.room_share == 0 && self.tokens == 0
     }
 }
 
-/// The part of `amount` that a share stands for, rounded down.
+/// Scales `amount` by a share of [`SHARE_WHOLE`], rounded down.
 pub const fn part_of(
     amount: u64,
     share: u64,
--- a/crates/core/src/rights/settings.rs
+++ b/crates/core/src/rights/settings.rs
@@ -1,33 +1,33 @@
 use crate::clock::Millis;
 
-/// How a holder shares its rights.
+/// Settings for the transfer of rights between holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RightsSettings {
-    /// Whether rights move between holders at all.
+    /// Whether holders transfer rights.
     pub sharing: bool,
-    /// Peers asked at a time for one account.
+    /// Maximum number of peers asked at a time for one account.
     pub fan_out: usize,
-    /// For how long ahead a giver keeps the tokens that its own demand needs.
+    /// Time of its own demand for which a giver keeps tokens.
     pub keep: Millis,
-    /// For how long a peer that had nothing to spare is not asked again.
+    /// Initial backoff for a peer without spare tokens.
     pub back_off: Millis,
-    /// How often that time doubles while the peer keeps having nothing.
+    /// Maximum number of times that a backoff or resend interval doubles.
     pub max_doublings: u32,
-    /// Empty rounds of asking after which an account is left alone for a while.
+    /// Empty rounds of requests after which an account backs off.
     pub rounds: usize,
-    /// How long an answer is worth waiting for before a request is refused.
+    /// How long admission waits for a response of a peer.
     pub answer_wait: Millis,
-    /// For how long ahead a holder that runs low asks.
+    /// Time of its own demand for which a holder prefetches tokens.
     pub ahead: Millis,
-    /// After how long without an answer a request for rights is sent again.
+    /// Initial interval between resends of an unanswered request.
     pub resend: Millis,
-    /// A holder keeps its even part of the rate divided by this, whoever asks.
+    /// A giver keeps at least an even share of the rate divided by this.
     pub floor_divisor: u64,
-    /// How long the tokens of a promised refusal wait for their caller after the promised time.
+    /// How long tokens stay reserved after the retry time.
     pub grace: Millis,
-    /// How far ahead a refusal is promised; rights move, so what lies further ahead can't be.
+    /// Maximum delay of a retry for which tokens are reserved.
     pub horizon: Millis,
-    /// Promised refusals kept for one account.
+    /// Maximum number of reservations of one account.
     pub max_promises: usize,
 }
 
--- a/crates/core/src/rights/transfer.rs
+++ b/crates/core/src/rights/transfer.rs
@@ -6,36 +6,36 @@
 /// A holder's request for part of a peer's rights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakeRequest {
-    /// Who asks.
+    /// The holder that asks.
     pub from: Holder,
-    /// Unique for the asker; a repeat of it is the same request.
+    /// Unique at the asker; a resend keeps it.
     pub transfer: TransferId,
     /// The asker's epoch.
     pub epoch: Epoch,
-    /// The account.
+    /// The account whose rights are asked for.
     pub account: AccountId,
-    /// What the asker lacks, in thousandths of a token.
+    /// Millitokens that the asker needs.
     pub needed: u64,
-    /// What the asker has been asked for lately, in tokens a second.
+    /// Recent demand at the asker, in tokens per second.
     pub demand: u64,
 }
 
-/// The answer to a [`TakeRequest`].
+/// The response to a [`TakeRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Given {
-    /// The giver's epoch; the right is empty when it is not the asker's.
+    /// The giver's epoch; the right is empty if the epochs differ.
     pub epoch: Epoch,
-    /// What the giver has already subtracted from its own.
+    /// The right, already subtracted at the giver.
     pub right: Right,
-    /// What the giver could still spare, in thousandths of a token.
+    /// Spare millitokens that are left at the giver.
     pub spare: u64,
 }
 
-/// A [`TakeRequest`] and whom to send it to.
+/// A [`TakeRequest`] and its recipient.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// The peer.
+    /// The peer to ask.
     pub to: Holder,
-    /// The message.
+    /// The request to send.
     pub request: TakeRequest,
 }
--- a/crates/core/src/rights/transfer_log.rs
+++ b/crates/core/src/rights/transfer_log.rs
@@ -4,13 +4,13 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Answers kept for each asker, so that a repeated request gets the same one.
+/// Responses kept per asker for resent requests.
 const KEPT: usize = 64;
 
-/// What has been given in this epoch.
+/// Responses of this epoch, to deduplicate resent requests.
 ///
-/// A request is sent again when its answer was lost. Were it taken for a new one, the giver would
-/// subtract twice; the asker applies one answer only, so the other part would be lost.
+/// Handling a resent request as new would subtract rights twice, while the asker applies only one
+/// response.
 #[derive(Clone, Debug, Default)]
 pub struct TransferLog {
     askers: HashMap<Holder, Asker>,
@@ -19,23 +19,23 @@
 #[derive(Clone, Debug, Default)]
 struct Asker {
     answers: VecDeque<(TransferId, Given)>,
-    /// The highest transfer whose answer is no longer kept.
+    /// The highest transfer whose response was evicted.
     forgotten: Option<TransferId>,
 }
 
-/// Whether a request for rights is new.
+/// Whether a request was handled before.
 #[derive(Clone, Copy, Debug)]
 pub enum Seen {
-    /// It is new.
+    /// The request is new.
     No,
-    /// It was answered so.
+    /// The request was handled with this response.
     Answered(Given),
-    /// It may have been answered; the answer is no longer kept.
+    /// The request may have been handled; its response was evicted.
     Forgotten,
 }
 
 impl TransferLog {
-    /// Looks a transfer up.
+    /// Looks up the response to a transfer.
     pub fn look_up(
         &self,
         from: Holder,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Keeps an answer.
+    /// Stores a response, evicting the oldest of the asker if there are too many.
     pub fn keep(
         &mut self,
         from: Holder,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Forgets all; transfers of an earlier epoch are refused for their epoch.
+    /// Drops all responses; requests of earlier epochs are rejected by their epoch.
     pub fn clear(&mut self) {
         self.askers.clear();
     }
