--- a/crates/core/src/clock/millis.rs
+++ b/crates/core/src/clock/millis.rs
@@ -5,9 +5,8 @@
 
 /// A point in time or a duration, in milliseconds.
 ///
-/// As a point in time it counts from an origin of the process's own choosing on a clock that never
-/// goes back and that keeps running while the process is frozen. Points of two processes can't be
-/// compared; durations can.
+/// Points in time are relative to an arbitrary origin of the process, on a monotonic clock that keeps
+/// running while the process is suspended. They can't be compared between processes; durations can.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
@@ -15,15 +14,15 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The origin of the clock, or no time at all.
+    /// The origin of the clock, or an empty duration.
     pub const ZERO: Self = Self(0);
 
-    /// A duration of whole seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1000)
     }
 
-    /// The duration since `earlier`, zero when `earlier` lies in the future.
+    /// The duration since `earlier`, or zero if `earlier` is later.
     pub const fn since(
         self,
         earlier: Self,
@@ -31,12 +30,12 @@
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// The duration in seconds, for metrics and formulas.
+    /// The duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// The same duration as the standard library's type.
+    /// Converts the duration to [`std::time::Duration`].
     pub const fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
--- a/crates/core/src/clock/mod.rs
+++ b/crates/core/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it: a number of milliseconds that is passed in.
+//! Time in milliseconds, as passed to the state machines.
 
 mod millis;
 
--- a/crates/core/src/error/answer.rs
+++ b/crates/core/src/error/answer.rs
@@ -1,38 +1,38 @@
-/// What is known about the work when a caller is answered with an error.
+/// Whether a failed request may have been executed by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(derive_more::Display)]
 pub enum Execution {
-    /// No upstream has seen any byte of the request.
+    /// No part of the request was sent to an upstream.
     #[display("not_run")]
     NotRun,
-    /// An upstream may have run it, in part or whole.
+    /// An upstream may have executed the request partly or completely.
     #[display("outcome_unknown")]
     OutcomeUnknown,
-    /// It ran, and the answer ends before its end.
+    /// The request was executed, but the response is truncated.
     #[display("incomplete")]
     Incomplete,
 }
 
-/// Whether and when coming back helps.
+/// Whether and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryAfter {
-    /// Coming back with the same request doesn't help.
+    /// Retrying the same request can't succeed.
     Never,
-    /// The decision names the time; the refusal carries it.
+    /// The delay is set by the [`Refusal`](super::Refusal).
     Decided,
-    /// After this many seconds, where nothing better is known.
+    /// Default delay in seconds.
     Secs(u32),
 }
 
-/// How an error kind is answered over HTTP.
+/// The HTTP response to an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// What is known about the work.
+    /// Whether the request may have been executed.
     pub execution: Execution,
-    /// When to come back.
+    /// Whether and when to retry.
     pub retry_after: RetryAfter,
-    /// The short name callers and metrics see.
+    /// Error code in responses and metrics.
     pub code: &'static str,
 }
--- a/crates/core/src/error/error_kind.rs
+++ b/crates/core/src/error/error_kind.rs
@@ -4,80 +4,80 @@
     RetryAfter::{self, Decided, Never, Secs},
 };
 
-/// Every way in which a request or an edit can fail; the list is closed.
+/// All errors that a request or an edit can return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Error)]
 pub enum ErrorKind {
-    /// The request is not what the API takes: bad JSON, a missing or wrong field.
+    /// The request is malformed: invalid JSON, or a missing or invalid field.
     BadRequest,
-    /// The body is over the configured size.
+    /// The body exceeds the configured size.
     BodyTooLarge,
-    /// The headers are over the configured size.
+    /// The headers exceed the configured size.
     HeadersTooLarge,
-    /// The request did not arrive in time.
+    /// The request was not received within the timeout.
     SlowSender,
-    /// No key came with the request, or it is malformed.
+    /// The API key is missing or malformed.
     KeyMissing,
-    /// The key is not one that operators issued.
+    /// The API key does not exist.
     KeyUnknown,
-    /// The key has been withdrawn.
+    /// The API key has been revoked.
     KeyWithdrawn,
-    /// The key was withdrawn while its answer was streaming.
+    /// The API key was revoked while the response was streaming.
     KeyWithdrawnMidway,
-    /// The key's client account may not use this.
+    /// The key's client account does not have access to the model or service.
     NotPermitted,
-    /// No adapter or version of that name exists.
+    /// The adapter or adapter version does not exist.
     ModelNotFound,
-    /// No service or call of that name exists.
+    /// The service or call does not exist.
     ServiceNotFound,
-    /// The client account's rate and burst are used up.
+    /// The client account's rate limit is exceeded.
     RateLimited,
-    /// The request costs more than the client account's whole burst.
+    /// The request costs more than the client account's burst.
     LargerThanBurst,
-    /// Too much of this client account's work is waiting already.
+    /// Too many requests are waiting.
     QueueFull,
-    /// The request would not be served before its deadline.
+    /// The request would miss its deadline.
     CannotMeetDeadline,
-    /// No upstream that could serve this is reachable.
+    /// No suitable upstream is reachable.
     NoUpstream,
     /// The adapter version could not be loaded.
     AdapterLoadFailed,
-    /// This VM has reached neither the platform nor a peer for too long to check keys.
+    /// The configuration is too old to check keys: neither platform nor peers were reachable.
     ConfigUnavailable,
-    /// The platform can't record the idempotency key, so the call was not begun.
+    /// The platform can't record the idempotency key; the call was not started.
     ClaimUnavailable,
-    /// A call with this idempotency key is running or its outcome is unknown.
+    /// A call with this idempotency key is running, or its outcome is unknown.
     ClaimRunning,
-    /// The idempotency key was used with another request.
+    /// The idempotency key was used with a different request.
     ClaimMismatch,
-    /// This VM is about to stop.
+    /// This VM is shutting down.
     ShuttingDown,
     /// The upstream could not be reached; nothing was sent.
     UpstreamUnreachable,
-    /// The upstream was lost after the request had been sent.
+    /// The connection to the upstream failed after the request was sent.
     UpstreamLost,
-    /// The upstream's answer could not be understood or belongs to another request.
+    /// The upstream's response is invalid or belongs to a different request.
     UpstreamInvalid,
-    /// The deadline passed while an upstream was at work.
+    /// The deadline passed while an upstream was processing the request.
     DeadlineExceeded,
-    /// The answer broke off and could not be resumed.
+    /// The response was interrupted and could not be resumed.
     AnswerCut,
-    /// The edit names something that doesn't exist or a value that is not allowed.
+    /// The edit refers to an unknown entity or has an invalid value.
     EditInvalid,
-    /// Another edit has changed the same thing since it was read.
+    /// The entity was changed by another edit since it was read.
     EditConflict,
-    /// The platform did not answer; the edit may or may not be accepted.
+    /// The platform did not respond; the edit may or may not have been applied.
     EditOutcomeUnknown,
-    /// The platform's key-value service can't be reached; nothing was written.
+    /// The platform's key-value service is unreachable; nothing was written.
     StoreUnavailable,
-    /// Nothing exists at this path.
+    /// The path does not exist.
     NotFound,
-    /// A defect in this daemon.
+    /// Internal error of the daemon.
     Internal,
 }
 
 impl ErrorKind {
-    /// All kinds, in the order of the table.
+    /// All kinds, in declaration order.
     pub const ALL: [Self; 33] = [
         Self::BadRequest,
         Self::BodyTooLarge,
@@ -114,7 +114,7 @@
         Self::Internal,
     ];
 
-    /// The row of the table from kind to answer.
+    /// The HTTP response to this kind.
     pub const fn answer(self) -> Answer {
         match self {
             Self::BadRequest => row(400, NotRun, Never, "bad_request"),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A sentence for whoever gets the answer.
+    /// Error message for the caller.
     pub const fn message(self) -> &'static str {
         match self {
             Self::BadRequest => {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The kind whose short name is `code`.
+    /// Returns the kind with this error code.
     pub fn from_code(code: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
--- a/crates/core/src/error/mod.rs
+++ b/crates/core/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds and the table from a kind to its answer.
+//! Error kinds and their HTTP responses.
 
 mod answer;
 mod error_kind;
--- a/crates/core/src/error/refusal.rs
+++ b/crates/core/src/error/refusal.rs
@@ -3,17 +3,17 @@
     crate::clock::Millis,
 };
 
-/// An error kind with what the decision adds to it.
+/// A refused request: its error kind and an optional retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Why the request is refused.
     pub kind: ErrorKind,
-    /// When coming back is expected to succeed, as a duration from now.
+    /// Delay after which a retry is expected to succeed.
     pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// A refusal for which the table alone says when to come back.
+    /// Creates a refusal with the default retry behaviour of its kind.
     pub const fn new(kind: ErrorKind) -> Self {
         Self {
             kind,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A refusal whose caller should come back after `delay`.
+    /// Creates a refusal with a retry delay.
     pub const fn after(
         kind: ErrorKind,
         delay: Millis,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whole seconds for the `Retry-After` header, rounded up so that nobody comes back too early.
+    /// Value of the `Retry-After` header in seconds, rounded up.
     pub fn retry_after_secs(&self) -> Option<u64> {
         match (self.kind.answer().retry_after, self.retry_after) {
             (RetryAfter::Never, _) => None,
--- a/crates/core/src/ids/adapter_version.rs
+++ b/crates/core/src/ids/adapter_version.rs
@@ -3,14 +3,14 @@
     serde::{Deserialize, Serialize},
 };
 
-/// One exact version of an adapter: what a request names and what an engine loads.
+/// A specific version of an adapter, as requested by callers and loaded by engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
 #[display("{adapter}@{version}")]
 pub struct AdapterVersion {
-    /// The adapter.
+    /// The adapter id.
     pub adapter: AdapterId,
-    /// The version's number, from 1 up.
+    /// The version number, starting at 1.
     pub version: u32,
 }
--- a/crates/core/src/ids/epoch.rs
+++ b/crates/core/src/ids/epoch.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// One membership of the holders of rights; grows by one with each change of membership.
+/// Number of a membership of the holders of rights; incremented by each membership change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
@@ -8,7 +8,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The one that follows.
+    /// The next epoch.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/core/src/ids/fence.rs
+++ b/crates/core/src/ids/fence.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// A fencing token: an upstream's owner with the higher one has taken over from the lower.
+/// A fencing token of an upstream's owner; a higher token supersedes lower ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
@@ -8,7 +8,7 @@
 pub struct Fence(pub u64);
 
 impl Fence {
-    /// The one that follows.
+    /// The next token.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/core/src/ids/holder.rs
+++ b/crates/core/src/ids/holder.rs
@@ -3,30 +3,30 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Which of a VM's two daemons a process is.
+/// The role of a daemon; each VM runs one of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Serves callers; holds the client accounts' rate rights.
+    /// Serves callers and holds rate rights to client accounts.
     #[display("gateway")]
     Gateway,
-    /// Serves operators and orders loads; holds the rights to the weight store.
+    /// Serves operators, orders adapter loads and holds rate rights to the weight store.
     #[display("controller")]
     Controller,
 }
 
-/// One run of one daemon on one VM: what holds rights, grants and leases.
+/// One run of a daemon on a VM, which can hold rights, grants and leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
 #[display("{role}-{vm}/{incarnation}")]
 pub struct Holder {
-    /// The VM it runs on.
+    /// The VM of the daemon.
     pub vm: VmId,
-    /// Which daemon it is.
+    /// The role of the daemon.
     pub role: Role,
-    /// Which run of that daemon.
+    /// The run of the daemon.
     pub incarnation: Incarnation,
 }
--- a/crates/core/src/ids/incarnation.rs
+++ b/crates/core/src/ids/incarnation.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// One run of a process; a later run at the same address has a higher one.
+/// Number of a run of a process; later runs at the same address have higher numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
@@ -8,7 +8,7 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The one that follows.
+    /// The next incarnation.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/core/src/ids/mod.rs
+++ b/crates/core/src/ids/mod.rs
@@ -1,7 +1,7 @@
-//! Small `Copy` keys that name things across the daemons.
+//! `Copy` identifiers that are shared by the daemons.
 //!
-//! Numbers of accounts, keys, adapters, upstreams and services are given out by the configuration
-//! when the thing is created and are never used again, so they mean the same on every VM.
+//! The ids of accounts, keys, adapters, upstreams and services are assigned by the configuration and
+//! never reused, so they are the same on every VM.
 
 mod adapter_version;
 mod epoch;
--- a/crates/core/src/ids/numbers.rs
+++ b/crates/core/src/ids/numbers.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// Declares a number that names one kind of thing.
+/// Declares a numeric id type.
 macro_rules! number {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -13,42 +13,42 @@
 }
 
 number!(
-    /// A VM of the serving layer, by its number in the settings.
+    /// Id of a VM of the serving layer, as in the settings.
     VmId(u32)
 );
 number!(
-    /// A data centre.
+    /// Id of a data centre.
     DataCentreId(u16)
 );
 number!(
-    /// A client account.
+    /// Id of a client account.
     AccountId(u32)
 );
 number!(
-    /// A caller's key; never the key itself.
+    /// Id of an API key; not the secret key.
     KeyId(u32)
 );
 number!(
-    /// A LoRA adapter, all its versions together.
+    /// Id of a LoRA adapter, common to all its versions.
     AdapterId(u32)
 );
 number!(
-    /// A base model.
+    /// Id of a base model.
     ModelId(u32)
 );
 number!(
-    /// An upstream: a model engine or a server of a plain service.
+    /// Id of an upstream: a model engine or a server of a plain service.
     UpstreamId(u32)
 );
 number!(
-    /// A plain service beside the model engines.
+    /// Id of a plain service, which is not a model engine.
     ServiceId(u32)
 );
 number!(
-    /// A request inside one gateway process.
+    /// Id of a request, unique in a gateway process.
     RequestId(u64)
 );
 number!(
-    /// A transfer of rights, unique for the holder that asked for it.
+    /// Id of a transfer of rights, unique at the holder that asks for it.
     TransferId(u64)
 );
--- a/crates/core/src/ids/revision.rs
+++ b/crates/core/src/ids/revision.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// A state of the configuration tree; grows by one with each accepted edit.
+/// Revision of the configuration tree; incremented by each accepted edit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
@@ -8,7 +8,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The one that follows.
+    /// The next revision.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/core/src/placement/engine_slot.rs
+++ b/crates/core/src/placement/engine_slot.rs
@@ -1,12 +1,12 @@
 use crate::ids::{DataCentreId, UpstreamId};
 
-/// An engine as a place where adapters can live.
+/// An engine as a candidate for the placement of adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSlot {
-    /// The engine.
+    /// The upstream id of the engine.
     pub upstream: UpstreamId,
-    /// The data centre it stands in.
+    /// The data centre of the engine.
     pub data_centre: DataCentreId,
-    /// Its share of the adapters relative to the others, usually its number of adapter slots.
+    /// Relative share of the adapters, usually the number of adapter slots.
     pub weight: u32,
 }
--- a/crates/core/src/placement/instance.rs
+++ b/crates/core/src/placement/instance.rs
@@ -1,21 +1,21 @@
 use crate::ids::{AdapterId, AdapterVersion, Fence, UpstreamId};
 
-/// An adapter version as loaded on one engine under one owner's fencing token.
+/// An adapter version loaded on one engine under an owner's fencing token.
 ///
-/// The fencing token is part of the name that the engine knows. An order of a former owner that
-/// arrives late therefore names something that its successor never routes to.
+/// The fencing token is part of the adapter's name on the engine. A late order of a former owner
+/// therefore refers to an instance that the current owner never routes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instance {
-    /// The engine.
+    /// The engine that has it loaded.
     pub upstream: UpstreamId,
-    /// What is loaded.
+    /// The loaded adapter version.
     pub adapter: AdapterVersion,
     /// The fencing token of the owner that loaded it.
     pub fence: Fence,
 }
 
 impl Instance {
-    /// The name on the engine: `<adapter>-<version>-<fence>`.
+    /// The name of the instance on the engine: `<adapter>-<version>-<fence>`.
     pub fn name(&self) -> String {
         format!(
             "{}-{}-{}",
@@ -23,7 +23,7 @@
         )
     }
 
-    /// Reads a name as the engine `upstream` reports it; `None` for a name that no owner gave.
+    /// Parses an instance name that engine `upstream` reports; `None` if it is not canonical.
     pub fn parse(
         upstream: UpstreamId,
         name: &str,
@@ -37,7 +37,7 @@
             adapter: AdapterVersion { adapter, version },
             fence,
         };
-        // `01-2-3` and `+1-2-3` parse as numbers, but no owner writes them so.
+        // Rejects non-canonical numbers such as `01-2-3` and `+1-2-3`.
         (instance.name() == name).then_some(instance)
     }
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Where adapters live: names of loaded instances and the engines each adapter prefers.
+//! Adapter placement: instance names and the preferred engines of each adapter.
 
 mod engine_slot;
 mod instance;
--- a/crates/core/src/placement/preferred.rs
+++ b/crates/core/src/placement/preferred.rs
@@ -4,10 +4,10 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// The score of one candidate for one thing to be placed; the highest score wins.
+/// Weighted rendezvous hashing: the score of a candidate for a key; the highest score wins.
 ///
-/// Weighted rendezvous hashing: everybody who knows the same candidates finds the same winner
-/// without talking, and a candidate that comes or goes moves only its own share.
+/// All processes with the same candidates choose the same winner, and adding or removing a candidate
+/// moves only the keys of that candidate.
 pub fn rendezvous(
     thing: u64,
     candidate: u64,
@@ -19,7 +19,7 @@
     -f64::from(weight) / unit.ln()
 }
 
-/// How much a thing prefers a candidate over others of the same weight; orders them as [`rendezvous`] does.
+/// Rendezvous hash; orders candidates of equal weight like [`rendezvous`].
 pub fn rendezvous_hash(
     thing: u64,
     candidate: u64,
@@ -27,12 +27,11 @@
     xxh3_64_with_seed(&thing.to_le_bytes(), candidate)
 }
 
-/// The `k` engines on which an adapter should live, best first.
+/// The `k` preferred engines of an adapter, best first.
 ///
-/// Versions of one adapter prefer the same engines: a rollout then moves demand between two
-/// instances on one engine and leaves the others as they are. As long as other data centres have
-/// engines left, each further choice stands in a data centre that has none yet, so that the loss
-/// of a data centre takes one copy.
+/// All versions of an adapter prefer the same engines, so a rollout doesn't move load to other
+/// engines. The choices alternate between data centres, so the loss of one data centre affects as few
+/// copies as possible.
 pub fn preferred(
     adapter: AdapterVersion,
     engines: &[EngineSlot],
@@ -58,7 +57,7 @@
     )
 }
 
-/// Takes the best engines, going round the data centres.
+/// Chooses the best engines in rounds, at most one per data centre in each round.
 fn spread(
     ranked: &[(f64, EngineSlot)],
     k: usize,
--- a/crates/core/src/queue/account_line.rs
+++ b/crates/core/src/queue/account_line.rs
@@ -7,38 +7,38 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Place in an account's line: time of arrival plus patience, then order of arrival.
+/// Sort key within an account's queue: arrival time plus priority delay, then arrival order.
 pub type Place = (Millis, u64);
 
-/// The waiting requests of one client account, by target.
+/// The waiting requests of one client account, grouped by target.
 ///
-/// Requests for a target that can't run now must not hold up those behind them, and looking at
-/// each of them in turn would take long; so only the first of each target is looked at.
+/// Only the first request of each target is considered, so requests of a blocked target neither block
+/// the others nor have to be scanned.
 #[derive(Clone, Debug, Default)]
 pub struct AccountLine {
-    /// Weight and bound.
+    /// Weight and queue limit.
     pub share: AccountShare,
-    /// Cost served so far, divided by weight; in thousandths.
+    /// Virtual counter: served cost divided by weight, in thousandths of a token.
     pub counter: u64,
     by_target: HashMap<Target, BTreeMap<Place, Waiting>>,
-    /// The first of each target.
+    /// The first request of each target.
     heads: BTreeMap<Place, Target>,
     backlogs: BTreeMap<Pool, Backlog>,
     len: usize,
 }
 
 impl AccountLine {
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Its weight as it is used.
+    /// The effective weight, at least 1.
     pub fn weight(&self) -> u64 {
         u64::from(self.share.weight.max(1))
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -67,7 +67,7 @@
         backlog.add(waiting.priority, waiting.cost);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(
         &mut self,
         place: Place,
@@ -92,7 +92,7 @@
         Some(waiting)
     }
 
-    /// The first request in order that can run.
+    /// Finds the first request that can run.
     pub fn first_runnable<F>(
         &self,
         can_run: &mut F,
@@ -106,7 +106,7 @@
             .map(|(&place, &target)| (place, target))
     }
 
-    /// What waits in a pool.
+    /// The waiting requests of a pool.
     pub fn backlog(
         &self,
         pool: Pool,
@@ -114,7 +114,7 @@
         self.backlogs.get(&pool).copied().unwrap_or_default()
     }
 
-    /// All that waits, in the order in which it would be served.
+    /// All waiting requests in service order.
     pub fn in_order(&self) -> Vec<Waiting> {
         let mut all: Vec<(Place, Waiting)> = self
             .by_target
--- a/crates/core/src/queue/estimate.rs
+++ b/crates/core/src/queue/estimate.rs
@@ -8,11 +8,10 @@
     std::collections::BTreeMap,
 };
 
-/// A request that waits is given up before its deadline only when its turn would come this much
-/// later than that, in percent: the estimate is rough.
+/// Estimated wait, in percent of the time to the deadline, above which a waiting request is dropped.
 const SURE_PERCENT: u64 = 150;
 
-/// How long a new request would wait, or none while the rate of service is unknown.
+/// Estimates the wait of a new request; `None` while the service rate is unknown.
 pub fn wait_of_new(
     line: &AccountLine,
     pool: Pool,
@@ -24,7 +23,7 @@
     time_to_serve(line, pool, state, before, now)
 }
 
-/// How long until one request of the account has left its line.
+/// Estimates the time until one request of the account is served.
 pub fn wait_for_one(
     line: &AccountLine,
     pool: Pool,
@@ -36,7 +35,7 @@
     time_to_serve(line, pool, state, mean, now)
 }
 
-/// The requests of an account that by now have no chance to be served in time.
+/// Finds an account's requests that are expected to miss their deadlines.
 pub fn hopeless(
     line: &AccountLine,
     pools: &BTreeMap<Pool, PoolState>,
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -13,16 +13,16 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// Counters are kept in thousandths of a token, for the sake of the weights.
+/// Counter units per token, for precision when dividing by weights.
 const COUNTER_SCALE: u64 = 1000;
 
-/// How often those that wait are looked through for ones without a chance.
+/// Interval of the scan for requests that will miss their deadlines.
 const LOOK_EVERY: Millis = Millis(250);
 
-/// When to come back to a full queue whose rate of service is unknown.
+/// Retry delay for a full queue while its service rate is unknown.
 const UNKNOWN_DELAY: Millis = Millis::from_secs(1);
 
-/// Where a waiting request stands.
+/// The position of a waiting request.
 #[derive(Clone, Copy, Debug)]
 struct Location {
     account: AccountId,
@@ -36,19 +36,19 @@
 pub struct FairQueue {
     settings: QueueSettings,
     lines: HashMap<AccountId, AccountLine>,
-    /// Accounts with something waiting, lowest counter first.
+    /// Accounts with waiting requests, ordered by counter.
     active: BTreeSet<(u64, AccountId)>,
     locations: HashMap<RequestId, Location>,
     deadlines: BTreeSet<(Millis, RequestId)>,
     pools: BTreeMap<Pool, PoolState>,
     looked_at: Millis,
-    /// The highest counter that was ever the lowest; an account that was idle starts here.
+    /// Virtual time: maximum of the lowest counter so far; an idle account resumes from here.
     floor: u64,
     next_seq: u64,
 }
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: QueueSettings) -> Self {
         Self {
             settings,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sets an account's weight and bound; what waits already goes on waiting.
+    /// Sets an account's weight and queue limit; waiting requests stay queued.
     pub fn set_share(
         &mut self,
         account: AccountId,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Forgets an account that no longer exists, and returns what of it still waits.
+    /// Removes a deleted account and returns its waiting requests.
     pub fn remove(
         &mut self,
         account: AccountId,
@@ -99,12 +99,12 @@
         removed
     }
 
-    /// Lets a request wait, or refuses it at once with when to come back.
+    /// Enqueues a request, or refuses it with a retry delay.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::QueueFull`] when too much waits already, [`ErrorKind::CannotMeetDeadline`] when
-    /// by the observed rate of service its turn would come too late.
+    /// [`ErrorKind::QueueFull`] when a queue limit is reached, [`ErrorKind::CannotMeetDeadline`] when
+    /// it would miss its deadline at the observed service rate.
     pub fn push(
         &mut self,
         waiting: Waiting,
@@ -143,9 +143,9 @@
         Ok(Queued { expected_wait })
     }
 
-    /// Takes the next request that can run.
+    /// Removes and returns the next request that can run.
     ///
-    /// `can_run` is asked about the first request of each target, in order, until it agrees.
+    /// `can_run` is called for the first request of each target, in order, until it returns true.
     pub fn pop<F>(
         &mut self,
         now: Millis,
@@ -170,7 +170,7 @@
         Some(waiting)
     }
 
-    /// Corrects an account's counter once the actual cost is known.
+    /// Adjusts an account's counter to the actual cost, in tokens.
     pub fn settle(
         &mut self,
         account: AccountId,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Moves a request back in its account's line, as if it had arrived `by` from now.
+    /// Requeues a request as if it arrived `by` after `now`, without its priority delay.
     pub fn postpone(
         &mut self,
         request: RequestId,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Takes out a request whose caller has gone.
+    /// Removes a request whose caller has disconnected.
     pub fn cancel(
         &mut self,
         request: RequestId,
@@ -218,7 +218,7 @@
         Some(waiting)
     }
 
-    /// Takes out the requests whose deadline has passed or can't be met any more, to be refused.
+    /// Removes the requests that have missed or will miss their deadlines.
     pub fn expire(
         &mut self,
         now: Millis,
@@ -238,22 +238,22 @@
         expired
     }
 
-    /// When [`Self::expire`] has something to do next.
+    /// The earliest deadline of the waiting requests.
     pub fn next_deadline(&self) -> Option<Millis> {
         self.deadlines.first().map(|&(deadline, _)| deadline)
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.locations.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
     }
 
-    /// Number of requests of one account that wait.
+    /// Number of waiting requests of one account.
     pub fn len_of(
         &self,
         account: AccountId,
@@ -261,14 +261,14 @@
         self.lines.get(&account).map_or(0, AccountLine::len)
     }
 
-    /// All that waits, in no order.
+    /// Iterates over all waiting requests, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, AccountId, Target)> + '_ {
         self.locations
             .iter()
             .map(|(&request, location)| (request, location.account, location.target))
     }
 
-    /// Whether a request may wait, and for how long it is expected to.
+    /// Checks whether a request can be queued, and returns its expected wait.
     fn check(
         &self,
         waiting: &Waiting,
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Accounts with short lines get in although others have filled the queue.
+    /// When the whole queue is full, accounts below an even share can still enqueue.
     fn is_full_for(
         &self,
         line: &AccountLine,
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -1,20 +1,14 @@
-//! The fair queue: which waiting request of which client account runs next.
+//! The fair queue: chooses which waiting request of which client account runs next.
 //!
-//! Accounts are served by virtual token counters: an account's counter grows by the cost of what
-//! it was served, divided by its weight, and the lowest counter goes first. An account that sends
-//! several times its part waits in its own line and delays nobody else.
+//! Weighted fair queueing over accounts: an account's virtual counter grows by the cost of its served
+//! requests divided by its weight, and the account with the lowest counter is served next. An account
+//! that exceeds its share only delays its own requests.
 //!
-//! Inside an account a request's class only moves it in time: it counts as if it had arrived
-//! later by the patience of its class. So a request is never overtaken by one that arrives later than
-//! that patience, whatever its class: that bounds how long low priority can starve.
+//! Within an account, a request's priority class adds a fixed delay to its arrival time. A request is
+//! thus never overtaken by one that arrives later than that delay, which prevents starvation.
 //!
-//! Nothing waits in vain: lines have a hard bound, and a request that by the observed rate of
-//! service can't be served before its deadline is refused when it comes.
-//!
-//! Other ways that were weighed: one line in order of arrival lets an account that sends much delay all
-//! others; deficit round robin serves by weight too, but an account with large requests waits several
-//! rounds, and a cost that is known only at the end can't be corrected in a later round without a
-//! counter; strict classes starve the low one.
+//! Queues are bounded, and a request that can't start before its deadline at the observed service rate
+//! is refused on arrival.
 
 mod account_line;
 mod estimate;
--- a/crates/core/src/queue/pool.rs
+++ b/crates/core/src/queue/pool.rs
@@ -3,10 +3,10 @@
     crate::ids::ServiceId,
 };
 
-/// Targets that are served by the same upstreams, as far as the queue can tell.
+/// A group of targets that share upstreams.
 ///
-/// A status read of a plain service must not be refused because the model engines are slow, so
-/// rates and backlogs are kept apart.
+/// Service rates and backlogs are tracked per pool, so slow model engines don't cause requests to
+/// plain services to be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Pool {
     /// The model engines.
@@ -25,23 +25,23 @@
     }
 }
 
-/// What is known of one pool over all accounts.
+/// State of one pool over all accounts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PoolState {
-    /// How fast it is served.
+    /// Observed service rate.
     pub rate: ServiceRate,
-    /// Sum of the weights of the accounts that wait in it.
+    /// Sum of the weights of the accounts with waiting requests.
     pub active_weight: u64,
-    /// Requests that wait in it.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
 
-/// What one account has waiting in one pool.
+/// The waiting requests of one account in one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backlog {
-    /// Requests.
+    /// Number of requests.
     pub len: usize,
-    /// Their cost, by class.
+    /// Cost in tokens, by priority class.
     by_class: [u64; 3],
 }
 
@@ -56,7 +56,7 @@
         self.by_class[priority as usize] += cost;
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub const fn take(
         &mut self,
         priority: Priority,
@@ -66,8 +66,9 @@
         self.by_class[priority as usize] -= cost;
     }
 
-    /// Cost that is served before a new request of a class, but for what of lower classes has
-    /// waited longer than its patience.
+    /// Cost queued at the same or higher priority, in tokens.
+    ///
+    /// Leaves out requests of lower priority, even if they are old enough to be served first.
     pub fn cost_before(
         &self,
         priority: Priority,
@@ -75,7 +76,7 @@
         self.by_class[..=priority as usize].iter().sum()
     }
 
-    /// All of its cost.
+    /// Total cost in tokens.
     pub fn cost(&self) -> u64 {
         self.by_class.iter().sum()
     }
--- a/crates/core/src/queue/priority.rs
+++ b/crates/core/src/queue/priority.rs
@@ -1,19 +1,19 @@
 use serde::{Deserialize, Serialize};
 
-/// The order in which waiting requests of one client account are taken.
+/// Priority class of a request within its client account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Somebody is waiting at a counter.
+    /// Interactive requests, which a person is waiting for.
     #[display("high")]
     High,
-    /// The rule.
+    /// Ordinary requests.
     #[default]
     #[display("normal")]
     Normal,
-    /// Work that may wait.
+    /// Background work.
     #[display("low")]
     Low,
 }
--- a/crates/core/src/queue/service_rate.rs
+++ b/crates/core/src/queue/service_rate.rs
@@ -1,32 +1,33 @@
 use crate::clock::Millis;
 
-/// How long the past counts.
+/// Time constant of the exponential decay.
 const MEMORY: Millis = Millis(5000);
 
-/// Nothing is said about the rate before this much busy time has been seen, in milliseconds.
+/// Decayed busy time below which the rate is unknown, in milliseconds.
 const LEAST_BUSY: f64 = 500.0;
 
-/// Nor while fewer requests than this have been served lately: all that waits may wait for an adapter
-/// to load, and that says nothing about how fast others would be served.
+/// Decayed number of served requests below which the rate is unknown.
+///
+/// If all requests wait for adapters to load, the rate of other requests can't be estimated.
 const LEAST_SERVED: f64 = 1.0;
 
-/// The rate at which the queue is being emptied, observed only while something waits.
+/// The rate at which a queue is served, measured only while requests are waiting.
 ///
-/// Idle time tells nothing about what could be served and is left out.
+/// Idle time is excluded, because it doesn't show the available capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceRate {
-    /// Cost served, faded.
+    /// Decayed sum of the served cost, in tokens.
     served: f64,
-    /// Requests served, faded in the same way.
+    /// Decayed number of served requests.
     requests: f64,
-    /// Busy milliseconds, faded in the same way.
+    /// Decayed busy time, in milliseconds.
     busy: f64,
-    /// Since when the queue has not been empty; none while it is.
+    /// Start of the busy time not yet counted; `None` while the queue is empty.
     busy_since: Option<Millis>,
 }
 
 impl ServiceRate {
-    /// Notes that something waits.
+    /// Records that a request is waiting.
     pub fn note_waiting(
         &mut self,
         now: Millis,
@@ -34,7 +35,7 @@
         self.busy_since.get_or_insert(now);
     }
 
-    /// Notes that a request of `cost` left to be run.
+    /// Records that a request of `cost` tokens was dequeued to run.
     pub fn note_served(
         &mut self,
         cost: u64,
@@ -47,7 +48,7 @@
         self.busy_since = still_waiting.then_some(now);
     }
 
-    /// Notes that the queue has emptied without anything being served.
+    /// Records that the queue became empty without a request being served.
     pub fn note_empty(
         &mut self,
         now: Millis,
@@ -56,7 +57,7 @@
         self.busy_since = None;
     }
 
-    /// Cost served in a millisecond, or none before enough has been seen.
+    /// Tokens served per millisecond; `None` without enough samples.
     pub fn per_millisecond(
         &self,
         now: Millis,
--- a/crates/core/src/queue/settings.rs
+++ b/crates/core/src/queue/settings.rs
@@ -1,24 +1,24 @@
 use {super::Priority, crate::clock::Millis};
 
-/// Bounds of the queue.
+/// Limits and priority delays of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueSettings {
-    /// Nothing waits longer than this, whatever its deadline.
+    /// Maximum wait of a request, even if its deadline is later.
     pub max_wait: Millis,
-    /// Requests that may wait in all.
+    /// Maximum number of waiting requests of all accounts.
     pub max_queued: usize,
-    /// How much later a request of normal priority may arrive and still not be overtaken by one
-    /// of high priority.
+    /// Delay added to the arrival time of a request of normal priority, for ordering.
     pub normal_patience: Millis,
-    /// The same for low priority.
+    /// Delay added to the arrival time of a request of low priority, for ordering.
     pub low_patience: Millis,
-    /// Whether requests are refused by the observed rate of service. Its user may know better: what waits for an
-    /// adapter slows the observed rate although others would be served at once.
+    /// Whether to refuse requests that would miss their deadlines at the observed service rate.
+    ///
+    /// Disable it if adapter loads make the observed rate unreliable.
     pub judges_by_rate: bool,
 }
 
 impl QueueSettings {
-    /// By how much the requests of a class count as having come later.
+    /// Delay added to the arrival time of a request, by its priority.
     pub const fn patience(
         &self,
         priority: Priority,
@@ -43,12 +43,12 @@
     }
 }
 
-/// One client account's part of the queue.
+/// One client account's weight and queue limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountShare {
-    /// Its weight against the other accounts, at least 1.
+    /// Weight relative to other accounts, at least 1.
     pub weight: u32,
-    /// Requests that may wait at a time.
+    /// Maximum number of waiting requests of the account.
     pub max_queued: usize,
 }
 
--- a/crates/core/src/queue/waiting.rs
+++ b/crates/core/src/queue/waiting.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// What a request needs to run on; requests with the same target can run at the same times.
+/// What a request needs to run; requests with the same target become runnable together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// An engine with this adapter version loaded.
@@ -17,26 +17,26 @@
     Service(ServiceId),
 }
 
-/// A request that waits for its turn.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The client account it runs for.
+    /// The client account that the request is charged to.
     pub account: AccountId,
-    /// Its class inside the account.
+    /// Priority within the account.
     pub priority: Priority,
-    /// Its expected cost in tokens.
+    /// Expected cost in tokens.
     pub cost: u64,
-    /// The point in time by which it has to start.
+    /// Time by which the request must start.
     pub deadline: Millis,
-    /// What it needs.
+    /// What the request needs to run.
     pub target: Target,
 }
 
-/// The answer to a request that may wait.
+/// The result of queueing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Queued {
-    /// How long it is expected to wait.
+    /// Expected wait.
     pub expected_wait: Millis,
 }
