--- a/crates/core/benches/placement.rs
+++ b/crates/core/benches/placement.rs
@@ -1,6 +1,9 @@
-//! What a decision about placement and routing costs, at today's size and at the size to design for.
+//! Benchmarks of placement, routing and ownership, at the current and the designed fleet size.
 
-#![expect(missing_docs, reason = "the function that the macro writes has none")]
+#![expect(
+    missing_docs,
+    reason = "criterion's macro generates an undocumented function"
+)]
 
 use {
     criterion::{BatchSize, Criterion, criterion_group, criterion_main},
@@ -23,14 +26,14 @@
     },
 };
 
-/// Counts bytes in use and allocations, to tell memory and not only time.
+/// Global allocator that counts allocated bytes and allocations.
 struct Counting;
 
 static BYTES: AtomicUsize = AtomicUsize::new(0);
 static CALLS: AtomicUsize = AtomicUsize::new(0);
 
-#[expect(unsafe_code, reason = "an allocator can't be written without")]
-// SAFETY: every call is handed on to the system's allocator as it is.
+#[expect(unsafe_code, reason = "implementing `GlobalAlloc` requires it")]
+// SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(
         &self,
@@ -38,7 +41,7 @@
     ) -> *mut u8 {
         BYTES.fetch_add(layout.size(), Relaxed);
         CALLS.fetch_add(1, Relaxed);
-        // SAFETY: the caller's promises are those that the system's allocator asks for.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
@@ -48,7 +51,7 @@
         layout: Layout,
     ) {
         BYTES.fetch_sub(layout.size(), Relaxed);
-        // SAFETY: as above.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
@@ -56,14 +59,14 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// A fleet's size.
+/// The size of a fleet.
 struct Size {
     name: &'static str,
     engines: u32,
     models: u32,
     adapters: u32,
     gateways: u32,
-    /// Engines of one owner.
+    /// Engines per owner.
     owned: u32,
 }
 
@@ -104,7 +107,7 @@
     ModelId(number % size.models)
 }
 
-/// A router that sees every engine full of adapters and holds grants on the first 200 adapters.
+/// Creates a router with full engines and grants for the first 200 adapters.
 fn router(size: &Size) -> Router {
     let mut router = Router::new(RouterSettings::new(DataCentreId(0)));
     let specs: Vec<UpstreamSpec> = (0..size.engines)
@@ -155,7 +158,7 @@
     router
 }
 
-/// An owner whose engines are full and granted to every gateway.
+/// Creates an owner whose engines are full, with grants to up to 17 gateways.
 fn owner(size: &Size) -> OwnerMachine {
     let mut owner = OwnerMachine::new(OwnerSettings::default());
     owner.handle(OwnerEvent::LeaseExtended(Millis(u64::MAX / 2)), NOW);
--- a/crates/core/benches/rights_and_queue.rs
+++ b/crates/core/benches/rights_and_queue.rs
@@ -1,9 +1,12 @@
-//! Cost of the decisions on rate rights, epochs and the fair queue at two sizes.
+//! Benchmarks of rate rights, epochs and the fair queue, at the current and the designed fleet size.
 //!
-//! `cargo bench -p jasmine-core --bench rights_and_queue`. Memory is printed first, from the
-//! process's resident set.
+//! Run with `cargo bench -p jasmine-core --bench rights_and_queue`. The memory use of a ledger is
+//! printed first, as growth of the resident set size.
 
-#![expect(missing_docs, reason = "criterion's macro writes a function without")]
+#![expect(
+    missing_docs,
+    reason = "criterion's macro generates an undocumented function"
+)]
 
 use {
     criterion::{BatchSize, Criterion, criterion_group, criterion_main},
@@ -28,7 +31,7 @@
     burst: 1_000_000_000,
 };
 
-/// Client accounts and gateways: today, and the size to design for.
+/// Client accounts and gateways, at the current and the designed size.
 const SIZES: [(u32, u32); 2] = [(5, 8), (500, 180)];
 
 fn holder(vm: u32) -> Holder {
@@ -59,7 +62,7 @@
     ledger
 }
 
-/// Every peer has been asked once for every account and has answered.
+/// Asks every peer once for every account, with empty responses.
 fn ask_all(
     ledger: &mut RightsLedger,
     accounts: u32,
@@ -198,7 +201,7 @@
     }
 }
 
-/// A view in which all members have reported for the first epoch.
+/// Creates a view in which all members have reported for the first epoch.
 fn reported(
     vms: u32,
     accounts: u32,
--- a/crates/core/tests/epoch_change.rs
+++ b/crates/core/tests/epoch_change.rs
@@ -1,7 +1,7 @@
-//! Membership epochs over a small fleet: scripts of `scripts/epoch_change`.
+//! Tests of membership epochs in a small fleet, by the scripts in `scripts/epoch_change`.
 //!
-//! After each command the fleet is checked: shares sum to at most the whole, and no account used
-//! more than its burst and rate in any window.
+//! Checked after each command: the shares add up to at most the whole, and no account exceeds its
+//! rate and burst in any window.
 
 mod support;
 
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -1,6 +1,6 @@
-//! The fair queue: scripts of `scripts/fair_queue`, and generated orders of events.
+//! Tests of the fair queue: the scripts in `scripts/fair_queue`, and random event sequences.
 //!
-//! A long run of the orders: `JASMINE_ORDERS=100000 cargo test --release -p jasmine-core --test
+//! For a long run: `JASMINE_ORDERS=100000 cargo test --release -p jasmine-core --test
 //! fair_queue`.
 
 use {
@@ -19,7 +19,7 @@
     std::{collections::BTreeMap, error::Error, fmt::Write as _},
 };
 
-/// Orders that CI runs.
+/// Default number of event sequences.
 const ORDERS: u64 = 500;
 const EVENTS: usize = 300;
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// A queue driven by a script.
+/// Runs script commands on a queue.
 struct Script {
     queue: FairQueue,
     now: Millis,
     next: u64,
-    /// Base models whose engines are full.
+    /// Base models without free engine capacity.
     busy: Vec<u32>,
 }
 
@@ -150,7 +150,7 @@
             "advance" => self.now += Millis(times),
             "pop" => out = self.pop(times as usize),
             "serve" => {
-                // One at a time, so that the queue learns its rate.
+                // One at a time, so that the queue measures its service rate.
                 for _ in 0..times {
                     self.now += Millis(100);
                     out += &self.pop(1);
@@ -177,7 +177,7 @@
     }
 }
 
-/// One thing that happens to a queue.
+/// An event in a generated sequence.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Event {
@@ -203,7 +203,7 @@
     Settle(#[generator(0..4)] u32, #[generator(0..500)] u64),
 }
 
-/// What a correct queue would hold.
+/// Reference model that checks the queue after each event.
 struct Model {
     queue: FairQueue,
     now: Millis,
@@ -271,7 +271,7 @@
                     self.leaves(expired.request);
                 }
                 let late = self.waiting.values().find(|(w, _)| w.deadline <= self.now);
-                assert!(late.is_none(), "held back beyond its deadline: {late:?}");
+                assert!(late.is_none(), "still queued after its deadline: {late:?}");
             }
             Event::Busy(model) => self.busy = model,
             Event::Settle(account, actual) => {
@@ -303,7 +303,7 @@
         let before = self.queue.len_of(waiting.account);
         match self.queue.push(waiting, self.now) {
             Ok(queued) => {
-                assert!(before < MOST, "over the bound");
+                assert!(before < MOST, "the account's queue limit is exceeded");
                 assert!(queued.expected_wait < Millis(within));
                 self.waiting.insert(waiting.request, (waiting, self.now));
                 self.accepted += 1;
@@ -337,7 +337,7 @@
     ) {
         assert!(
             self.waiting.remove(&request).is_some(),
-            "{request} left twice"
+            "{request} was removed twice"
         );
         self.left += 1;
     }
@@ -360,8 +360,8 @@
     }
 }
 
-/// Four accounts of weights 1 to 4 always have work waiting and one of them sends far more.
-/// Whoever sends more must not get more than its weight; the other callers would wait for it.
+/// Guards against an account that sends more requests getting more than its weighted share.
+/// Four accounts of weights 1 to 4 are always backlogged, one with far more requests.
 #[test]
 fn weighted_parts() {
     let mut model = Model::new();
--- a/crates/core/tests/generated_orders.rs
+++ b/crates/core/tests/generated_orders.rs
@@ -1,8 +1,8 @@
-//! Generated orders of events over a small fleet, with the promises as properties.
+//! Property tests of rate rights and epochs: random event sequences in a small fleet.
 //!
 //! CI runs a fixed set of seeds. A long run: `JASMINE_ORDERS=200000 cargo test --release -p
-//! jasmine-core --test generated_orders`; `JASMINE_FIRST_ORDER` sets the first seed. A failure
-//! names its seed, which then joins the list of seeds that once showed a fault.
+//! jasmine-core --test generated_orders`; `JASMINE_FIRST_ORDER` sets the first seed. Add the seeds
+//! of failures to `ONCE_FAILED`.
 
 mod support;
 
@@ -15,13 +15,13 @@
     support::{Event, Fleet, VMS},
 };
 
-/// Orders that CI runs.
+/// Default number of event sequences.
 const ORDERS: u64 = 300;
 
-/// Events in one order.
+/// Events per sequence.
 const EVENTS: usize = 400;
 
-/// Seeds that once showed a fault.
+/// Regression seeds, which always run.
 const ONCE_FAILED: [u64; 0] = [];
 
 #[test]
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where adapters live.
+//! Tests of adapter placement and of the assignment of owners to engines.
 
 use jasmine_core::{
     ids::{AdapterId, AdapterVersion, DataCentreId, Fence, UpstreamId, VmId},
@@ -40,7 +40,7 @@
     }
 }
 
-/// An engine is taken out. If the others' adapters moved too, every user would wait for loads.
+/// Guards against removing an engine moving the adapters of other engines, which causes reloads.
 #[test]
 fn little_movement() {
     let all = engines(9);
@@ -50,7 +50,7 @@
     assert_eq!(moved, lost);
 }
 
-/// A data centre is lost. An adapter with both copies in it would be cold for all its users.
+/// Guards against copies of an adapter sharing a data centre, whose loss would unload the adapter.
 #[test]
 fn separate_data_centres() {
     for number in 0..ADAPTERS {
@@ -80,7 +80,7 @@
         });
 }
 
-/// A link between data centres fails. Owners elsewhere would lose their engines for no reason.
+/// Guards against owners in another data centre, which lose their engines when a link fails.
 #[test]
 fn near_owner() {
     let live: Vec<Candidate> = (0..7)
@@ -91,12 +91,12 @@
         .collect();
     for engine in 0..9 {
         let place = DataCentreId((engine % 3) as u16);
-        let owner = assign(UpstreamId(engine), place, &live).expect("somebody is live");
+        let owner = assign(UpstreamId(engine), place, &live).expect("there are live candidates");
         assert_eq!(owner.0 % 3, engine % 3);
         let far = assign(UpstreamId(engine), DataCentreId(9), &live);
         assert!(
             far.is_some(),
-            "no live controller near: somebody else owns it"
+            "without a live controller in the data centre, another one owns the engine"
         );
     }
     assert_eq!(assign(UpstreamId(0), DataCentreId(0), &[]), None);
--- a/crates/core/tests/rate_rights.rs
+++ b/crates/core/tests/rate_rights.rs
@@ -1,7 +1,7 @@
-//! Rate rights over a small fleet: scripts of `scripts/rate_rights`.
+//! Tests of rate rights in a small fleet, by the scripts in `scripts/rate_rights`.
 //!
-//! After each command the fleet is checked: shares sum to at most the whole, and no account used
-//! more than its burst and rate in any window.
+//! Checked after each command: the shares add up to at most the whole, and no account exceeds its
+//! rate and burst in any window.
 
 mod support;
 
--- a/crates/core/tests/support/checks.rs
+++ b/crates/core/tests/support/checks.rs
@@ -14,7 +14,7 @@
 };
 
 impl Fleet {
-    /// The parts of the whole that all holders have together: rate and room.
+    /// Sum of all holders' rate shares and burst shares of an account.
     pub fn held(
         &self,
         account: AccountId,
@@ -27,7 +27,7 @@
             })
     }
 
-    /// Checks what must hold at any moment.
+    /// Checks that the shares of each account add up to at most the whole.
     pub fn check_now(&self) {
         for account in ACCOUNTS {
             let (rate, room) = self.held(account);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Checks that no account used more than its burst and rate in any window.
+    /// Checks that no account exceeded its rate and burst in any window.
     pub fn check_used(&self) {
         for account in ACCOUNTS {
             let mut changes = self
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Checks what must hold once faults have ended and some time has passed.
+    /// Checks that the fleet has recovered some time after the last fault.
     pub fn check_healed(&mut self) {
         for _ in 0..20 {
             if self.store.epoch().is_some_and(|record| record.closing) {
@@ -75,14 +75,14 @@
         let record = self.store.epoch().expect("an epoch").clone();
         let mut alive: Vec<Holder> = self.daemons().map(|daemon| daemon.holder).collect();
         alive.sort_unstable();
-        assert_eq!(record.members, alive, "the members are those who live");
+        assert_eq!(record.members, alive, "the members are the live holders");
         assert!(!record.closing, "the epoch is finalised");
         for Budget { account, .. } in budgets(&self.limits) {
             let (rate, room) = self.held(account);
             let lost = SHARE_WHOLE - rate.min(room);
             assert!(
                 lost < 1000,
-                "account {account}: {lost} of the rights is nowhere"
+                "account {account}: {lost} of the rights are lost"
             );
         }
         let before = record.epoch;
@@ -91,11 +91,11 @@
         let most = before.next();
         assert!(
             after <= most,
-            "nothing but the periodic change: {before} to {after}"
+            "more than the periodic epoch change: {before} to {after}"
         );
     }
 
-    /// The epoch and what each VM has of an account, for a script.
+    /// Prints the epoch and each VM's rights to an account, for scripts.
     pub fn show(
         &mut self,
         account: AccountId,
--- a/crates/core/tests/support/configuration.rs
+++ b/crates/core/tests/support/configuration.rs
@@ -7,11 +7,11 @@
     },
 };
 
-/// The account that is there from the start, the one of the second revision, the weight store.
+/// The initial account, the account added by the second revision, and the weight store.
 pub const ACCOUNTS: [AccountId; 3] = [AccountId(1), AccountId(2), AccountId(9)];
 
 impl Fleet {
-    /// A VM takes the newest configuration.
+    /// Applies the latest configuration to a VM.
     pub fn configure(
         &mut self,
         vm: VmId,
@@ -36,7 +36,7 @@
         self.note_limits();
     }
 
-    /// Notes the largest limit in force on any VM.
+    /// Records the largest limit of each account on any VM.
     fn note_limits(&mut self) {
         for account in ACCOUNTS {
             let limits = self
@@ -58,7 +58,7 @@
     }
 }
 
-/// The budgets of a revision: the second account comes with the second one.
+/// The budgets of the last of these revisions; the second revision adds the second account.
 pub fn budgets(limits: &[Limit]) -> Vec<Budget> {
     let gateways = |account, limit| Budget {
         account,
--- a/crates/core/tests/support/daemon.rs
+++ b/crates/core/tests/support/daemon.rs
@@ -9,7 +9,7 @@
     },
 };
 
-/// A request that waits for the answers of peers.
+/// A request that waits for responses of peers.
 #[derive(Clone, Copy, Debug)]
 struct Asking {
     account: AccountId,
@@ -19,7 +19,7 @@
     since: Millis,
 }
 
-/// How a request fared.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Admitted,
@@ -27,13 +27,13 @@
     Refused(ErrorKind, Option<Millis>),
 }
 
-/// A daemon that holds rights.
+/// A daemon with a rights ledger.
 #[derive(Debug)]
 pub struct Daemon {
     pub holder: Holder,
     pub ledger: RightsLedger,
     asking: Vec<Asking>,
-    /// Charges of running requests and where they stand in the record of what ran.
+    /// Charges of running requests and their indexes in the usage records.
     running: Vec<(Charge, usize)>,
 }
 
@@ -70,7 +70,7 @@
         self.attempt(asking, now, ran)
     }
 
-    /// Tries again what waits for answers, and gives up what has waited long.
+    /// Retries waiting requests, and refuses those that have timed out.
     pub fn retry(
         &mut self,
         now: Millis,
@@ -103,7 +103,7 @@
         true
     }
 
-    /// Sees an epoch record; what it holds is returned if it has to be reported.
+    /// Handles an epoch record; returns the rights to report if it is a member.
     pub fn see_epoch(
         &mut self,
         record: &EpochRecord,
--- a/crates/core/tests/support/event.rs
+++ b/crates/core/tests/support/event.rs
@@ -3,7 +3,7 @@
     jasmine_core::{clock::Millis, ids::VmId},
 };
 
-/// What happens to a message under way.
+/// How a message in transit is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     Deliver,
@@ -11,11 +11,11 @@
     Drop,
 }
 
-/// One thing that happens to the fleet.
+/// An event in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     Advance(Millis),
-    /// A request at a VM; its cost and, in percent of it, what it really uses.
+    /// A request at a VM: its cost, and its actual usage in percent of the cost.
     Request {
         vm: VmId,
         controller: bool,
@@ -25,24 +25,24 @@
     },
     /// The oldest running request of a VM ends.
     Finish(VmId),
-    /// A daemon's periodic work: epoch, report, asking ahead, sending again.
+    /// A VM's periodic work: epoch, report, prefetch and resends.
     Tick {
         vm: VmId,
         reply_lost: bool,
     },
-    /// A controller reads the store; `old_list` leaves its copy of the VM list as it is.
+    /// A controller reads the store; with `old_list` it keeps its stale VM list.
     Read {
         vm: VmId,
         old_list: bool,
     },
-    /// A controller decides what to write.
+    /// A controller runs its epoch state machine.
     Decide(VmId),
-    /// What it decided reaches the store.
+    /// The next pending write reaches the store.
     Write(VmId),
     Carry(Link, usize),
-    /// All that is under way arrives.
+    /// All messages in transit are delivered.
     CarryAll,
-    /// Everything that is awake works for a while; reports of holdings may fail to reach the store.
+    /// All VMs that are not frozen run for a while; reports of holdings may be lost.
     Run {
         time: Millis,
         reports_lost: bool,
@@ -53,17 +53,17 @@
     Freeze(VmId),
     Thaw(VmId),
     Store(bool),
-    /// The VM list catches up.
+    /// The VM list is updated.
     List,
-    /// The list leaves out a VM that is alive, for a while.
+    /// The list omits a live VM for a while.
     Unlist(VmId),
-    /// Operators set another limit.
+    /// Operators change the limit of the first account.
     Limit(u64),
-    /// A VM takes the newest configuration.
+    /// A VM applies the latest configuration.
     Configure(VmId),
 }
 
-/// VMs of a generated fleet.
+/// Number of VMs in a generated fleet.
 pub const VMS: u32 = 4;
 
 impl TypeGenerator for Event {
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -26,11 +26,11 @@
 pub const LIST_LAG: Millis = Millis(5000);
 const STEP: Millis = Millis(50);
 
-/// One VM that runs.
+/// A running VM.
 #[derive(Debug)]
 pub struct Vm {
     pub(super) frozen: bool,
-    /// Revision of the configuration in force.
+    /// Revision of the applied configuration.
     pub(super) revision: usize,
     pub(super) daemons: [Daemon; 2],
     pub(super) machine: EpochMachine,
@@ -38,7 +38,7 @@
     pub(super) to_write: VecDeque<EpochAction>,
 }
 
-/// The whole fleet.
+/// A simulated fleet with its store and links.
 #[derive(Debug)]
 pub struct Fleet {
     pub now: Millis,
@@ -51,13 +51,13 @@
     /// Limit of the first account at each revision.
     pub(super) limits: Vec<Limit>,
     pub(super) ran: Vec<Used>,
-    /// In which order limits changed and requests ran.
+    /// Limit changes: number of requests before it, time, account and limit.
     pub(super) in_force: Vec<(usize, Millis, AccountId, Limit)>,
     callers: u64,
 }
 
 impl Fleet {
-    /// `vms` VMs that have just started.
+    /// Creates a fleet of `vms` VMs that have just started.
     pub fn new(
         vms: u32,
         settings: RightsSettings,
@@ -86,7 +86,7 @@
         fleet
     }
 
-    /// Makes one thing happen.
+    /// Applies an event.
     pub fn apply(
         &mut self,
         event: Event,
@@ -127,7 +127,7 @@
         Vec::new()
     }
 
-    /// Lets everything work for a while, links and store included.
+    /// Runs all VMs for a while, with links and store.
     pub fn run(
         &mut self,
         time: Millis,
@@ -158,7 +158,7 @@
         fates
     }
 
-    /// Ends all faults; VMs that are dead stay dead, but one VM lives.
+    /// Ends all faults except dead VMs, and ensures that at least one VM is alive.
     pub fn heal(&mut self) {
         self.store.up = true;
         if self.vms.is_empty() {
@@ -172,12 +172,12 @@
         }
     }
 
-    /// Number of messages under way.
+    /// Number of messages in transit.
     pub fn under_way(&self) -> usize {
         self.links.len()
     }
 
-    /// Number of requests that ran.
+    /// Number of admitted requests.
     pub fn ran(&self) -> usize {
         self.ran.len()
     }
@@ -208,7 +208,7 @@
         let live = self.store.read(self.now).live;
         let (now, store, vms) = (self.now, &mut self.store, &self.vms);
         self.unlisted.retain(|vm, until| {
-            // A list that is wrong about a VM without a lease would be a proof of its death.
+            // Omitting a VM without a lease would count as proof of its death.
             let goes_on = now < *until && live.iter().any(|live| live.vm == *vm);
             if !goes_on && vms.contains_key(vm) {
                 store.listed.insert(*vm);
--- a/crates/core/tests/support/links.rs
+++ b/crates/core/tests/support/links.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// What is under way between two daemons.
+/// A message between two daemons.
 #[derive(Clone, Copy, Debug)]
 pub enum Message {
     Ask(Ask),
@@ -23,7 +23,7 @@
 }
 
 impl Fleet {
-    /// Carries what is under way until nothing is, or all that is left waits for frozen VMs.
+    /// Delivers messages until none are left except those to frozen VMs.
     pub fn carry_all(&mut self) -> Vec<Fate> {
         let mut fates = Vec::new();
         for _ in 0..1000 {
@@ -39,7 +39,7 @@
         fates
     }
 
-    /// Makes something happen to one of the messages under way.
+    /// Delivers, duplicates or drops one message in transit.
     pub fn carry(
         &mut self,
         link: Link,
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! A small fleet of ledgers and epoch machines over a fake store and fake links.
+//! A small fleet of ledgers and epoch state machines with a fake store and fake links.
 
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test binary uses its own part of this"
+    reason = "each test binary uses only some of the helpers"
 )]
 
 mod checks;
--- a/crates/core/tests/support/reference.rs
+++ b/crates/core/tests/support/reference.rs
@@ -1,18 +1,18 @@
 use jasmine_core::{clock::Millis, ids::AccountId, rights::Limit};
 
-/// What one request used, as an engine would have recorded it.
+/// The usage of one request, as recorded by the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Used {
     pub account: AccountId,
     pub at: Millis,
     pub charged: u64,
-    /// What it really uses.
+    /// Actual usage in tokens.
     pub uses: u64,
     pub finished: bool,
 }
 
 impl Used {
-    /// What counts: of a request that nobody settled, all that was charged.
+    /// The tokens that count: the actual usage, or the charge while the request is running.
     fn tokens(&self) -> u64 {
         if self.finished {
             self.uses
@@ -22,9 +22,9 @@
     }
 }
 
-/// The whole account's token bucket, filled from what was used and not from any ledger.
+/// Reference token bucket of an account, computed from the usage records.
 ///
-/// It stays at or above zero exactly if in every window at most `burst + rate * window` was used.
+/// Its level is negative exactly if some window's usage exceeds `burst + rate * window`.
 #[derive(Clone, Copy, Debug)]
 pub struct Reference {
     limit: Limit,
@@ -33,7 +33,7 @@
 }
 
 impl Reference {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(limit: Limit) -> Self {
         Self {
             limit,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Changes the limit; the largest in force on any VM counts.
+    /// Sets the limit to the largest on any VM.
     pub fn set_limit(
         &mut self,
         limit: Limit,
@@ -53,7 +53,7 @@
         self.advance(now);
     }
 
-    /// Takes what was used; whether it was within the limit.
+    /// Subtracts a usage, and returns whether it is within the limit.
     pub fn take(
         &mut self,
         used: &Used,
--- a/crates/core/tests/support/script.rs
+++ b/crates/core/tests/support/script.rs
@@ -9,7 +9,7 @@
     std::{error::Error, fmt::Write as _},
 };
 
-/// Runs all scripts of a folder, each over a fleet of its own.
+/// Runs all scripts in a folder, each with a new fleet.
 pub fn run_scripts(folder: &str) {
     for entry in std::fs::read_dir(folder).expect("scripts") {
         let path = entry.expect("a script").path();
@@ -17,7 +17,7 @@
     }
 }
 
-/// A fleet driven by a script.
+/// Runs script commands on a fleet.
 #[derive(Default)]
 struct Script {
     fleet: Option<Fleet>,
--- a/crates/core/tests/support/store.rs
+++ b/crates/core/tests/support/store.rs
@@ -9,7 +9,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The platform's key-value service and VM list.
+/// Fake of the platform's key-value service and VM list.
 #[derive(Debug, Default)]
 pub struct Store {
     pub up: bool,
@@ -22,7 +22,7 @@
 }
 
 impl Store {
-    /// Puts a member record under a lease that lapses at `until`.
+    /// Writes a member record with a lease that expires at `until`.
     pub fn keep_alive(
         &mut self,
         live: LiveVm,
@@ -31,7 +31,7 @@
         self.members.insert(live.vm, (live, until));
     }
 
-    /// Revokes a lease.
+    /// Revokes the lease of a VM.
     pub fn revoke(
         &mut self,
         vm: VmId,
@@ -39,7 +39,7 @@
         self.members.remove(&vm);
     }
 
-    /// Creates a report if there is none.
+    /// Stores a report of holdings unless there is one.
     pub fn report(
         &mut self,
         record: HoldingsRecord,
@@ -49,7 +49,7 @@
             .or_insert(record);
     }
 
-    /// Keeps a holder's last word.
+    /// Stores the final report of a holder.
     pub fn release(
         &mut self,
         record: ReleasedRecord,
@@ -57,7 +57,7 @@
         self.released.insert(record.holder, record);
     }
 
-    /// What a controller reads.
+    /// Returns the view that a controller reads.
     pub fn read(
         &self,
         now: Millis,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Carries out a write.
+    /// Applies a write.
     pub fn write(
         &mut self,
         action: EpochAction,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The epoch record.
+    /// The current epoch record.
     pub fn epoch(&self) -> Option<&EpochRecord> {
         self.epoch.as_ref().map(|epoch| &epoch.value)
     }
