--- a/crates/core/benches/placement.rs
+++ b/crates/core/benches/placement.rs
@@ -70,7 +70,7 @@
     owned: u32,
 }
 
-const SIZES: [Size; 2] = [
+const FLEET_SIZES: [Size; 2] = [
     Size {
         name: "today",
         engines: 9,
@@ -225,7 +225,7 @@
 }
 
 fn decisions(c: &mut Criterion) {
-    for size in &SIZES {
+    for size in &FLEET_SIZES {
         let slots: Vec<EngineSlot> = (0..size.engines / size.models)
             .map(|engine| EngineSlot {
                 upstream: UpstreamId(engine),
--- a/crates/core/benches/rights_and_queue.rs
+++ b/crates/core/benches/rights_and_queue.rs
@@ -32,7 +32,7 @@
 };
 
 /// Client accounts and gateways, at the current and the designed size.
-const SIZES: [(u32, u32); 2] = [(5, 8), (500, 180)];
+const FLEET_SIZES: [(u32, u32); 2] = [(5, 8), (500, 180)];
 
 fn holder(vm: u32) -> Holder {
     Holder {
@@ -92,7 +92,7 @@
 }
 
 fn rights(c: &mut Criterion) {
-    for (accounts, holders) in SIZES {
+    for (accounts, holders) in FLEET_SIZES {
         let name = format!("{accounts} accounts, {holders} holders");
         let mut ledger = ledger(accounts, holders);
         ask_all(&mut ledger, accounts, holders);
@@ -234,7 +234,7 @@
 }
 
 fn epochs(c: &mut Criterion) {
-    for (accounts, vms) in SIZES {
+    for (accounts, vms) in FLEET_SIZES {
         let name = format!("{accounts} accounts, {vms} VMs");
         let quiet = reported(vms, accounts);
         let machine = EpochMachine::new(VmId(1), MembershipSettings::default());
@@ -266,7 +266,7 @@
 }
 
 fn memory(_: &mut Criterion) {
-    for (accounts, holders) in SIZES {
+    for (accounts, holders) in FLEET_SIZES {
         let before = resident_kib();
         let mut kept = Vec::new();
         for _ in 0..4 {
--- a/crates/core/src/error/error_kind.rs
+++ b/crates/core/src/error/error_kind.rs
@@ -117,39 +117,41 @@
     /// The HTTP response to this kind.
     pub const fn answer(self) -> Answer {
         match self {
-            Self::BadRequest => row(400, NotRun, Never, "bad_request"),
-            Self::BodyTooLarge => row(413, NotRun, Never, "body_too_large"),
-            Self::HeadersTooLarge => row(431, NotRun, Never, "headers_too_large"),
-            Self::SlowSender => row(408, NotRun, Secs(1), "slow_sender"),
-            Self::KeyMissing => row(401, NotRun, Never, "key_missing"),
-            Self::KeyUnknown => row(401, NotRun, Never, "key_unknown"),
-            Self::KeyWithdrawn => row(401, NotRun, Never, "key_withdrawn"),
-            Self::KeyWithdrawnMidway => row(401, Incomplete, Never, "key_withdrawn_midway"),
-            Self::NotPermitted => row(403, NotRun, Never, "not_permitted"),
-            Self::ModelNotFound => row(404, NotRun, Never, "model_not_found"),
-            Self::ServiceNotFound => row(404, NotRun, Never, "service_not_found"),
-            Self::RateLimited => row(429, NotRun, Decided, "rate_limited"),
-            Self::LargerThanBurst => row(400, NotRun, Never, "larger_than_burst"),
-            Self::QueueFull => row(429, NotRun, Decided, "queue_full"),
-            Self::CannotMeetDeadline => row(503, NotRun, Decided, "cannot_meet_deadline"),
-            Self::NoUpstream => row(503, NotRun, Secs(2), "no_upstream"),
-            Self::AdapterLoadFailed => row(503, NotRun, Secs(5), "adapter_load_failed"),
-            Self::ConfigUnavailable => row(503, NotRun, Secs(5), "config_unavailable"),
-            Self::ClaimUnavailable => row(503, NotRun, Secs(5), "claim_unavailable"),
-            Self::ClaimRunning => row(409, OutcomeUnknown, Secs(2), "claim_running"),
-            Self::ClaimMismatch => row(422, NotRun, Never, "claim_mismatch"),
-            Self::ShuttingDown => row(503, NotRun, Secs(1), "shutting_down"),
-            Self::UpstreamUnreachable => row(502, NotRun, Secs(1), "upstream_unreachable"),
-            Self::UpstreamLost => row(502, OutcomeUnknown, Secs(1), "upstream_lost"),
-            Self::UpstreamInvalid => row(502, OutcomeUnknown, Never, "upstream_invalid"),
-            Self::DeadlineExceeded => row(504, OutcomeUnknown, Never, "deadline_exceeded"),
-            Self::AnswerCut => row(502, Incomplete, Secs(1), "answer_cut"),
-            Self::EditInvalid => row(422, NotRun, Never, "edit_invalid"),
-            Self::EditConflict => row(409, NotRun, Never, "edit_conflict"),
-            Self::EditOutcomeUnknown => row(504, OutcomeUnknown, Secs(2), "edit_outcome_unknown"),
-            Self::StoreUnavailable => row(503, NotRun, Secs(2), "store_unavailable"),
-            Self::NotFound => row(404, NotRun, Never, "not_found"),
-            Self::Internal => row(500, OutcomeUnknown, Never, "internal"),
+            Self::BadRequest => answer_of(400, NotRun, Never, "bad_request"),
+            Self::BodyTooLarge => answer_of(413, NotRun, Never, "body_too_large"),
+            Self::HeadersTooLarge => answer_of(431, NotRun, Never, "headers_too_large"),
+            Self::SlowSender => answer_of(408, NotRun, Secs(1), "slow_sender"),
+            Self::KeyMissing => answer_of(401, NotRun, Never, "key_missing"),
+            Self::KeyUnknown => answer_of(401, NotRun, Never, "key_unknown"),
+            Self::KeyWithdrawn => answer_of(401, NotRun, Never, "key_withdrawn"),
+            Self::KeyWithdrawnMidway => answer_of(401, Incomplete, Never, "key_withdrawn_midway"),
+            Self::NotPermitted => answer_of(403, NotRun, Never, "not_permitted"),
+            Self::ModelNotFound => answer_of(404, NotRun, Never, "model_not_found"),
+            Self::ServiceNotFound => answer_of(404, NotRun, Never, "service_not_found"),
+            Self::RateLimited => answer_of(429, NotRun, Decided, "rate_limited"),
+            Self::LargerThanBurst => answer_of(400, NotRun, Never, "larger_than_burst"),
+            Self::QueueFull => answer_of(429, NotRun, Decided, "queue_full"),
+            Self::CannotMeetDeadline => answer_of(503, NotRun, Decided, "cannot_meet_deadline"),
+            Self::NoUpstream => answer_of(503, NotRun, Secs(2), "no_upstream"),
+            Self::AdapterLoadFailed => answer_of(503, NotRun, Secs(5), "adapter_load_failed"),
+            Self::ConfigUnavailable => answer_of(503, NotRun, Secs(5), "config_unavailable"),
+            Self::ClaimUnavailable => answer_of(503, NotRun, Secs(5), "claim_unavailable"),
+            Self::ClaimRunning => answer_of(409, OutcomeUnknown, Secs(2), "claim_running"),
+            Self::ClaimMismatch => answer_of(422, NotRun, Never, "claim_mismatch"),
+            Self::ShuttingDown => answer_of(503, NotRun, Secs(1), "shutting_down"),
+            Self::UpstreamUnreachable => answer_of(502, NotRun, Secs(1), "upstream_unreachable"),
+            Self::UpstreamLost => answer_of(502, OutcomeUnknown, Secs(1), "upstream_lost"),
+            Self::UpstreamInvalid => answer_of(502, OutcomeUnknown, Never, "upstream_invalid"),
+            Self::DeadlineExceeded => answer_of(504, OutcomeUnknown, Never, "deadline_exceeded"),
+            Self::AnswerCut => answer_of(502, Incomplete, Secs(1), "answer_cut"),
+            Self::EditInvalid => answer_of(422, NotRun, Never, "edit_invalid"),
+            Self::EditConflict => answer_of(409, NotRun, Never, "edit_conflict"),
+            Self::EditOutcomeUnknown => {
+                answer_of(504, OutcomeUnknown, Secs(2), "edit_outcome_unknown")
+            }
+            Self::StoreUnavailable => answer_of(503, NotRun, Secs(2), "store_unavailable"),
+            Self::NotFound => answer_of(404, NotRun, Never, "not_found"),
+            Self::Internal => answer_of(500, OutcomeUnknown, Never, "internal"),
         }
     }
 
@@ -227,7 +229,7 @@
     }
 }
 
-const fn row(
+const fn answer_of(
     status: u16,
     execution: Execution,
     retry_after: RetryAfter,
--- a/crates/core/src/placement/preferred.rs
+++ b/crates/core/src/placement/preferred.rs
@@ -9,11 +9,11 @@
 /// All processes with the same candidates choose the same winner, and adding or removing a candidate
 /// moves only the keys of that candidate.
 pub fn rendezvous(
-    thing: u64,
+    key: u64,
     candidate: u64,
     weight: u32,
 ) -> f64 {
-    let hash = rendezvous_hash(thing, candidate);
+    let hash = rendezvous_hash(key, candidate);
     // In (0, 1): the logarithm below is finite and negative.
     let unit = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -f64::from(weight) / unit.ln()
@@ -21,10 +21,10 @@
 
 /// Rendezvous hash; orders candidates of equal weight like [`rendezvous`].
 pub fn rendezvous_hash(
-    thing: u64,
+    key: u64,
     candidate: u64,
 ) -> u64 {
-    xxh3_64_with_seed(&thing.to_le_bytes(), candidate)
+    xxh3_64_with_seed(&key.to_le_bytes(), candidate)
 }
 
 /// The `k` preferred engines of an adapter, best first.
@@ -43,7 +43,7 @@
         .map(|&engine| (score(adapter, engine), engine))
         .collect();
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.upstream.cmp(&b.1.upstream)));
-    spread(&ranked, k)
+    choose_across_data_centres(&ranked, k)
 }
 
 fn score(
@@ -58,21 +58,21 @@
 }
 
 /// Chooses the best engines in rounds, at most one per data centre in each round.
-fn spread(
+fn choose_across_data_centres(
     ranked: &[(f64, EngineSlot)],
     k: usize,
 ) -> Vec<UpstreamId> {
-    let mut left: Vec<EngineSlot> = ranked.iter().map(|&(_, engine)| engine).collect();
-    let mut chosen = Vec::with_capacity(k.min(left.len()));
-    while chosen.len() < k && !left.is_empty() {
-        let mut used = Vec::new();
-        left.retain(|engine| {
-            let take = chosen.len() < k && !used.contains(&engine.data_centre);
-            if take {
-                used.push(engine.data_centre);
+    let mut remaining: Vec<EngineSlot> = ranked.iter().map(|&(_, engine)| engine).collect();
+    let mut chosen = Vec::with_capacity(k.min(remaining.len()));
+    while chosen.len() < k && !remaining.is_empty() {
+        let mut used_data_centres = Vec::new();
+        remaining.retain(|engine| {
+            let is_chosen = chosen.len() < k && !used_data_centres.contains(&engine.data_centre);
+            if is_chosen {
+                used_data_centres.push(engine.data_centre);
                 chosen.push(engine.upstream);
             }
-            !take
+            !is_chosen
         });
     }
     chosen
--- a/crates/core/src/queue/account_line.rs
+++ b/crates/core/src/queue/account_queue.rs
@@ -8,26 +8,26 @@
 };
 
 /// Sort key within an account's queue: arrival time plus priority delay, then arrival order.
-pub type Place = (Millis, u64);
+pub type Position = (Millis, u64);
 
 /// The waiting requests of one client account, grouped by target.
 ///
 /// Only the first request of each target is considered, so requests of a blocked target neither block
 /// the others nor have to be scanned.
 #[derive(Clone, Debug, Default)]
-pub struct AccountLine {
+pub struct AccountQueue {
     /// Weight and queue limit.
     pub share: AccountShare,
     /// Virtual counter: served cost divided by weight, in thousandths of a token.
     pub counter: u64,
-    by_target: HashMap<Target, BTreeMap<Place, Waiting>>,
+    by_target: HashMap<Target, BTreeMap<Position, Waiting>>,
     /// The first request of each target.
-    heads: BTreeMap<Place, Target>,
+    heads: BTreeMap<Position, Target>,
     backlogs: BTreeMap<Pool, Backlog>,
     len: usize,
 }
 
-impl AccountLine {
+impl AccountQueue {
     /// Number of waiting requests.
     pub const fn len(&self) -> usize {
         self.len
@@ -46,20 +46,20 @@
     /// Adds a request.
     pub fn insert(
         &mut self,
-        place: Place,
+        position: Position,
         waiting: Waiting,
     ) {
-        let line = self.by_target.entry(waiting.target).or_default();
-        let head = line.first_key_value().map(|(&head, _)| head);
-        line.insert(place, waiting);
+        let queue = self.by_target.entry(waiting.target).or_default();
+        let head = queue.first_key_value().map(|(&head, _)| head);
+        queue.insert(position, waiting);
         match head {
-            Some(head) if head < place => (),
+            Some(head) if head < position => (),
             Some(head) => {
                 self.heads.remove(&head);
-                self.heads.insert(place, waiting.target);
+                self.heads.insert(position, waiting.target);
             }
             None => {
-                self.heads.insert(place, waiting.target);
+                self.heads.insert(position, waiting.target);
             }
         }
         self.len += 1;
@@ -70,13 +70,13 @@
     /// Removes a request.
     pub fn remove(
         &mut self,
-        place: Place,
+        position: Position,
         target: Target,
     ) -> Option<Waiting> {
-        let line = self.by_target.get_mut(&target)?;
-        let waiting = line.remove(&place)?;
-        if self.heads.remove(&place).is_some() {
-            match line.first_key_value() {
+        let queue = self.by_target.get_mut(&target)?;
+        let waiting = queue.remove(&position)?;
+        if self.heads.remove(&position).is_some() {
+            match queue.first_key_value() {
                 Some((&next, _)) => {
                     self.heads.insert(next, target);
                 }
@@ -87,7 +87,7 @@
         }
         self.len -= 1;
         if let Some(backlog) = self.backlogs.get_mut(&Pool::of(target)) {
-            backlog.take(waiting.priority, waiting.cost);
+            backlog.remove(waiting.priority, waiting.cost);
         }
         Some(waiting)
     }
@@ -96,14 +96,14 @@
     pub fn first_runnable<F>(
         &self,
         can_run: &mut F,
-    ) -> Option<(Place, Target)>
+    ) -> Option<(Position, Target)>
     where
         F: FnMut(&Waiting) -> bool,
     {
         self.heads
             .iter()
-            .find(|&(place, target)| can_run(&self.by_target[target][place]))
-            .map(|(&place, &target)| (place, target))
+            .find(|&(position, target)| can_run(&self.by_target[target][position]))
+            .map(|(&position, &target)| (position, target))
     }
 
     /// The waiting requests of a pool.
@@ -116,13 +116,13 @@
 
     /// All waiting requests in service order.
     pub fn in_order(&self) -> Vec<Waiting> {
-        let mut all: Vec<(Place, Waiting)> = self
+        let mut all: Vec<(Position, Waiting)> = self
             .by_target
             .values()
             .flatten()
-            .map(|(&place, &waiting)| (place, waiting))
+            .map(|(&position, &waiting)| (position, waiting))
             .collect();
-        all.sort_unstable_by_key(|&(place, _)| place);
+        all.sort_unstable_by_key(|&(position, _)| position);
         all.into_iter().map(|(_, waiting)| waiting).collect()
     }
 }
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        AccountShare, QueueSettings, Queued, Target, Waiting,
-        account_line::{AccountLine, Place},
+        AccountShare, Enqueued, QueueSettings, Target, Waiting,
+        account_queue::{AccountQueue, Position},
         estimate,
         pool::{Pool, PoolState},
     },
@@ -17,16 +17,16 @@
 const COUNTER_SCALE: u64 = 1000;
 
 /// Interval of the scan for requests that will miss their deadlines.
-const LOOK_EVERY: Millis = Millis(250);
+const DEADLINE_SCAN_INTERVAL: Millis = Millis(250);
 
 /// Retry delay for a full queue while its service rate is unknown.
-const UNKNOWN_DELAY: Millis = Millis::from_secs(1);
+const DEFAULT_RETRY_DELAY: Millis = Millis::from_secs(1);
 
 /// The position of a waiting request.
 #[derive(Clone, Copy, Debug)]
 struct Location {
     account: AccountId,
-    place: Place,
+    position: Position,
     target: Target,
     deadline: Millis,
 }
@@ -35,15 +35,15 @@
 #[derive(Clone, Debug)]
 pub struct FairQueue {
     settings: QueueSettings,
-    lines: HashMap<AccountId, AccountLine>,
+    accounts: HashMap<AccountId, AccountQueue>,
     /// Accounts with waiting requests, ordered by counter.
     active: BTreeSet<(u64, AccountId)>,
     locations: HashMap<RequestId, Location>,
     deadlines: BTreeSet<(Millis, RequestId)>,
     pools: BTreeMap<Pool, PoolState>,
-    looked_at: Millis,
+    last_deadline_scan: Millis,
     /// Virtual time: maximum of the lowest counter so far; an idle account resumes from here.
-    floor: u64,
+    virtual_time: u64,
     next_seq: u64,
 }
 
@@ -52,13 +52,13 @@
     pub fn new(settings: QueueSettings) -> Self {
         Self {
             settings,
-            lines: HashMap::new(),
+            accounts: HashMap::new(),
             active: BTreeSet::new(),
             locations: HashMap::new(),
             deadlines: BTreeSet::new(),
             pools: BTreeMap::new(),
-            looked_at: Millis::ZERO,
-            floor: 0,
+            last_deadline_scan: Millis::ZERO,
+            virtual_time: 0,
             next_seq: 0,
         }
     }
@@ -69,12 +69,12 @@
         account: AccountId,
         share: AccountShare,
     ) {
-        let line = self.lines.entry(account).or_default();
-        let before = line.weight();
-        line.share = share;
+        let account_queue = self.accounts.entry(account).or_default();
+        let before = account_queue.weight();
+        account_queue.share = share;
         for (&pool, state) in &mut self.pools {
-            if line.backlog(pool).len > 0 {
-                state.active_weight = state.active_weight - before + line.weight();
+            if account_queue.backlog(pool).len > 0 {
+                state.active_weight = state.active_weight - before + account_queue.weight();
             }
         }
     }
@@ -95,7 +95,7 @@
             .into_iter()
             .filter_map(|request| self.cancel(request, now))
             .collect();
-        self.lines.remove(&account);
+        self.accounts.remove(&account);
         removed
     }
 
@@ -109,38 +109,38 @@
         &mut self,
         waiting: Waiting,
         now: Millis,
-    ) -> Result<Queued, Refusal> {
-        let patience = self.settings.patience(waiting.priority);
-        let place = (now + patience, self.next_seq);
+    ) -> Result<Enqueued, Refusal> {
+        let priority_delay = self.settings.priority_delay(waiting.priority);
+        let position = (now + priority_delay, self.next_seq);
         let deadline = waiting.deadline.min(now + self.settings.max_wait);
         let waiting = Waiting {
             deadline,
             ..waiting
         };
-        let expected_wait = self.check(&waiting, now)?;
+        let expected_wait = self.check_admission(&waiting, now)?;
         self.next_seq += 1;
         let pool = Pool::of(waiting.target);
         let state = self.pools.entry(pool).or_default();
-        let line = self.lines.entry(waiting.account).or_default();
-        if line.is_empty() {
-            line.counter = line.counter.max(self.floor);
-            self.active.insert((line.counter, waiting.account));
+        let account_queue = self.accounts.entry(waiting.account).or_default();
+        if account_queue.is_empty() {
+            account_queue.counter = account_queue.counter.max(self.virtual_time);
+            self.active.insert((account_queue.counter, waiting.account));
         }
-        if line.backlog(pool).len == 0 {
-            state.active_weight += line.weight();
+        if account_queue.backlog(pool).len == 0 {
+            state.active_weight += account_queue.weight();
         }
         state.waiting += 1;
-        state.rate.note_waiting(now);
-        line.insert(place, waiting);
+        state.rate.record_waiting(now);
+        account_queue.insert(position, waiting);
         let location = Location {
             account: waiting.account,
-            place,
+            position,
             target: waiting.target,
             deadline,
         };
         self.locations.insert(waiting.request, location);
         self.deadlines.insert((deadline, waiting.request));
-        Ok(Queued { expected_wait })
+        Ok(Enqueued { expected_wait })
     }
 
     /// Removes and returns the next request that can run.
@@ -154,18 +154,20 @@
     where
         F: FnMut(&Waiting) -> bool,
     {
-        let (account, place, target) = self.active.iter().find_map(|&(_, account)| {
-            self.lines[&account]
+        let (account, position, target) = self.active.iter().find_map(|&(_, account)| {
+            self.accounts[&account]
                 .first_runnable(&mut can_run)
-                .map(|(place, target)| (account, place, target))
+                .map(|(position, target)| (account, position, target))
         })?;
         if let Some(&(lowest, _)) = self.active.first() {
-            self.floor = self.floor.max(lowest);
+            self.virtual_time = self.virtual_time.max(lowest);
         }
-        let waiting = self.take_out(account, place, target)?;
-        self.charge(account, waiting.cost);
+        let waiting = self.dequeue(account, position, target)?;
+        self.increase_counter(account, waiting.cost);
         if let Some(state) = self.pools.get_mut(&Pool::of(target)) {
-            state.rate.note_served(waiting.cost, state.waiting > 0, now);
+            state
+                .rate
+                .record_served(waiting.cost, state.waiting > 0, now);
         }
         Some(waiting)
     }
@@ -178,8 +180,8 @@
         actual: u64,
     ) {
         match actual.checked_sub(charged) {
-            Some(more) => self.charge(account, more),
-            None => self.discharge(account, charged - actual),
+            Some(more) => self.increase_counter(account, more),
+            None => self.decrease_counter(account, charged - actual),
         }
     }
 
@@ -193,13 +195,18 @@
         let Some(&location) = self.locations.get(&request) else {
             return;
         };
-        let place = (now + by, self.next_seq);
+        let position = (now + by, self.next_seq);
         self.next_seq += 1;
-        let line = self.lines.entry(location.account).or_default();
-        if let Some(waiting) = line.remove(location.place, location.target) {
-            line.insert(place, waiting);
-            self.locations
-                .insert(request, Location { place, ..location });
+        let account_queue = self.accounts.entry(location.account).or_default();
+        if let Some(waiting) = account_queue.remove(location.position, location.target) {
+            account_queue.insert(position, waiting);
+            self.locations.insert(
+                request,
+                Location {
+                    position,
+                    ..location
+                },
+            );
         }
     }
 
@@ -210,10 +217,10 @@
         now: Millis,
     ) -> Option<Waiting> {
         let location = *self.locations.get(&request)?;
-        let waiting = self.take_out(location.account, location.place, location.target)?;
+        let waiting = self.dequeue(location.account, location.position, location.target)?;
         let pool = self.pools.get_mut(&Pool::of(location.target));
         if let Some(state) = pool.filter(|state| state.waiting == 0) {
-            state.rate.note_empty(now);
+            state.rate.record_empty(now);
         }
         Some(waiting)
     }
@@ -229,9 +236,11 @@
         {
             expired.extend(self.cancel(request, now));
         }
-        if self.settings.judges_by_rate && now.since(self.looked_at) >= LOOK_EVERY {
-            self.looked_at = now;
-            for request in self.hopeless(now) {
+        if self.settings.judges_by_rate
+            && now.since(self.last_deadline_scan) >= DEADLINE_SCAN_INTERVAL
+        {
+            self.last_deadline_scan = now;
+            for request in self.late_requests(now) {
                 expired.extend(self.cancel(request, now));
             }
         }
@@ -258,7 +267,7 @@
         &self,
         account: AccountId,
     ) -> usize {
-        self.lines.get(&account).map_or(0, AccountLine::len)
+        self.accounts.get(&account).map_or(0, AccountQueue::len)
     }
 
     /// Iterates over all waiting requests, in arbitrary order.
@@ -269,21 +278,23 @@
     }
 
     /// Checks whether a request can be queued, and returns its expected wait.
-    fn check(
+    fn check_admission(
         &self,
         waiting: &Waiting,
         now: Millis,
     ) -> Result<Millis, Refusal> {
         let pool = Pool::of(waiting.target);
         let state = self.pools.get(&pool).copied().unwrap_or_default();
-        let new = AccountLine::default();
-        let line = self.lines.get(&waiting.account).unwrap_or(&new);
-        let wait = estimate::wait_of_new(line, pool, &state, waiting.priority, now);
+        let new = AccountQueue::default();
+        let account_queue = self.accounts.get(&waiting.account).unwrap_or(&new);
+        let wait = estimate::new_request_wait(account_queue, pool, &state, waiting.priority, now);
         let left = waiting.deadline.since(now);
         match wait.unwrap_or_default() {
-            _ if self.is_full_for(line) => {
-                let delay = estimate::wait_for_one(line, pool, &state, now);
-                let delay = delay.unwrap_or(UNKNOWN_DELAY).min(self.settings.max_wait);
+            _ if self.is_full_for(account_queue) => {
+                let delay = estimate::one_request_wait(account_queue, pool, &state, now);
+                let delay = delay
+                    .unwrap_or(DEFAULT_RETRY_DELAY)
+                    .min(self.settings.max_wait);
                 Err(Refusal::after(ErrorKind::QueueFull, delay))
             }
             wait if self.settings.judges_by_rate && wait >= left => {
@@ -297,40 +308,43 @@
     /// When the whole queue is full, accounts below an even share can still enqueue.
     fn is_full_for(
         &self,
-        line: &AccountLine,
+        account_queue: &AccountQueue,
     ) -> bool {
-        let even = self.settings.max_queued / (2 * self.active.len() + 1);
-        line.len() >= line.share.max_queued
-            || (self.locations.len() >= self.settings.max_queued && line.len() >= even)
+        let even_share = self.settings.max_queued / (2 * self.active.len() + 1);
+        account_queue.len() >= account_queue.share.max_queued
+            || (self.locations.len() >= self.settings.max_queued
+                && account_queue.len() >= even_share)
     }
 
-    fn hopeless(
+    fn late_requests(
         &self,
         now: Millis,
     ) -> Vec<RequestId> {
         self.active
             .iter()
-            .flat_map(|(_, account)| estimate::hopeless(&self.lines[account], &self.pools, now))
+            .flat_map(|(_, account)| {
+                estimate::late_requests(&self.accounts[account], &self.pools, now)
+            })
             .map(|waiting| waiting.request)
             .collect()
     }
 
-    fn take_out(
+    fn dequeue(
         &mut self,
         account: AccountId,
-        place: Place,
+        position: Position,
         target: Target,
     ) -> Option<Waiting> {
-        let line = self.lines.get_mut(&account)?;
-        let waiting = line.remove(place, target)?;
+        let account_queue = self.accounts.get_mut(&account)?;
+        let waiting = account_queue.remove(position, target)?;
         let pool = Pool::of(target);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.waiting -= 1;
-            let last = line.backlog(pool).len == 0;
-            state.active_weight -= if last { line.weight() } else { 0 };
+            let last = account_queue.backlog(pool).len == 0;
+            state.active_weight -= if last { account_queue.weight() } else { 0 };
         }
-        if line.is_empty() {
-            self.active.remove(&(line.counter, account));
+        if account_queue.is_empty() {
+            self.active.remove(&(account_queue.counter, account));
         }
         if let Some(location) = self.locations.remove(&waiting.request) {
             self.deadlines.remove(&(location.deadline, waiting.request));
@@ -338,25 +352,30 @@
         Some(waiting)
     }
 
-    fn charge(
+    fn increase_counter(
         &mut self,
         account: AccountId,
         cost: u64,
     ) {
-        self.move_counter(account, |line| {
-            line.counter.saturating_add(scaled(cost, line))
+        self.move_counter(account, |account_queue| {
+            account_queue
+                .counter
+                .saturating_add(counter_units(cost, account_queue))
         });
     }
 
-    fn discharge(
+    fn decrease_counter(
         &mut self,
         account: AccountId,
         cost: u64,
     ) {
-        let floor = self.floor;
-        self.move_counter(account, |line| {
-            let lowest = floor.min(line.counter);
-            line.counter.saturating_sub(scaled(cost, line)).max(lowest)
+        let virtual_time = self.virtual_time;
+        self.move_counter(account, |account_queue| {
+            let lowest = virtual_time.min(account_queue.counter);
+            account_queue
+                .counter
+                .saturating_sub(counter_units(cost, account_queue))
+                .max(lowest)
         });
     }
 
@@ -365,22 +384,22 @@
         account: AccountId,
         to: F,
     ) where
-        F: FnOnce(&AccountLine) -> u64,
+        F: FnOnce(&AccountQueue) -> u64,
     {
-        let Some(line) = self.lines.get_mut(&account) else {
+        let Some(account_queue) = self.accounts.get_mut(&account) else {
             return;
         };
-        let was_active = self.active.remove(&(line.counter, account));
-        line.counter = to(line);
+        let was_active = self.active.remove(&(account_queue.counter, account));
+        account_queue.counter = to(account_queue);
         if was_active {
-            self.active.insert((line.counter, account));
+            self.active.insert((account_queue.counter, account));
         }
     }
 }
 
-fn scaled(
+fn counter_units(
     cost: u64,
-    line: &AccountLine,
+    account_queue: &AccountQueue,
 ) -> u64 {
-    (cost.saturating_mul(COUNTER_SCALE) / line.weight()).max(1)
+    (cost.saturating_mul(COUNTER_SCALE) / account_queue.weight()).max(1)
 }
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -10,18 +10,18 @@
 //! Queues are bounded, and a request that can't start before its deadline at the observed service rate
 //! is refused on arrival.
 
-mod account_line;
+mod account_queue;
 mod estimate;
 mod fair_queue;
 mod pool;
 mod priority;
+mod queued_request;
 mod service_rate;
 mod settings;
-mod waiting;
 
 pub use {
     fair_queue::FairQueue,
     priority::Priority,
+    queued_request::{Enqueued, Target, Waiting},
     settings::{AccountShare, QueueSettings},
-    waiting::{Queued, Target, Waiting},
 };
--- a/crates/core/src/queue/pool.rs
+++ b/crates/core/src/queue/pool.rs
@@ -42,7 +42,7 @@
     /// Number of requests.
     pub len: usize,
     /// Cost in tokens, by priority class.
-    by_class: [u64; 3],
+    cost_by_class: [u64; 3],
 }
 
 impl Backlog {
@@ -53,17 +53,17 @@
         cost: u64,
     ) {
         self.len += 1;
-        self.by_class[priority as usize] += cost;
+        self.cost_by_class[priority as usize] += cost;
     }
 
     /// Removes a request.
-    pub const fn take(
+    pub const fn remove(
         &mut self,
         priority: Priority,
         cost: u64,
     ) {
         self.len -= 1;
-        self.by_class[priority as usize] -= cost;
+        self.cost_by_class[priority as usize] -= cost;
     }
 
     /// Cost queued at the same or higher priority, in tokens.
@@ -73,11 +73,11 @@
         &self,
         priority: Priority,
     ) -> u64 {
-        self.by_class[..=priority as usize].iter().sum()
+        self.cost_by_class[..=priority as usize].iter().sum()
     }
 
     /// Total cost in tokens.
     pub fn cost(&self) -> u64 {
-        self.by_class.iter().sum()
+        self.cost_by_class.iter().sum()
     }
 }
--- a/crates/core/src/queue/waiting.rs
+++ b/crates/core/src/queue/queued_request.rs
@@ -36,7 +36,7 @@
 
 /// The result of queueing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Queued {
+pub struct Enqueued {
     /// Expected wait.
     pub expected_wait: Millis,
 }
--- a/crates/core/src/queue/service_rate.rs
+++ b/crates/core/src/queue/service_rate.rs
@@ -1,15 +1,15 @@
 use crate::clock::Millis;
 
 /// Time constant of the exponential decay.
-const MEMORY: Millis = Millis(5000);
+const TIME_CONSTANT: Millis = Millis(5000);
 
 /// Decayed busy time below which the rate is unknown, in milliseconds.
-const LEAST_BUSY: f64 = 500.0;
+const MIN_BUSY_MS: f64 = 500.0;
 
 /// Decayed number of served requests below which the rate is unknown.
 ///
 /// If all requests wait for adapters to load, the rate of other requests can't be estimated.
-const LEAST_SERVED: f64 = 1.0;
+const MIN_SERVED_REQUESTS: f64 = 1.0;
 
 /// The rate at which a queue is served, measured only while requests are waiting.
 ///
@@ -28,7 +28,7 @@
 
 impl ServiceRate {
     /// Records that a request is waiting.
-    pub fn note_waiting(
+    pub fn record_waiting(
         &mut self,
         now: Millis,
     ) {
@@ -36,7 +36,7 @@
     }
 
     /// Records that a request of `cost` tokens was dequeued to run.
-    pub fn note_served(
+    pub fn record_served(
         &mut self,
         cost: u64,
         still_waiting: bool,
@@ -49,7 +49,7 @@
     }
 
     /// Records that the queue became empty without a request being served.
-    pub fn note_empty(
+    pub fn record_empty(
         &mut self,
         now: Millis,
     ) {
@@ -62,9 +62,10 @@
         &self,
         now: Millis,
     ) -> Option<f64> {
-        let mut seen = *self;
-        seen.advance(now);
-        (seen.busy >= LEAST_BUSY && seen.requests >= LEAST_SERVED).then(|| seen.served / seen.busy)
+        let mut current = *self;
+        current.advance(now);
+        (current.busy >= MIN_BUSY_MS && current.requests >= MIN_SERVED_REQUESTS)
+            .then(|| current.served / current.busy)
     }
 
     fn advance(
@@ -75,10 +76,10 @@
             return;
         };
         let elapsed = now.since(since);
-        let fade = (-(elapsed.0 as f64) / MEMORY.0 as f64).exp();
-        self.served *= fade;
-        self.requests *= fade;
-        self.busy = self.busy * fade + (1.0 - fade) * MEMORY.0 as f64;
+        let decay = (-(elapsed.0 as f64) / TIME_CONSTANT.0 as f64).exp();
+        self.served *= decay;
+        self.requests *= decay;
+        self.busy = self.busy * decay + (1.0 - decay) * TIME_CONSTANT.0 as f64;
         self.busy_since = Some(since.max(now));
     }
 }
--- a/crates/core/src/queue/settings.rs
+++ b/crates/core/src/queue/settings.rs
@@ -8,9 +8,9 @@
     /// Maximum number of waiting requests of all accounts.
     pub max_queued: usize,
     /// Delay added to the arrival time of a request of normal priority, for ordering.
-    pub normal_patience: Millis,
+    pub normal_delay: Millis,
     /// Delay added to the arrival time of a request of low priority, for ordering.
-    pub low_patience: Millis,
+    pub low_delay: Millis,
     /// Whether to refuse requests that would miss their deadlines at the observed service rate.
     ///
     /// Disable it if adapter loads make the observed rate unreliable.
@@ -19,14 +19,14 @@
 
 impl QueueSettings {
     /// Delay added to the arrival time of a request, by its priority.
-    pub const fn patience(
+    pub const fn priority_delay(
         &self,
         priority: Priority,
     ) -> Millis {
         match priority {
             Priority::High => Millis::ZERO,
-            Priority::Normal => self.normal_patience,
-            Priority::Low => self.low_patience,
+            Priority::Normal => self.normal_delay,
+            Priority::Low => self.low_delay,
         }
     }
 }
@@ -36,8 +36,8 @@
         Self {
             max_wait: Millis::from_secs(30),
             max_queued: 10_000,
-            normal_patience: Millis(1000),
-            low_patience: Millis(5000),
+            normal_delay: Millis(1000),
+            low_delay: Millis(5000),
             judges_by_rate: true,
         }
     }
--- a/crates/core/src/rights/account_rights.rs
+++ b/crates/core/src/rights/account_rights.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         CallerTag, Limit, MILLI, Right, RightsSettings, SHARE_WHOLE, TakeRequest, bucket::Bucket,
-        demand::Demand, peers::PeerHints, promises::Promises,
+        demand::Demand, peers::PeerSelector, reservations::RetryReservations,
     },
     crate::{
         clock::Millis,
@@ -13,13 +13,13 @@
 const HEADROOM_PERCENT: u64 = 125;
 
 /// Upper bound of the retry time given to a refused caller.
-const LONGEST_RETRY: Millis = Millis::from_secs(60);
+const MAX_RETRY_DELAY: Millis = Millis::from_secs(60);
 
 /// Upper bound of the reserved part of the bucket capacity, in percent.
-const MOST_RESERVED_PERCENT: u64 = 50;
+const MAX_RESERVED_PERCENT: u64 = 50;
 
 /// Tokens given at most beyond the request, in seconds of the asker's demand.
-const FILL_SECS: u64 = 2;
+const MAX_FILL_SECS: u64 = 2;
 
 /// The state of one account at one holder.
 #[derive(Clone, Debug, Default)]
@@ -29,9 +29,9 @@
     /// Demand of the callers at this holder.
     pub demand: Demand,
     /// Reservations for refused callers.
-    pub promises: Promises,
+    pub reservations: RetryReservations,
     /// Selects the peers to ask for more rights.
-    pub peers: PeerHints,
+    pub peers: PeerSelector,
 }
 
 impl AccountRights {
@@ -42,7 +42,7 @@
         now: Millis,
     ) {
         self.bucket.refill(now);
-        self.promises.expire(now, settings.grace);
+        self.reservations.expire(now, settings.reservation_grace);
     }
 
     /// Millitokens reserved for callers with an earlier retry time.
@@ -52,9 +52,9 @@
         &self,
         caller: CallerTag,
     ) -> u64 {
-        self.promises
+        self.reservations
             .reserved_before(caller)
-            .min(self.most_reserved())
+            .min(self.max_reserved())
     }
 
     /// Millitokens that neither local demand nor reservations need soon.
@@ -63,40 +63,40 @@
         settings: &RightsSettings,
         now: Millis,
     ) -> u64 {
-        let soon = self.demand.per_second(now) * settings.keep.0 / 1000;
+        let own_needs = self.demand.per_second(now) * settings.keep_window.0 / 1000;
         self.bucket
             .tokens()
-            .saturating_sub(self.promises.reserved().min(self.most_reserved()))
-            .saturating_sub(soon)
+            .saturating_sub(self.reservations.reserved().min(self.max_reserved()))
+            .saturating_sub(own_needs)
     }
 
     /// Refuses a request and, where possible, reserves tokens for its retry.
-    pub fn promise(
+    pub fn refuse(
         &mut self,
-        milli: u64,
+        millitokens: u64,
         caller: CallerTag,
         settings: &RightsSettings,
         now: Millis,
     ) -> Refusal {
-        if let Some(due) = self.promises.due(caller).filter(|&due| due > now) {
+        if let Some(due) = self.reservations.due(caller).filter(|&due| due > now) {
             return Refusal::after(ErrorKind::RateLimited, due.since(now));
         }
-        self.promises.end(caller);
-        let missing = milli
-            .saturating_add(self.promises.promised())
+        self.reservations.complete(caller);
+        let missing = millitokens
+            .saturating_add(self.reservations.total())
             .saturating_add(self.bucket.debt())
             .saturating_sub(self.bucket.tokens());
         let delay = time_to_earn(missing, self.bucket.rate());
-        let can_promise = delay <= settings.horizon
-            && milli <= self.bucket.room()
-            && self.promises.len() < settings.max_promises;
-        if can_promise {
-            self.promises.add(caller, milli, now + delay);
+        let can_reserve = delay <= settings.horizon
+            && millitokens <= self.bucket.capacity()
+            && self.reservations.len() < settings.max_reservations;
+        if can_reserve {
+            self.reservations.add(caller, millitokens, now + delay);
             return Refusal::after(ErrorKind::RateLimited, delay);
         }
         // Too large or too late to reserve here: use the rate of the whole fleet.
-        let fleet = time_to_earn(missing, self.bucket.limit().map_or(0, Limit::rate_milli));
-        Refusal::after(ErrorKind::RateLimited, delay.min(fleet))
+        let fleet_delay = time_to_earn(missing, self.bucket.limit().map_or(0, Limit::rate_milli));
+        Refusal::after(ErrorKind::RateLimited, delay.min(fleet_delay))
     }
 
     /// Computes the rights to give to an asker, without subtracting them.
@@ -107,82 +107,83 @@
         settings: &RightsSettings,
         now: Millis,
     ) -> Right {
-        let own = self.demand.per_second(now) + self.promises.per_second(now);
-        let theirs = request.demand.saturating_mul(MILLI);
-        let tokens = self.tokens_for(request.needed, own, theirs, settings, now);
-        let floor = SHARE_WHOLE / holders.max(1) / settings.floor_divisor.max(1);
-        let rate_share = self.rate_for(own, theirs, floor);
-        let large = request.needed.saturating_mul(2) >= self.burst();
-        let kept = match own {
+        let own_demand = self.demand.per_second(now) + self.reservations.per_second(now);
+        let asker_demand = request.demand.saturating_mul(MILLI);
+        let tokens = self.tokens_to_give(request.needed, own_demand, asker_demand, settings, now);
+        let min_share = SHARE_WHOLE / holders.max(1) / settings.min_share_divisor.max(1);
+        let rate_share = self.rate_share_to_give(own_demand, asker_demand, min_share);
+        let is_large = request.needed.saturating_mul(2) >= self.burst();
+        let min_kept = match own_demand {
             // A request for most of the burst needs nearly all of the capacity at one holder.
-            0 if large => 0,
-            _ => floor.max((self.bucket.rate_share() - rate_share) / 2),
+            0 if is_large => 0,
+            _ => min_share.max((self.bucket.rate_share() - rate_share) / 2),
         };
         Right {
             account: request.account,
             rate_share,
-            room_share: self.room_for(tokens, rate_share, kept, request.needed),
+            room_share: self.burst_share_to_give(tokens, rate_share, min_kept, request.needed),
             tokens,
         }
     }
 
-    fn most_reserved(&self) -> u64 {
-        self.bucket.room() / 100 * MOST_RESERVED_PERCENT
+    fn max_reserved(&self) -> u64 {
+        self.bucket.capacity() / 100 * MAX_RESERVED_PERCENT
     }
 
-    fn tokens_for(
+    fn tokens_to_give(
         &self,
         needed: u64,
-        own: u64,
-        theirs: u64,
+        own_demand: u64,
+        asker_demand: u64,
         settings: &RightsSettings,
         now: Millis,
     ) -> u64 {
         let spare = self.spare(settings, now);
-        let by_demand = u128::from(spare) * u128::from(theirs) / u128::from((own + theirs).max(1));
-        let useful = theirs.saturating_mul(FILL_SECS);
+        let by_demand = u128::from(spare) * u128::from(asker_demand)
+            / u128::from((own_demand + asker_demand).max(1));
+        let useful = asker_demand.saturating_mul(MAX_FILL_SECS);
         spare.min(needed.max(useful.min(by_demand as u64)))
     }
 
-    fn rate_for(
+    fn rate_share_to_give(
         &self,
-        own: u64,
-        theirs: u64,
-        floor: u64,
+        own_demand: u64,
+        asker_demand: u64,
+        min_share: u64,
     ) -> u64 {
         let rate = self.bucket.limit().map_or(0, |limit| limit.rate);
-        let own_share = share_of(with_headroom(own), rate.saturating_mul(MILLI));
-        let their_share = share_of(with_headroom(theirs), rate.saturating_mul(MILLI));
+        let own_share = share_of(with_headroom(own_demand), rate.saturating_mul(MILLI));
+        let their_share = share_of(with_headroom(asker_demand), rate.saturating_mul(MILLI));
         self.bucket
             .rate_share()
             .saturating_sub(own_share)
-            .saturating_sub(floor)
+            .saturating_sub(min_share)
             .min(their_share)
     }
 
     /// Computes the burst share that goes with the given tokens and rate.
     ///
-    /// The giver keeps at least `kept`, and enough for its remaining tokens: a bucket too small for its
-    /// rate fills at once and loses the tokens it earns.
-    fn room_for(
+    /// The giver keeps at least `min_kept`, and enough for its remaining tokens: a bucket that is too
+    /// small for its rate overflows.
+    fn burst_share_to_give(
         &self,
         tokens: u64,
         rate_share: u64,
-        kept: u64,
+        min_kept: u64,
         needed: u64,
     ) -> u64 {
-        let room = self.bucket.room_share();
+        let burst_share = self.bucket.room_share();
         let for_tokens = share_of(tokens, self.burst());
-        let for_rate =
-            u128::from(room) * u128::from(rate_share) / u128::from(self.bucket.rate_share().max(1));
-        let staying = share_of(self.bucket.tokens() - tokens, self.burst());
-        let for_needed = if kept == 0 {
+        let for_rate = u128::from(burst_share) * u128::from(rate_share)
+            / u128::from(self.bucket.rate_share().max(1));
+        let for_remaining = share_of(self.bucket.tokens() - tokens, self.burst());
+        let for_needed = if min_kept == 0 {
             share_of(needed, self.burst())
         } else {
             0
         };
         let wanted = for_tokens.max(for_rate as u64).max(for_needed);
-        wanted.min(room.saturating_sub(kept.max(staying)))
+        wanted.min(burst_share.saturating_sub(min_kept.max(for_remaining)))
     }
 
     /// The account's fleet-wide burst, in millitokens.
@@ -191,19 +192,19 @@
     }
 }
 
-/// Time to earn `milli` at a rate in millitokens per second.
+/// Time to earn `millitokens` at a rate in millitokens per second.
 fn time_to_earn(
-    milli: u64,
+    millitokens: u64,
     rate: u64,
 ) -> Millis {
     match rate {
-        0 => LONGEST_RETRY,
-        rate => Millis(milli.saturating_mul(1000).div_ceil(rate)).min(LONGEST_RETRY),
+        0 => MAX_RETRY_DELAY,
+        rate => Millis(millitokens.saturating_mul(1000).div_ceil(rate)).min(MAX_RETRY_DELAY),
     }
 }
 
-fn with_headroom(milli: u64) -> u64 {
-    milli.saturating_mul(HEADROOM_PERCENT) / 100
+fn with_headroom(millitokens: u64) -> u64 {
+    millitokens.saturating_mul(HEADROOM_PERCENT) / 100
 }
 
 /// Converts `part` of `whole` to a share of [`SHARE_WHOLE`], rounded up.
--- a/crates/core/src/rights/bucket.rs
+++ b/crates/core/src/rights/bucket.rs
@@ -27,7 +27,7 @@
     /// Sum of `refundable`.
     refundable_sum: u64,
     next_charge: u64,
-    filled_at: Millis,
+    refilled_at: Millis,
 }
 
 impl Bucket {
@@ -39,7 +39,7 @@
     ) {
         self.refill(now);
         self.limit = Some(limit);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
     /// Adds the tokens earned by the rate share since the last refill.
@@ -47,8 +47,8 @@
         &mut self,
         now: Millis,
     ) {
-        let elapsed = now.since(self.filled_at);
-        self.filled_at = self.filled_at.max(now);
+        let elapsed = now.since(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
         let rate = self.limit.map_or(0, |limit| limit.rate);
         // One token per second is one millitoken per millisecond.
         let earned = u128::from(elapsed.0) * u128::from(rate) * u128::from(self.rate_share)
@@ -56,21 +56,21 @@
         self.fraction = u64::from(earned as u32);
         let whole = i64::try_from(earned >> 32).unwrap_or(i64::MAX);
         self.tokens = self.tokens.saturating_add(whole);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
-    /// Charges `milli` if available, and returns the charge number.
+    /// Charges `millitokens` if available, and returns the charge number.
     pub fn charge(
         &mut self,
-        milli: u64,
+        millitokens: u64,
     ) -> Option<u64> {
-        if self.tokens() < milli {
+        if self.tokens() < millitokens {
             return None;
         }
-        self.tokens -= milli as i64;
+        self.tokens -= millitokens as i64;
         self.next_charge += 1;
-        self.refundable.insert(self.next_charge, milli);
-        self.refundable_sum += milli;
+        self.refundable.insert(self.next_charge, millitokens);
+        self.refundable_sum += millitokens;
         Some(self.next_charge)
     }
 
@@ -91,7 +91,7 @@
             .tokens
             .saturating_add_unsigned(refund)
             .saturating_sub_unsigned(debt);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
     /// Adds a right from a peer or from an epoch grant.
@@ -102,7 +102,7 @@
         self.rate_share += right.rate_share;
         self.room_share += right.room_share;
         self.tokens = self.tokens.saturating_add_unsigned(right.tokens);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
     /// Removes a right, each part limited to what is available, and returns it.
@@ -119,7 +119,7 @@
         self.rate_share -= taken.rate_share;
         self.room_share -= taken.room_share;
         self.tokens -= taken.tokens as i64;
-        self.clip();
+        self.clamp_to_capacity();
         taken
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Capacity in millitokens.
-    pub fn room(&self) -> u64 {
+    pub fn capacity(&self) -> u64 {
         part_of(self.limit.map_or(0, Limit::burst_milli), self.room_share)
     }
 
@@ -182,31 +182,31 @@
         self.room_share
     }
 
-    fn clip(&mut self) {
+    fn clamp_to_capacity(&mut self) {
         // The capacity is unknown until the limit is set.
         if self.limit.is_none() {
             return;
         }
-        let room = i64::try_from(self.room()).unwrap_or(i64::MAX);
-        if self.tokens >= room {
-            self.tokens = room;
+        let capacity = i64::try_from(self.capacity()).unwrap_or(i64::MAX);
+        if self.tokens >= capacity {
+            self.tokens = capacity;
             self.fraction = 0;
         }
-        self.void_refunds(room.abs_diff(self.tokens));
+        self.void_refunds(capacity.abs_diff(self.tokens));
     }
 
-    /// Limits outstanding refunds to `most`, reducing the oldest first.
+    /// Limits outstanding refunds to `max`, reducing the oldest first.
     fn void_refunds(
         &mut self,
-        most: u64,
+        max: u64,
     ) {
-        while self.refundable_sum > most
+        while self.refundable_sum > max
             && let Some(mut oldest) = self.refundable.first_entry()
         {
-            let excess = self.refundable_sum - most;
-            let void = excess.min(*oldest.get());
-            *oldest.get_mut() -= void;
-            self.refundable_sum -= void;
+            let excess = self.refundable_sum - max;
+            let voided = excess.min(*oldest.get());
+            *oldest.get_mut() -= voided;
+            self.refundable_sum -= voided;
             if *oldest.get() == 0 {
                 oldest.remove();
             }
--- a/crates/core/src/rights/demand.rs
+++ b/crates/core/src/rights/demand.rs
@@ -1,25 +1,25 @@
 use crate::clock::Millis;
 
 /// Time constant of the exponential decay.
-const MEMORY: Millis = Millis(1000);
+const TIME_CONSTANT: Millis = Millis(1000);
 
 /// Exponentially decaying average of the requested tokens, admitted or not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     /// Decayed sum in millitokens.
-    weight: f64,
-    at: Millis,
+    decayed_sum: f64,
+    updated_at: Millis,
 }
 
 impl Demand {
-    /// Adds a request of `milli` millitokens.
-    pub fn note(
+    /// Adds the cost of a request.
+    pub fn record(
         &mut self,
-        milli: u64,
+        millitokens: u64,
         now: Millis,
     ) {
-        self.weight = self.faded(now) + milli as f64;
-        self.at = self.at.max(now);
+        self.decayed_sum = self.decayed(now) + millitokens as f64;
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// Demand in millitokens per second.
@@ -27,14 +27,14 @@
         &self,
         now: Millis,
     ) -> u64 {
-        (self.faded(now) / MEMORY.as_secs_f64()) as u64
+        (self.decayed(now) / TIME_CONSTANT.as_secs_f64()) as u64
     }
 
-    fn faded(
+    fn decayed(
         &self,
         now: Millis,
     ) -> f64 {
-        let age = now.since(self.at);
-        self.weight * (-(age.0 as f64) / MEMORY.0 as f64).exp()
+        let age = now.since(self.updated_at);
+        self.decayed_sum * (-(age.0 as f64) / TIME_CONSTANT.0 as f64).exp()
     }
 }
--- a/crates/core/src/rights/ledger.rs
+++ b/crates/core/src/rights/ledger.rs
@@ -3,8 +3,8 @@
         Admission, Ask, CallerTag, Charge, Claim, Given, Limit, MILLI, Right, RightsSettings,
         TakeRequest,
         account_rights::AccountRights,
-        pending_asks::PendingAsks,
-        transfer_log::{Seen, TransferLog},
+        pending_requests::PendingRequests,
+        transfer_log::{LookUp, TransferLog},
     },
     crate::{
         clock::Millis,
@@ -25,14 +25,14 @@
     settings: RightsSettings,
     epoch: Option<Epoch>,
     /// Rights held when the current epoch was entered.
-    entered_with: Vec<Right>,
+    epoch_report: Vec<Right>,
     /// Accounts whose grant of the current epoch has been applied.
     granted: BTreeSet<AccountId>,
-    closed: bool,
+    is_closed: bool,
     accounts: BTreeMap<AccountId, AccountRights>,
     peers: Vec<Holder>,
-    pending: PendingAsks,
-    given: TransferLog,
+    pending: PendingRequests,
+    responses: TransferLog,
 }
 
 impl RightsLedger {
@@ -45,13 +45,13 @@
             me,
             settings,
             epoch: None,
-            entered_with: Vec::new(),
+            epoch_report: Vec::new(),
             granted: BTreeSet::new(),
-            closed: false,
+            is_closed: false,
             accounts: BTreeMap::new(),
             peers: Vec::new(),
-            pending: PendingAsks::default(),
-            given: TransferLog::default(),
+            pending: PendingRequests::default(),
+            responses: TransferLog::default(),
         }
     }
 
@@ -105,46 +105,46 @@
     /// Like [`Self::try_admit`], with explicit access to reserved tokens.
     pub fn try_admit_as(
         &mut self,
-        claim: Claim,
+        reserve: Claim,
         account: AccountId,
         cost: u64,
         caller: CallerTag,
         now: Millis,
     ) -> Admission {
-        if self.closed {
+        if self.is_closed {
             return Admission::Refused(Refusal::new(ErrorKind::ShuttingDown));
         }
         let Some(rights) = self.accounts.get_mut(&account) else {
             return Admission::Refused(Refusal::new(ErrorKind::RateLimited));
         };
         rights.advance(&self.settings, now);
-        let milli = cost.saturating_mul(MILLI);
-        if milli > rights.burst() {
+        let millitokens = cost.saturating_mul(MILLI);
+        if millitokens > rights.burst() {
             return Admission::Refused(Refusal::new(ErrorKind::LargerThanBurst));
         }
-        let kept_back = match claim {
+        let reserved = match reserve {
             Claim::First => 0,
             Claim::Leaving(tokens) => rights
                 .reserved_before(caller)
                 .saturating_add(tokens.saturating_mul(MILLI)),
         };
-        let wanted = milli.saturating_add(kept_back);
+        let required = millitokens.saturating_add(reserved);
         let tokens = rights.bucket.tokens();
-        let number = (tokens >= wanted)
-            .then(|| rights.bucket.charge(milli))
+        let number = (tokens >= required)
+            .then(|| rights.bucket.charge(millitokens))
             .flatten();
         match number {
             Some(number) => {
-                rights.promises.end(caller);
-                rights.demand.note(milli, now);
+                rights.reservations.complete(caller);
+                rights.demand.record(millitokens, now);
                 Admission::Admitted(Charge {
                     account,
                     number,
                     tokens: cost,
                 })
             }
-            None if self.may_ask_for(account, now) => Admission::Ask {
-                shortfall: wanted - tokens,
+            None if self.can_ask_peers(account, now) => Admission::Ask {
+                shortfall: required - tokens,
             },
             None => Admission::Refused(self.refuse_after_ask(account, cost, caller, now)),
         }
@@ -161,13 +161,13 @@
         let Some(rights) = self.accounts.get_mut(&account) else {
             return Refusal::new(ErrorKind::RateLimited);
         };
-        let milli = cost.saturating_mul(MILLI);
-        if milli > rights.burst() {
+        let millitokens = cost.saturating_mul(MILLI);
+        if millitokens > rights.burst() {
             return Refusal::new(ErrorKind::LargerThanBurst);
         }
         rights.advance(&self.settings, now);
-        rights.demand.note(milli, now);
-        rights.promise(milli, caller, &self.settings, now)
+        rights.demand.record(millitokens, now);
+        rights.refuse(millitokens, caller, &self.settings, now)
     }
 
     /// Settles a charge with the actual usage, in tokens.
@@ -195,12 +195,12 @@
         let (Some(epoch), Some(rights)) = (self.epoch, self.accounts.get_mut(&account)) else {
             return Vec::new();
         };
-        if self.closed || !self.settings.sharing {
+        if self.is_closed || !self.settings.sharing {
             return Vec::new();
         }
         let demand = rights.demand.per_second(now);
-        let ahead = demand.saturating_mul(self.settings.ahead.0) / 1000;
-        let needed = shortfall.saturating_add(ahead);
+        let prefetch = demand.saturating_mul(self.settings.prefetch_window.0) / 1000;
+        let needed = shortfall.saturating_add(prefetch);
         let peers = &mut rights.peers;
         let chosen = peers.choose(account, needed, &self.peers, &self.settings, now);
         let mut asks = Vec::with_capacity(chosen.len());
@@ -239,7 +239,7 @@
         &mut self,
         now: Millis,
     ) -> Vec<Ask> {
-        let ahead = self.settings.ahead.0;
+        let prefetch_window = self.settings.prefetch_window.0;
         let mut low = Vec::new();
         for (&account, rights) in &mut self.accounts {
             let demand = rights.demand.per_second(now);
@@ -247,8 +247,8 @@
                 continue;
             }
             rights.advance(&self.settings, now);
-            let wanted = (demand.saturating_mul(ahead) / 1000).min(rights.burst() / 2);
-            if rights.bucket.tokens() < wanted {
+            let required = (demand.saturating_mul(prefetch_window) / 1000).min(rights.burst() / 2);
+            if rights.bucket.tokens() < required {
                 low.push(account);
             }
         }
@@ -264,33 +264,34 @@
         now: Millis,
     ) -> Given {
         let epoch = self.epoch.unwrap_or_default();
-        let nothing = Given {
+        let empty = Given {
             epoch,
             right: Right::none(request.account),
             spare: 0,
         };
-        if self.epoch != Some(request.epoch) || self.closed || !self.settings.sharing {
-            return nothing;
+        if self.epoch != Some(request.epoch) || self.is_closed || !self.settings.sharing {
+            return empty;
         }
-        match self.given.look_up(request.from, request.transfer) {
-            Seen::Answered(given) => return given,
-            Seen::Forgotten => return nothing,
-            Seen::No => (),
+        match self.responses.look_up(request.from, request.transfer) {
+            LookUp::Handled(response) => return response,
+            LookUp::Evicted => return empty,
+            LookUp::New => (),
         }
         let holders = self.peers.len() as u64 + 1;
         let Some(rights) = self.accounts.get_mut(&request.account) else {
-            return nothing;
+            return empty;
         };
         rights.advance(&self.settings, now);
         let offer = rights.offer(request, holders, &self.settings, now);
         let right = rights.bucket.take(&offer);
-        let given = Given {
+        let response = Given {
             epoch,
             right,
             spare: rights.spare(&self.settings, now),
         };
-        self.given.keep(request.from, request.transfer, given);
-        given
+        self.responses
+            .store(request.from, request.transfer, response);
+        response
     }
 
     /// Adds the rights of a peer's response and returns whether there were any.
@@ -299,7 +300,7 @@
     pub fn receive(
         &mut self,
         transfer: TransferId,
-        given: &Given,
+        response: &Given,
         now: Millis,
     ) -> bool {
         let Some(ask) = self.pending.take(transfer) else {
@@ -309,18 +310,18 @@
         let Some(rights) = self.accounts.get_mut(&account) else {
             return false;
         };
-        let same_epoch = self.epoch == Some(given.epoch);
-        let valid = same_epoch && given.right.account == account && !self.closed;
-        let useful = valid && !given.right.is_none();
+        let same_epoch = self.epoch == Some(response.epoch);
+        let valid = same_epoch && response.right.account == account && !self.is_closed;
+        let useful = valid && !response.right.is_none();
         if let Some(peer) = self.peers.iter().position(|&peer| peer == ask.to) {
             let settings = &self.settings;
             rights
                 .peers
-                .note_answer(peer, useful, given.spare, settings, now);
+                .record_response(peer, useful, response.spare, settings, now);
         }
         if useful {
             rights.bucket.refill(now);
-            rights.bucket.add(&given.right);
+            rights.bucket.add(&response.right);
         }
         useful
     }
@@ -336,19 +337,19 @@
     ) -> Option<&[Right]> {
         match self.epoch {
             Some(current) if epoch < current => return None,
-            Some(current) if epoch == current => return Some(&self.entered_with),
+            Some(current) if epoch == current => return Some(&self.epoch_report),
             _ => (),
         }
         self.epoch = Some(epoch);
         self.pending.clear();
-        self.given.clear();
+        self.responses.clear();
         self.granted.clear();
         for rights in self.accounts.values_mut() {
             rights.advance(&self.settings, now);
             rights.peers.clear();
         }
-        self.entered_with = self.held();
-        Some(&self.entered_with)
+        self.epoch_report = self.held();
+        Some(&self.epoch_report)
     }
 
     /// Applies the grants of an epoch record to this holder, once for each account.
@@ -358,7 +359,7 @@
         grants: &[Right],
         now: Millis,
     ) {
-        if self.epoch != Some(epoch) || self.closed {
+        if self.epoch != Some(epoch) || self.is_closed {
             return;
         }
         for grant in grants {
@@ -385,10 +386,10 @@
 
     /// Closes the ledger and drops all rights, because they are reissued to other holders.
     pub fn forfeit(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
         self.accounts.clear();
         self.pending.clear();
-        self.given.clear();
+        self.responses.clear();
     }
 
     /// Returns the rights held, as of the last use of each account.
@@ -405,7 +406,7 @@
         self.epoch
     }
 
-    fn may_ask_for(
+    fn can_ask_peers(
         &self,
         account: AccountId,
         now: Millis,
--- a/crates/core/src/rights/peers.rs
+++ b/crates/core/src/rights/peers.rs
@@ -9,18 +9,18 @@
 
 /// What is known about one peer, for one account.
 #[derive(Clone, Copy, Debug, Default)]
-struct Hint {
+struct PeerState {
     /// Spare millitokens in its last response.
     spare: u64,
     not_before: Millis,
-    asked: Millis,
+    last_asked: Millis,
     waiting_since: Option<Millis>,
     /// Consecutive empty responses.
-    empty: u32,
+    empty_responses: u32,
 }
 
-impl Hint {
-    fn may_ask(
+impl PeerState {
+    fn can_ask(
         &self,
         now: Millis,
     ) -> bool {
@@ -33,7 +33,7 @@
         now: Millis,
     ) -> bool {
         self.waiting_since
-            .is_some_and(|since| now.since(since) < settings.answer_wait)
+            .is_some_and(|since| now.since(since) < settings.response_timeout)
     }
 }
 
@@ -43,15 +43,15 @@
 /// amplify the load. Peers with empty responses are skipped for a while, and so is the whole account
 /// after several consecutive empty responses.
 #[derive(Clone, Debug, Default)]
-pub struct PeerHints {
+pub struct PeerSelector {
     /// Indexed like the ledger's peers; empty until the first request.
-    hints: Vec<Hint>,
+    states: Vec<PeerState>,
     /// Consecutive empty responses from any peers.
-    empty: usize,
+    empty_responses: usize,
     not_before: Millis,
 }
 
-impl PeerHints {
+impl PeerSelector {
     /// Whether a peer can be asked or a response is still expected.
     pub fn is_worth_asking(
         &self,
@@ -60,12 +60,12 @@
         now: Millis,
     ) -> bool {
         let asks = now >= self.not_before;
-        if self.hints.is_empty() {
+        if self.states.is_empty() {
             return asks && !peers.is_empty();
         }
-        self.hints
+        self.states
             .iter()
-            .any(|hint| (asks && hint.may_ask(now)) || hint.is_awaited(settings, now))
+            .any(|state| (asks && state.can_ask(now)) || state.is_awaited(settings, now))
     }
 
     /// Chooses peers by spare tokens, then by the time they were last asked, then by home rank.
@@ -82,15 +82,15 @@
         if now < self.not_before || peers.is_empty() {
             return Vec::new();
         }
-        self.hints.resize(peers.len(), Hint::default());
+        self.states.resize(peers.len(), PeerState::default());
         let mut candidates: Vec<(Reverse<u64>, Millis, u64, usize)> = self
-            .hints
+            .states
             .iter()
             .enumerate()
-            .filter(|(_, hint)| hint.may_ask(now))
-            .map(|(index, hint)| {
+            .filter(|(_, state)| state.can_ask(now))
+            .map(|(index, state)| {
                 let rank = home_rank(account, peers[index]);
-                (Reverse(hint.spare), hint.asked, rank, index)
+                (Reverse(state.spare), state.last_asked, rank, index)
             })
             .collect();
         if candidates.len() > settings.fan_out {
@@ -98,22 +98,22 @@
             candidates.truncate(settings.fan_out);
         }
         candidates.sort_unstable();
-        let mut promised = 0_u64;
+        let mut expected_spare = 0_u64;
         let mut chosen = Vec::new();
         for (Reverse(spare), _, _, index) in candidates {
-            if !chosen.is_empty() && promised >= needed {
+            if !chosen.is_empty() && expected_spare >= needed {
                 break;
             }
-            promised = promised.saturating_add(spare);
-            self.hints[index].waiting_since = Some(now);
-            self.hints[index].asked = now;
+            expected_spare = expected_spare.saturating_add(spare);
+            self.states[index].waiting_since = Some(now);
+            self.states[index].last_asked = now;
             chosen.push(peers[index]);
         }
         chosen
     }
 
     /// Records a peer's response: whether it gave anything, and its spare millitokens.
-    pub fn note_answer(
+    pub fn record_response(
         &mut self,
         peer: usize,
         useful: bool,
@@ -121,30 +121,30 @@
         settings: &RightsSettings,
         now: Millis,
     ) {
-        let peers = self.hints.len();
-        let Some(hint) = self.hints.get_mut(peer) else {
+        let peers = self.states.len();
+        let Some(state) = self.states.get_mut(peer) else {
             return;
         };
-        hint.waiting_since = None;
-        hint.spare = spare;
-        hint.empty = if useful { 0 } else { hint.empty + 1 };
-        let doublings = hint.empty.min(settings.max_doublings);
-        hint.not_before = match useful {
+        state.waiting_since = None;
+        state.spare = spare;
+        state.empty_responses = if useful { 0 } else { state.empty_responses + 1 };
+        let doublings = state.empty_responses.min(settings.max_backoff_doublings);
+        state.not_before = match useful {
             true if spare > 0 => now,
-            true => now + settings.back_off,
-            false => now + Millis(settings.back_off.0 << doublings),
+            true => now + settings.backoff,
+            false => now + Millis(settings.backoff.0 << doublings),
         };
-        self.empty = if useful { 0 } else { self.empty + 1 };
-        if self.empty >= peers.min(settings.fan_out * settings.rounds) {
-            self.empty = 0;
-            self.not_before = now + settings.back_off;
+        self.empty_responses = if useful { 0 } else { self.empty_responses + 1 };
+        if self.empty_responses >= peers.min(settings.fan_out * settings.max_empty_rounds) {
+            self.empty_responses = 0;
+            self.not_before = now + settings.backoff;
         }
     }
 
     /// Resets all state after a change of the epoch or the peers.
     pub fn clear(&mut self) {
-        self.hints.clear();
-        self.empty = 0;
+        self.states.clear();
+        self.empty_responses = 0;
         self.not_before = Millis::ZERO;
     }
 }
--- a/crates/core/src/rights/pending_asks.rs
+++ b/crates/core/src/rights/pending_requests.rs
@@ -9,24 +9,24 @@
 
 /// A request for rights that has not been answered.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingRequest {
     ask: Ask,
-    sent: Millis,
-    tries: u32,
+    sent_at: Millis,
+    resends: u32,
 }
 
 /// Unanswered requests for rights; each response is accepted once.
 #[derive(Clone, Debug, Default)]
-pub struct PendingAsks {
-    asks: BTreeMap<TransferId, Pending>,
-    last: u64,
+pub struct PendingRequests {
+    requests: BTreeMap<TransferId, PendingRequest>,
+    last_transfer: u64,
 }
 
-impl PendingAsks {
+impl PendingRequests {
     /// Returns a new transfer id; ids are never reused.
     pub const fn next_transfer(&mut self) -> TransferId {
-        self.last += 1;
-        TransferId(self.last)
+        self.last_transfer += 1;
+        TransferId(self.last_transfer)
     }
 
     /// Adds a request that is sent at `now`.
@@ -35,12 +35,12 @@
         ask: Ask,
         now: Millis,
     ) {
-        let pending = Pending {
+        let pending = PendingRequest {
             ask,
-            sent: now,
-            tries: 0,
+            sent_at: now,
+            resends: 0,
         };
-        self.asks.insert(ask.request.transfer, pending);
+        self.requests.insert(ask.request.transfer, pending);
     }
 
     /// Removes the request of a response; `None` for a duplicate response.
@@ -48,7 +48,7 @@
         &mut self,
         transfer: TransferId,
     ) -> Option<Ask> {
-        self.asks.remove(&transfer).map(|pending| pending.ask)
+        self.requests.remove(&transfer).map(|pending| pending.ask)
     }
 
     /// Returns the requests that are due to be sent again, with exponential backoff.
@@ -57,16 +57,16 @@
         settings: &RightsSettings,
         now: Millis,
     ) -> Vec<Ask> {
-        let mut asks = Vec::new();
-        for pending in self.asks.values_mut() {
-            let doublings = pending.tries.min(settings.max_doublings);
-            if now.since(pending.sent) >= Millis(settings.resend.0 << doublings) {
-                pending.sent = now;
-                pending.tries += 1;
-                asks.push(pending.ask);
+        let mut requests = Vec::new();
+        for pending in self.requests.values_mut() {
+            let doublings = pending.resends.min(settings.max_backoff_doublings);
+            if now.since(pending.sent_at) >= Millis(settings.resend_interval.0 << doublings) {
+                pending.sent_at = now;
+                pending.resends += 1;
+                requests.push(pending.ask);
             }
         }
-        asks
+        requests
     }
 
     /// Drops the requests to other peers than these.
@@ -74,7 +74,7 @@
         &mut self,
         peers: &[Holder],
     ) {
-        self.asks
+        self.requests
             .retain(|_, pending| peers.contains(&pending.ask.to));
     }
 
@@ -83,12 +83,12 @@
         &mut self,
         account: AccountId,
     ) {
-        self.asks
+        self.requests
             .retain(|_, pending| pending.ask.request.account != account);
     }
 
     /// Drops all requests; their ids are not reused.
     pub fn clear(&mut self) {
-        self.asks.clear();
+        self.requests.clear();
     }
 }
--- a/crates/core/src/rights/promises.rs
+++ b/crates/core/src/rights/reservations.rs
@@ -1,13 +1,13 @@
 use {super::CallerTag, crate::clock::Millis};
 
 /// Smoothing factor of the estimated return rate.
-const LEARNING: f64 = 1.0 / 16.0;
+const RETURN_RATE_SMOOTHING: f64 = 1.0 / 16.0;
 
 /// Tokens reserved for the retry of one refused caller.
 #[derive(Clone, Copy, Debug)]
-struct Promise {
+struct Reservation {
     caller: CallerTag,
-    milli: u64,
+    millitokens: u64,
     due: Millis,
 }
 
@@ -18,46 +18,49 @@
 ///
 /// Many callers never retry, so only the fraction that is expected to return is reserved.
 #[derive(Clone, Debug)]
-pub struct Promises {
+pub struct RetryReservations {
     /// Ordered by `due`.
-    open: Vec<Promise>,
+    reservations: Vec<Reservation>,
     /// Sum of the reserved millitokens.
-    milli: u64,
+    millitokens: u64,
     /// Moving average of the fraction of callers that return.
-    return_share: f64,
+    return_rate: f64,
 }
 
-impl Default for Promises {
+impl Default for RetryReservations {
     fn default() -> Self {
         Self {
-            open: Vec::new(),
-            milli: 0,
-            return_share: 0.25,
+            reservations: Vec::new(),
+            millitokens: 0,
+            return_rate: 0.25,
         }
     }
 }
 
-impl Promises {
+impl RetryReservations {
     /// Millitokens reserved ahead of this caller; all of them if it has no reservation.
     pub fn reserved_before(
         &self,
         caller: CallerTag,
     ) -> u64 {
-        let before = match self.position(caller) {
-            None => self.milli,
-            Some(at) => self.open[..at].iter().map(|promise| promise.milli).sum(),
+        let reserved_ahead = match self.position(caller) {
+            None => self.millitokens,
+            Some(at) => self.reservations[..at]
+                .iter()
+                .map(|reservation| reservation.millitokens)
+                .sum(),
         };
-        self.expected(before)
+        self.scale_by_return_rate(reserved_ahead)
     }
 
     /// Millitokens needed if every caller returns, used to spread retry times.
-    pub const fn promised(&self) -> u64 {
-        self.milli
+    pub const fn total(&self) -> u64 {
+        self.millitokens
     }
 
     /// Millitokens reserved in total, scaled by the return rate.
     pub fn reserved(&self) -> u64 {
-        self.expected(self.milli)
+        self.scale_by_return_rate(self.millitokens)
     }
 
     /// Rate needed to fill all reservations in time, in millitokens per second.
@@ -65,7 +68,10 @@
         &self,
         now: Millis,
     ) -> u64 {
-        let last = self.open.last().map_or(now, |promise| promise.due);
+        let last = self
+            .reservations
+            .last()
+            .map_or(now, |reservation| reservation.due);
         self.reserved() * 1000 / last.since(now).0.max(1000)
     }
 
@@ -74,34 +80,43 @@
         &self,
         caller: CallerTag,
     ) -> Option<Millis> {
-        self.position(caller).map(|at| self.open[at].due)
+        self.position(caller).map(|at| self.reservations[at].due)
     }
 
     /// Number of reservations.
     pub const fn len(&self) -> usize {
-        self.open.len()
+        self.reservations.len()
     }
 
     /// Adds a reservation.
     pub fn add(
         &mut self,
         caller: CallerTag,
-        milli: u64,
+        millitokens: u64,
         due: Millis,
     ) {
-        let at = self.open.partition_point(|promise| promise.due <= due);
-        self.open.insert(at, Promise { caller, milli, due });
-        self.milli += milli;
+        let at = self
+            .reservations
+            .partition_point(|reservation| reservation.due <= due);
+        self.reservations.insert(
+            at,
+            Reservation {
+                caller,
+                millitokens,
+                due,
+            },
+        );
+        self.millitokens += millitokens;
     }
 
     /// Removes the reservation of a caller that has returned.
-    pub fn end(
+    pub fn complete(
         &mut self,
         caller: CallerTag,
     ) {
         if let Some(at) = self.position(caller) {
-            self.milli -= self.open.remove(at).milli;
-            self.learn(1.0);
+            self.millitokens -= self.reservations.remove(at).millitokens;
+            self.record_outcome(1.0);
         }
     }
 
@@ -111,35 +126,35 @@
         now: Millis,
         grace: Millis,
     ) {
-        let late = self
-            .open
-            .partition_point(|promise| promise.due + grace <= now);
-        for promise in self.open.drain(..late) {
-            self.milli -= promise.milli;
-            self.return_share -= self.return_share * LEARNING;
+        let expired = self
+            .reservations
+            .partition_point(|reservation| reservation.due + grace <= now);
+        for reservation in self.reservations.drain(..expired) {
+            self.millitokens -= reservation.millitokens;
+            self.return_rate -= self.return_rate * RETURN_RATE_SMOOTHING;
         }
     }
 
-    fn learn(
+    fn record_outcome(
         &mut self,
         outcome: f64,
     ) {
-        self.return_share += (outcome - self.return_share) * LEARNING;
+        self.return_rate += (outcome - self.return_rate) * RETURN_RATE_SMOOTHING;
     }
 
-    fn expected(
+    fn scale_by_return_rate(
         &self,
-        milli: u64,
+        millitokens: u64,
     ) -> u64 {
-        (milli as f64 * self.return_share) as u64
+        (millitokens as f64 * self.return_rate) as u64
     }
 
     fn position(
         &self,
         caller: CallerTag,
     ) -> Option<usize> {
-        self.open
+        self.reservations
             .iter()
-            .position(|promise| promise.caller == caller)
+            .position(|reservation| reservation.caller == caller)
     }
 }
--- a/crates/core/src/rights/right.rs
+++ b/crates/core/src/rights/right.rs
@@ -18,6 +18,7 @@
     /// Share of the rate, in units of [`SHARE_WHOLE`].
     pub rate_share: u64,
     /// Share of the burst, in units of [`SHARE_WHOLE`].
+    #[serde(rename = "room_share")]
     pub room_share: u64,
     /// Millitokens, at most the share of the burst.
     pub tokens: u64,
--- a/crates/core/src/rights/settings.rs
+++ b/crates/core/src/rights/settings.rs
@@ -8,27 +8,27 @@
     /// Maximum number of peers asked at a time for one account.
     pub fan_out: usize,
     /// Time of its own demand for which a giver keeps tokens.
-    pub keep: Millis,
+    pub keep_window: Millis,
     /// Initial backoff for a peer without spare tokens.
-    pub back_off: Millis,
+    pub backoff: Millis,
     /// Maximum number of times that a backoff or resend interval doubles.
-    pub max_doublings: u32,
+    pub max_backoff_doublings: u32,
     /// Empty rounds of requests after which an account backs off.
-    pub rounds: usize,
+    pub max_empty_rounds: usize,
     /// How long admission waits for a response of a peer.
-    pub answer_wait: Millis,
+    pub response_timeout: Millis,
     /// Time of its own demand for which a holder prefetches tokens.
-    pub ahead: Millis,
+    pub prefetch_window: Millis,
     /// Initial interval between resends of an unanswered request.
-    pub resend: Millis,
+    pub resend_interval: Millis,
     /// A giver keeps at least an even share of the rate divided by this.
-    pub floor_divisor: u64,
+    pub min_share_divisor: u64,
     /// How long tokens stay reserved after the retry time.
-    pub grace: Millis,
+    pub reservation_grace: Millis,
     /// Maximum delay of a retry for which tokens are reserved.
     pub horizon: Millis,
     /// Maximum number of reservations of one account.
-    pub max_promises: usize,
+    pub max_reservations: usize,
 }
 
 impl Default for RightsSettings {
@@ -36,17 +36,17 @@
         Self {
             sharing: true,
             fan_out: 3,
-            keep: Millis(100),
-            back_off: Millis(50),
-            max_doublings: 3,
-            rounds: 3,
-            answer_wait: Millis(50),
-            ahead: Millis(1000),
-            resend: Millis(250),
-            floor_divisor: 32,
-            grace: Millis(1500),
+            keep_window: Millis(100),
+            backoff: Millis(50),
+            max_backoff_doublings: 3,
+            max_empty_rounds: 3,
+            response_timeout: Millis(50),
+            prefetch_window: Millis(1000),
+            resend_interval: Millis(250),
+            min_share_divisor: 32,
+            reservation_grace: Millis(1500),
             horizon: Millis::from_secs(10),
-            max_promises: 1024,
+            max_reservations: 1024,
         }
     }
 }
--- a/crates/core/src/rights/transfer_log.rs
+++ b/crates/core/src/rights/transfer_log.rs
@@ -5,7 +5,7 @@
 };
 
 /// Responses kept per asker for resent requests.
-const KEPT: usize = 64;
+const MAX_RESPONSES_PER_ASKER: usize = 64;
 
 /// Responses of this epoch, to deduplicate resent requests.
 ///
@@ -18,20 +18,20 @@
 
 #[derive(Clone, Debug, Default)]
 struct Asker {
-    answers: VecDeque<(TransferId, Given)>,
+    responses: VecDeque<(TransferId, Given)>,
     /// The highest transfer whose response was evicted.
-    forgotten: Option<TransferId>,
+    last_evicted: Option<TransferId>,
 }
 
 /// Whether a request was handled before.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen {
+pub enum LookUp {
     /// The request is new.
-    No,
+    New,
     /// The request was handled with this response.
-    Answered(Given),
+    Handled(Given),
     /// The request may have been handled; its response was evicted.
-    Forgotten,
+    Evicted,
 }
 
 impl TransferLog {
@@ -40,30 +40,30 @@
         &self,
         from: Holder,
         transfer: TransferId,
-    ) -> Seen {
+    ) -> LookUp {
         let Some(asker) = self.askers.get(&from) else {
-            return Seen::No;
+            return LookUp::New;
         };
-        let kept = asker.answers.iter().find(|(id, _)| *id == transfer);
-        match (kept, asker.forgotten) {
-            (Some(&(_, given)), _) => Seen::Answered(given),
-            (None, Some(forgotten)) if transfer <= forgotten => Seen::Forgotten,
-            (None, _) => Seen::No,
+        let kept = asker.responses.iter().find(|(id, _)| *id == transfer);
+        match (kept, asker.last_evicted) {
+            (Some(&(_, given)), _) => LookUp::Handled(given),
+            (None, Some(last_evicted)) if transfer <= last_evicted => LookUp::Evicted,
+            (None, _) => LookUp::New,
         }
     }
 
     /// Stores a response, evicting the oldest of the asker if there are too many.
-    pub fn keep(
+    pub fn store(
         &mut self,
         from: Holder,
         transfer: TransferId,
         given: Given,
     ) {
         let asker = self.askers.entry(from).or_default();
-        asker.answers.push_back((transfer, given));
-        if asker.answers.len() > KEPT {
-            let oldest = asker.answers.pop_front().map(|(id, _)| id);
-            asker.forgotten = asker.forgotten.max(oldest);
+        asker.responses.push_back((transfer, given));
+        if asker.responses.len() > MAX_RESPONSES_PER_ASKER {
+            let oldest = asker.responses.pop_front().map(|(id, _)| id);
+            asker.last_evicted = asker.last_evicted.max(oldest);
         }
     }
 
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -211,11 +211,11 @@
     busy: u32,
     waiting: BTreeMap<RequestId, (Waiting, Millis)>,
     accepted: usize,
-    left: usize,
+    removed: usize,
 }
 
-const PATIENCE: [Millis; 3] = [Millis(0), Millis(1000), Millis(5000)];
-const MOST: usize = 40;
+const PRIORITY_DELAY: [Millis; 3] = [Millis(0), Millis(1000), Millis(5000)];
+const MAX_QUEUED: usize = 40;
 
 impl Model {
     fn new() -> Self {
@@ -223,7 +223,7 @@
         for account in 0..4 {
             let share = AccountShare {
                 weight: account + 1,
-                max_queued: MOST,
+                max_queued: MAX_QUEUED,
             };
             queue.set_share(AccountId(account), share);
         }
@@ -234,7 +234,7 @@
             busy: 3,
             waiting: BTreeMap::new(),
             accepted: 0,
-            left: 0,
+            removed: 0,
         }
     }
 
@@ -262,13 +262,13 @@
                 if let Some(request) = request {
                     let cancelled = self.queue.cancel(request, self.now);
                     assert!(cancelled.is_some(), "{request} waits");
-                    self.leaves(request);
+                    self.remove(request);
                 }
             }
             Event::Advance(by) => self.now += Millis(by),
             Event::Expire => {
                 for expired in self.queue.expire(self.now) {
-                    self.leaves(expired.request);
+                    self.remove(expired.request);
                 }
                 let late = self.waiting.values().find(|(w, _)| w.deadline <= self.now);
                 assert!(late.is_none(), "still queued after its deadline: {late:?}");
@@ -279,7 +279,7 @@
             }
         }
         assert_eq!(self.queue.len(), self.waiting.len());
-        assert_eq!(self.accepted, self.left + self.waiting.len());
+        assert_eq!(self.accepted, self.removed + self.waiting.len());
     }
 
     fn push(
@@ -303,7 +303,7 @@
         let before = self.queue.len_of(waiting.account);
         match self.queue.push(waiting, self.now) {
             Ok(queued) => {
-                assert!(before < MOST, "the account's queue limit is exceeded");
+                assert!(before < MAX_QUEUED, "the account's queue limit is exceeded");
                 assert!(queued.expected_wait < Millis(within));
                 self.waiting.insert(waiting.request, (waiting, self.now));
                 self.accepted += 1;
@@ -315,23 +315,26 @@
     fn pop(&mut self) {
         let busy = self.busy;
         let can_run = |waiting: &Waiting| waiting.target != Target::Base(ModelId(busy));
-        let place = |&(waiting, at): &(Waiting, Millis)| {
-            (at + PATIENCE[waiting.priority as usize], waiting.request)
+        let position = |&(waiting, at): &(Waiting, Millis)| {
+            (
+                at + PRIORITY_DELAY[waiting.priority as usize],
+                waiting.request,
+            )
         };
         match self.queue.pop(self.now, can_run) {
             Some(popped) => {
-                let own = place(&self.waiting[&popped.request]);
+                let own = position(&self.waiting[&popped.request]);
                 let overtaken = self.waiting.values().find(|other| {
-                    other.0.account == popped.account && can_run(&other.0) && place(other) < own
+                    other.0.account == popped.account && can_run(&other.0) && position(other) < own
                 });
                 assert!(overtaken.is_none(), "{popped:?} overtook {overtaken:?}");
-                self.leaves(popped.request);
+                self.remove(popped.request);
             }
             None => assert!(self.waiting.values().all(|(waiting, _)| !can_run(waiting))),
         }
     }
 
-    fn leaves(
+    fn remove(
         &mut self,
         request: RequestId,
     ) {
@@ -339,7 +342,7 @@
             self.waiting.remove(&request).is_some(),
             "{request} was removed twice"
         );
-        self.left += 1;
+        self.removed += 1;
     }
 }
 
--- a/crates/core/tests/support/checks.rs
+++ b/crates/core/tests/support/checks.rs
@@ -46,7 +46,7 @@
     pub fn check_used(&self) {
         for account in ACCOUNTS {
             let mut changes = self
-                .in_force
+                .limit_changes
                 .iter()
                 .filter(|change| change.2 == account)
                 .peekable();
--- a/crates/core/tests/support/configuration.rs
+++ b/crates/core/tests/support/configuration.rs
@@ -51,7 +51,7 @@
                     burst: a.burst.max(b.burst),
                 });
             if let Some(limit) = largest {
-                self.in_force
+                self.limit_changes
                     .push((self.ran.len(), self.now, account, limit));
             }
         }
--- a/crates/core/tests/support/daemon.rs
+++ b/crates/core/tests/support/daemon.rs
@@ -21,9 +21,9 @@
 
 /// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     Admitted,
-    Asking,
+    Pending,
     Refused(ErrorKind, Option<Millis>),
 }
 
@@ -59,7 +59,7 @@
         caller: CallerTag,
         now: Millis,
         ran: &mut Vec<Used>,
-    ) -> (Fate, Vec<Ask>) {
+    ) -> (Outcome, Vec<Ask>) {
         let asking = Asking {
             account,
             cost,
@@ -75,17 +75,17 @@
         &mut self,
         now: Millis,
         ran: &mut Vec<Used>,
-    ) -> (Vec<Fate>, Vec<Ask>) {
-        let (mut fates, mut asks) = (Vec::new(), Vec::new());
+    ) -> (Vec<Outcome>, Vec<Ask>) {
+        let (mut outcomes, mut asks) = (Vec::new(), Vec::new());
         for asking in std::mem::take(&mut self.asking) {
-            let (fate, more) = match now.since(asking.since) {
+            let (outcome, more) = match now.since(asking.since) {
                 waited if waited >= Millis(100) => (self.give_up(asking, now), Vec::new()),
                 _ => self.attempt(asking, now, ran),
             };
             asks.extend(more);
-            fates.push(fate);
+            outcomes.push(outcome);
         }
-        (fates, asks)
+        (outcomes, asks)
     }
 
     /// Ends the oldest running request and settles its charge.
@@ -131,7 +131,7 @@
         asking: Asking,
         now: Millis,
         ran: &mut Vec<Used>,
-    ) -> (Fate, Vec<Ask>) {
+    ) -> (Outcome, Vec<Ask>) {
         let Asking {
             account,
             cost,
@@ -148,16 +148,17 @@
                     uses: asking.uses,
                     finished: false,
                 });
-                (Fate::Admitted, Vec::new())
+                (Outcome::Admitted, Vec::new())
             }
             Admission::Ask { shortfall } => {
                 self.asking.push(asking);
                 let asks = self.ledger.whom_to_ask(account, shortfall, now);
-                (Fate::Asking, asks)
-            }
-            Admission::Refused(refusal) => {
-                (Fate::Refused(refusal.kind, refusal.retry_after), Vec::new())
+                (Outcome::Pending, asks)
             }
+            Admission::Refused(refusal) => (
+                Outcome::Refused(refusal.kind, refusal.retry_after),
+                Vec::new(),
+            ),
         }
     }
 
@@ -165,7 +166,7 @@
         &mut self,
         asking: Asking,
         now: Millis,
-    ) -> Fate {
+    ) -> Outcome {
         let Asking {
             account,
             cost,
@@ -173,6 +174,6 @@
             ..
         } = asking;
         let refusal = self.ledger.refuse_after_ask(account, cost, caller, now);
-        Fate::Refused(refusal.kind, refusal.retry_after)
+        Outcome::Refused(refusal.kind, refusal.retry_after)
     }
 }
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -2,7 +2,7 @@
     super::{
         Event, Link,
         configuration::{ACCOUNTS, budgets},
-        daemon::{Daemon, Fate},
+        daemon::{Daemon, Outcome},
         links::Message,
         reference::Used,
         store::Store,
@@ -22,8 +22,8 @@
     },
 };
 
-const LEASE: Millis = Millis(3000);
-pub const LIST_LAG: Millis = Millis(5000);
+const LEASE_TTL: Millis = Millis(3000);
+pub const MAX_LIST_LAG: Millis = Millis(5000);
 const STEP: Millis = Millis(50);
 
 /// A running VM.
@@ -52,7 +52,7 @@
     pub(super) limits: Vec<Limit>,
     pub(super) ran: Vec<Used>,
     /// Limit changes: number of requests before it, time, account and limit.
-    pub(super) in_force: Vec<(usize, Millis, AccountId, Limit)>,
+    pub(super) limit_changes: Vec<(usize, Millis, AccountId, Limit)>,
     callers: u64,
 }
 
@@ -75,7 +75,7 @@
                 burst: 100,
             }],
             ran: Vec::new(),
-            in_force: Vec::new(),
+            limit_changes: Vec::new(),
             callers: 0,
         };
         fleet.store.up = true;
@@ -90,7 +90,7 @@
     pub fn apply(
         &mut self,
         event: Event,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         match event {
             Event::Advance(by) => self.advance(by),
             Event::Request {
@@ -131,7 +131,7 @@
     pub fn run(
         &mut self,
         time: Millis,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         self.work(time, false)
     }
 
@@ -139,9 +139,9 @@
         &mut self,
         time: Millis,
         reports_lost: bool,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         let end = self.now + time;
-        let mut fates = Vec::new();
+        let mut outcomes = Vec::new();
         while self.now < end {
             let vms: Vec<VmId> = self.vms.keys().copied().collect();
             for vm in vms {
@@ -150,12 +150,12 @@
                 while self.is_awake(vm) && !self.vms[&vm].to_write.is_empty() {
                     self.write(vm);
                 }
-                fates.extend(self.tick(vm, reports_lost));
+                outcomes.extend(self.tick(vm, reports_lost));
             }
-            fates.extend(self.carry_all());
+            outcomes.extend(self.carry_all());
             self.advance(STEP);
         }
-        fates
+        outcomes
     }
 
     /// Ends all faults except dead VMs, and ensures that at least one VM is alive.
@@ -173,7 +173,7 @@
     }
 
     /// Number of messages in transit.
-    pub fn under_way(&self) -> usize {
+    pub fn in_transit(&self) -> usize {
         self.links.len()
     }
 
@@ -224,7 +224,7 @@
         second: bool,
         cost: u64,
         uses: u64,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         let account = ACCOUNTS[if controller { 2 } else { usize::from(second) }];
         let cost = if controller { cost % 8 + 1 } else { cost };
         self.callers += 1;
@@ -234,9 +234,9 @@
         };
         let daemon = &mut at.daemons[usize::from(controller)];
         let uses = cost * uses.min(100) / 100;
-        let (fate, asks) = daemon.request(account, cost, uses, caller, now, &mut self.ran);
-        self.links.extend(asks.into_iter().map(Message::Ask));
-        vec![fate]
+        let (outcome, asks) = daemon.request(account, cost, uses, caller, now, &mut self.ran);
+        self.links.extend(asks.into_iter().map(Message::Request));
+        vec![outcome]
     }
 
     fn finish(
@@ -254,18 +254,21 @@
         &mut self,
         vm: VmId,
         reply_lost: bool,
-    ) -> Vec<Fate> {
-        let (now, mut fates) = (self.now, Vec::new());
+    ) -> Vec<Outcome> {
+        let (now, mut outcomes) = (self.now, Vec::new());
         let Some(at) = self.vms.get_mut(&vm).filter(|vm| !vm.frozen) else {
-            return fates;
+            return outcomes;
         };
         for daemon in &mut at.daemons {
             let (more, asks) = daemon.retry(now, &mut self.ran);
-            fates.extend(more.into_iter().filter(|fate| *fate != Fate::Asking));
+            outcomes.extend(
+                more.into_iter()
+                    .filter(|outcome| *outcome != Outcome::Pending),
+            );
             let again = daemon.ledger.unanswered(now);
             let ahead = daemon.ledger.rebalance(now);
             let all = asks.into_iter().chain(again).chain(ahead);
-            self.links.extend(all.map(Message::Ask));
+            self.links.extend(all.map(Message::Request));
             let Some(epoch) = &at.view.epoch else {
                 continue;
             };
@@ -280,7 +283,7 @@
                 });
             }
         }
-        fates
+        outcomes
     }
 
     fn read(
@@ -302,7 +305,7 @@
                 gateway: Some(at.daemons[0].holder.incarnation),
                 controller: Some(at.daemons[1].holder.incarnation),
             },
-            now + LEASE,
+            now + LEASE_TTL,
         );
         let mut view = self.store.read(now);
         if old_list && at.view.listed.is_some() {
--- a/crates/core/tests/support/lifecycle.rs
+++ b/crates/core/tests/support/lifecycle.rs
@@ -2,7 +2,7 @@
     super::{
         Fleet,
         daemon::Daemon,
-        fleet::{LIST_LAG, Vm},
+        fleet::{MAX_LIST_LAG, Vm},
     },
     jasmine_core::{
         clock::Millis,
@@ -34,7 +34,7 @@
             )
         };
         let settings = MembershipSettings {
-            list_lag: LIST_LAG,
+            list_lag: MAX_LIST_LAG,
             refresh: Millis::from_secs(30),
             ..MembershipSettings::default()
         };
--- a/crates/core/tests/support/links.rs
+++ b/crates/core/tests/support/links.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Event, Fleet, Link, daemon::Fate},
+    super::{Event, Fleet, Link, daemon::Outcome},
     jasmine_core::{
         ids::{Holder, TransferId},
         rights::{Ask, Given},
@@ -9,23 +9,23 @@
 /// A message between two daemons.
 #[derive(Clone, Copy, Debug)]
 pub enum Message {
-    Ask(Ask),
-    Answer(Holder, TransferId, Given),
+    Request(Ask),
+    Response(Holder, TransferId, Given),
 }
 
 impl Message {
     fn to(&self) -> Holder {
         match self {
-            Self::Ask(ask) => ask.to,
-            Self::Answer(to, ..) => *to,
+            Self::Request(ask) => ask.to,
+            Self::Response(to, ..) => *to,
         }
     }
 }
 
 impl Fleet {
     /// Delivers messages until none are left except those to frozen VMs.
-    pub fn carry_all(&mut self) -> Vec<Fate> {
-        let mut fates = Vec::new();
+    pub fn carry_all(&mut self) -> Vec<Outcome> {
+        let mut outcomes = Vec::new();
         for _ in 0..1000 {
             let Some(index) = self
                 .links
@@ -34,9 +34,9 @@
             else {
                 break;
             };
-            fates.extend(self.carry(Link::Deliver, index));
+            outcomes.extend(self.carry(Link::Deliver, index));
         }
-        fates
+        outcomes
     }
 
     /// Delivers, duplicates or drops one message in transit.
@@ -44,7 +44,7 @@
         &mut self,
         link: Link,
         index: usize,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         if self.links.is_empty() {
             return Vec::new();
         }
@@ -72,7 +72,7 @@
     fn deliver(
         &mut self,
         message: &Message,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         let (now, to) = (self.now, message.to());
         let daemon = self
             .vms
@@ -82,19 +82,19 @@
             return Vec::new();
         };
         match message {
-            Message::Ask(ask) => {
+            Message::Request(ask) => {
                 let given = daemon.ledger.give(&ask.request, now);
-                let answer = Message::Answer(ask.request.from, ask.request.transfer, given);
+                let answer = Message::Response(ask.request.from, ask.request.transfer, given);
                 self.links.push_back(answer);
                 Vec::new()
             }
-            Message::Answer(_, transfer, given) => {
+            Message::Response(_, transfer, given) => {
                 daemon.ledger.receive(*transfer, given, now);
-                let (fates, asks) = daemon.retry(now, &mut self.ran);
-                self.links.extend(asks.into_iter().map(Message::Ask));
-                fates
+                let (outcomes, asks) = daemon.retry(now, &mut self.ran);
+                self.links.extend(asks.into_iter().map(Message::Request));
+                outcomes
                     .into_iter()
-                    .filter(|fate| *fate != Fate::Asking)
+                    .filter(|outcome| *outcome != Outcome::Pending)
                     .collect()
             }
         }
--- a/crates/core/tests/support/script.rs
+++ b/crates/core/tests/support/script.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Event, Fleet, Link, daemon::Fate},
+    super::{Event, Fleet, Link, daemon::Outcome},
     goldenscript::{Command, Context, Runner},
     jasmine_core::{
         clock::Millis,
@@ -31,12 +31,12 @@
         let Some(fleet) = &mut self.fleet else {
             return "no fleet".to_owned();
         };
-        let fates = fleet.apply(event);
+        let outcomes = fleet.apply(event);
         fleet.check_now();
         fleet.check_used();
-        fates
+        outcomes
             .into_iter()
-            .map(|fate| describe(fate) + "\n")
+            .map(|outcome| describe(outcome) + "\n")
             .collect()
     }
 
@@ -44,22 +44,22 @@
         &mut self,
         link: Link,
     ) -> String {
-        let under_way = self.fleet.as_ref().map_or(0, Fleet::under_way);
+        let in_transit = self.fleet.as_ref().map_or(0, Fleet::in_transit);
         let mut out = String::new();
-        for _ in 0..under_way {
+        for _ in 0..in_transit {
             out += &self.apply(Event::Carry(link, 0));
         }
-        let _ = write!(out, "{under_way} messages");
+        let _ = write!(out, "{in_transit} messages");
         out
     }
 }
 
-fn describe(fate: Fate) -> String {
-    match fate {
-        Fate::Admitted => "admitted".to_owned(),
-        Fate::Asking => "asks peers".to_owned(),
-        Fate::Refused(kind, None) => format!("refused: {kind:?}"),
-        Fate::Refused(kind, Some(after)) => format!("refused: {kind:?}, back in {after} ms"),
+fn describe(outcome: Outcome) -> String {
+    match outcome {
+        Outcome::Admitted => "admitted".to_owned(),
+        Outcome::Pending => "asks peers".to_owned(),
+        Outcome::Refused(kind, None) => format!("refused: {kind:?}"),
+        Outcome::Refused(kind, Some(after)) => format!("refused: {kind:?}, back in {after} ms"),
     }
 }
 
