--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -263,7 +263,7 @@
     }
 
     /// Number of waiting requests of one account.
-    pub fn len_of(
+    pub fn account_len(
         &self,
         account: AccountId,
     ) -> usize {
--- a/crates/core/src/rights/ledger.rs
+++ b/crates/core/src/rights/ledger.rs
@@ -199,8 +199,8 @@
             return Vec::new();
         }
         let demand = rights.demand.per_second(now);
-        let prefetch = demand.saturating_mul(self.settings.prefetch_window.0) / 1000;
-        let needed = shortfall.saturating_add(prefetch);
+        let prefetch_tokens = demand.saturating_mul(self.settings.prefetch_window.0) / 1000;
+        let needed = shortfall.saturating_add(prefetch_tokens);
         let peers = &mut rights.peers;
         let chosen = peers.choose(account, needed, &self.peers, &self.settings, now);
         let mut asks = Vec::with_capacity(chosen.len());
@@ -240,7 +240,7 @@
         now: Millis,
     ) -> Vec<Ask> {
         let prefetch_window = self.settings.prefetch_window.0;
-        let mut low = Vec::new();
+        let mut low_accounts = Vec::new();
         for (&account, rights) in &mut self.accounts {
             let demand = rights.demand.per_second(now);
             if demand == 0 {
@@ -249,10 +249,11 @@
             rights.advance(&self.settings, now);
             let required = (demand.saturating_mul(prefetch_window) / 1000).min(rights.burst() / 2);
             if rights.bucket.tokens() < required {
-                low.push(account);
+                low_accounts.push(account);
             }
         }
-        low.into_iter()
+        low_accounts
+            .into_iter()
             .flat_map(|account| self.whom_to_ask(account, 0, now))
             .collect()
     }
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -300,7 +300,7 @@
             target: Target::Base(ModelId(model)),
         };
         self.next += 1;
-        let before = self.queue.len_of(waiting.account);
+        let before = self.queue.account_len(waiting.account);
         match self.queue.push(waiting, self.now) {
             Ok(queued) => {
                 assert!(before < MAX_QUEUED, "the account's queue limit is exceeded");
--- a/crates/core/tests/generated_orders.rs
+++ b/crates/core/tests/generated_orders.rs
@@ -51,14 +51,14 @@
     for _ in 0..EVENTS {
         let event: Event = driver.produce().expect("enough bytes");
         fleet.apply(event);
-        fleet.check_now();
+        fleet.check_shares();
     }
-    fleet.check_used();
-    fleet.heal();
+    fleet.check_limits();
+    fleet.recover();
     fleet.run(Millis(35_000));
-    fleet.check_now();
-    fleet.check_used();
-    fleet.check_healed();
+    fleet.check_shares();
+    fleet.check_limits();
+    fleet.check_recovered();
     fleet.ran()
 }
 
--- a/crates/core/tests/support/checks.rs
+++ b/crates/core/tests/support/checks.rs
@@ -28,7 +28,7 @@
     }
 
     /// Checks that the shares of each account add up to at most the whole.
-    pub fn check_now(&self) {
+    pub fn check_shares(&self) {
         for account in ACCOUNTS {
             let (rate, room) = self.held(account);
             assert!(
@@ -43,7 +43,7 @@
     }
 
     /// Checks that no account exceeded its rate and burst in any window.
-    pub fn check_used(&self) {
+    pub fn check_limits(&self) {
         for account in ACCOUNTS {
             let mut changes = self
                 .limit_changes
@@ -66,7 +66,7 @@
     }
 
     /// Checks that the fleet has recovered some time after the last fault.
-    pub fn check_healed(&mut self) {
+    pub fn check_recovered(&mut self) {
         for _ in 0..20 {
             if self.store.epoch().is_some_and(|record| record.closing) {
                 self.run(Millis(100));
--- a/crates/core/tests/support/daemon.rs
+++ b/crates/core/tests/support/daemon.rs
@@ -1,5 +1,5 @@
 use {
-    super::reference::Used,
+    super::reference::Usage,
     jasmine_core::{
         clock::Millis,
         error::ErrorKind,
@@ -14,7 +14,7 @@
 struct Asking {
     account: AccountId,
     cost: u64,
-    uses: u64,
+    actual_tokens: u64,
     caller: CallerTag,
     since: Millis,
 }
@@ -34,7 +34,7 @@
     pub ledger: RightsLedger,
     asking: Vec<Asking>,
     /// Charges of running requests and their indexes in the usage records.
-    running: Vec<(Charge, usize)>,
+    charges: Vec<(Charge, usize)>,
 }
 
 impl Daemon {
@@ -46,7 +46,7 @@
             holder,
             ledger: RightsLedger::new(holder, settings),
             asking: Vec::new(),
-            running: Vec::new(),
+            charges: Vec::new(),
         }
     }
 
@@ -55,15 +55,15 @@
         &mut self,
         account: AccountId,
         cost: u64,
-        uses: u64,
+        actual_tokens: u64,
         caller: CallerTag,
         now: Millis,
-        ran: &mut Vec<Used>,
+        ran: &mut Vec<Usage>,
     ) -> (Outcome, Vec<Ask>) {
         let asking = Asking {
             account,
             cost,
-            uses,
+            actual_tokens,
             caller,
             since: now,
         };
@@ -74,12 +74,12 @@
     pub fn retry(
         &mut self,
         now: Millis,
-        ran: &mut Vec<Used>,
+        ran: &mut Vec<Usage>,
     ) -> (Vec<Outcome>, Vec<Ask>) {
         let (mut outcomes, mut asks) = (Vec::new(), Vec::new());
         for asking in std::mem::take(&mut self.asking) {
             let (outcome, more) = match now.since(asking.since) {
-                waited if waited >= Millis(100) => (self.give_up(asking, now), Vec::new()),
+                waited if waited >= Millis(100) => (self.refuse(asking, now), Vec::new()),
                 _ => self.attempt(asking, now, ran),
             };
             asks.extend(more);
@@ -92,19 +92,19 @@
     pub fn finish(
         &mut self,
         now: Millis,
-        ran: &mut [Used],
+        ran: &mut [Usage],
     ) -> bool {
-        if self.running.is_empty() {
+        if self.charges.is_empty() {
             return false;
         }
-        let (charge, index) = self.running.remove(0);
+        let (charge, index) = self.charges.remove(0);
         ran[index].finished = true;
-        self.ledger.settle(charge, ran[index].uses, now);
+        self.ledger.settle(charge, ran[index].actual_tokens, now);
         true
     }
 
     /// Handles an epoch record; returns the rights to report if it is a member.
-    pub fn see_epoch(
+    pub fn handle_epoch(
         &mut self,
         record: &EpochRecord,
         now: Millis,
@@ -130,7 +130,7 @@
         &mut self,
         asking: Asking,
         now: Millis,
-        ran: &mut Vec<Used>,
+        ran: &mut Vec<Usage>,
     ) -> (Outcome, Vec<Ask>) {
         let Asking {
             account,
@@ -140,12 +140,12 @@
         } = asking;
         match self.ledger.try_admit(account, cost, caller, now) {
             Admission::Admitted(charge) => {
-                self.running.push((charge, ran.len()));
-                ran.push(Used {
+                self.charges.push((charge, ran.len()));
+                ran.push(Usage {
                     account,
                     at: now,
                     charged: cost,
-                    uses: asking.uses,
+                    actual_tokens: asking.actual_tokens,
                     finished: false,
                 });
                 (Outcome::Admitted, Vec::new())
@@ -162,7 +162,7 @@
         }
     }
 
-    fn give_up(
+    fn refuse(
         &mut self,
         asking: Asking,
         now: Millis,
--- a/crates/core/tests/support/event.rs
+++ b/crates/core/tests/support/event.rs
@@ -5,7 +5,7 @@
 
 /// How a message in transit is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum MessageFate {
     Deliver,
     Duplicate,
     Drop,
@@ -19,44 +19,44 @@
     Request {
         vm: VmId,
         controller: bool,
-        second: bool,
+        is_second_account: bool,
         cost: u64,
-        uses: u64,
+        usage_percent: u64,
     },
     /// The oldest running request of a VM ends.
     Finish(VmId),
     /// A VM's periodic work: epoch, report, prefetch and resends.
     Tick {
         vm: VmId,
-        reply_lost: bool,
+        loses_report: bool,
     },
-    /// A controller reads the store; with `old_list` it keeps its stale VM list.
+    /// A controller reads the store; with `keeps_stale_list` it keeps its stale VM list.
     Read {
         vm: VmId,
-        old_list: bool,
+        keeps_stale_list: bool,
     },
     /// A controller runs its epoch state machine.
     Decide(VmId),
     /// The next pending write reaches the store.
     Write(VmId),
-    Carry(Link, usize),
+    HandleMessage(MessageFate, usize),
     /// All messages in transit are delivered.
-    CarryAll,
+    DeliverAll,
     /// All VMs that are not frozen run for a while; reports of holdings may be lost.
     Run {
         time: Millis,
-        reports_lost: bool,
+        loses_reports: bool,
     },
     Kill(VmId),
     Start(VmId),
-    Leave(VmId),
+    Stop(VmId),
     Freeze(VmId),
     Thaw(VmId),
     Store(bool),
     /// The VM list is updated.
-    List,
+    UpdateList,
     /// The list omits a live VM for a while.
-    Unlist(VmId),
+    OmitFromList(VmId),
     /// Operators change the limit of the first account.
     Limit(u64),
     /// A VM applies the latest configuration.
@@ -76,37 +76,40 @@
             0..60 => Self::Request {
                 vm,
                 controller: any.is_multiple_of(7),
-                second: flag && any.is_multiple_of(3),
+                is_second_account: flag && any.is_multiple_of(3),
                 cost: u64::from(any % 40) + 1,
-                uses: u64::from(any / 64 % 101),
+                usage_percent: u64::from(any / 64 % 101),
             },
             60..90 => Self::Finish(vm),
             90..110 => Self::Advance(Millis(u64::from(any) % 400)),
             110..113 => Self::Advance(Millis(u64::from(any) % 8000)),
             113..135 => Self::Tick {
                 vm,
-                reply_lost: any.is_multiple_of(4),
+                loses_report: any.is_multiple_of(4),
+            },
+            135..145 => Self::Read {
+                vm,
+                keeps_stale_list: flag,
             },
-            135..145 => Self::Read { vm, old_list: flag },
             145..155 => Self::Decide(vm),
             155..165 => Self::Write(vm),
-            165..190 => Self::Carry(Link::Deliver, usize::from(any)),
-            190..205 => Self::CarryAll,
+            165..190 => Self::HandleMessage(MessageFate::Deliver, usize::from(any)),
+            190..205 => Self::DeliverAll,
             205..213 => Self::Run {
                 time: Millis(u64::from(any) % 600),
-                reports_lost: any.is_multiple_of(3),
+                loses_reports: any.is_multiple_of(3),
             },
-            213 => Self::Carry(Link::Drop, usize::from(any)),
-            214..217 => Self::Carry(Link::Duplicate, usize::from(any)),
+            213 => Self::HandleMessage(MessageFate::Drop, usize::from(any)),
+            214..217 => Self::HandleMessage(MessageFate::Duplicate, usize::from(any)),
             217..220 => Self::Kill(vm),
             220..229 => Self::Start(vm),
-            229..231 => Self::Leave(vm),
+            229..231 => Self::Stop(vm),
             231..234 => Self::Freeze(vm),
             234..239 => Self::Thaw(vm),
             239 => Self::Store(false),
             240..243 => Self::Store(true),
-            243..249 => Self::List,
-            249 => Self::Unlist(vm),
+            243..249 => Self::UpdateList,
+            249 => Self::OmitFromList(vm),
             250..252 => Self::Limit(u64::from(any) % 200 + 20),
             252..=255 => Self::Configure(vm),
         })
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -1,10 +1,10 @@
 use {
     super::{
-        Event, Link,
+        Event, MessageFate,
         configuration::{ACCOUNTS, budgets},
         daemon::{Daemon, Outcome},
-        links::Message,
-        reference::Used,
+        messages::Message,
+        reference::Usage,
         store::Store,
     },
     jasmine_core::{
@@ -47,10 +47,10 @@
     pub(super) vms: BTreeMap<VmId, Vm>,
     pub(super) last_run: BTreeMap<VmId, Incarnation>,
     pub(super) unlisted: BTreeMap<VmId, Millis>,
-    pub(super) links: VecDeque<Message>,
+    pub(super) messages: VecDeque<Message>,
     /// Limit of the first account at each revision.
     pub(super) limits: Vec<Limit>,
-    pub(super) ran: Vec<Used>,
+    pub(super) ran: Vec<Usage>,
     /// Limit changes: number of requests before it, time, account and limit.
     pub(super) limit_changes: Vec<(usize, Millis, AccountId, Limit)>,
     callers: u64,
@@ -69,7 +69,7 @@
             vms: BTreeMap::new(),
             last_run: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            links: VecDeque::new(),
+            messages: VecDeque::new(),
             limits: vec![Limit {
                 rate: 100,
                 burst: 100,
@@ -96,28 +96,34 @@
             Event::Request {
                 vm,
                 controller,
-                second,
+                is_second_account,
                 cost,
-                uses,
+                usage_percent,
             } => {
-                return self.request(vm, controller, second, cost, uses);
+                return self.request(vm, controller, is_second_account, cost, usage_percent);
             }
             Event::Finish(vm) => self.finish(vm),
-            Event::Tick { vm, reply_lost } => return self.tick(vm, reply_lost),
-            Event::Read { vm, old_list } => self.read(vm, old_list),
+            Event::Tick { vm, loses_report } => return self.tick(vm, loses_report),
+            Event::Read {
+                vm,
+                keeps_stale_list,
+            } => self.read(vm, keeps_stale_list),
             Event::Decide(vm) => self.decide(vm),
             Event::Write(vm) => self.write(vm),
-            Event::Carry(link, index) => return self.carry(link, index),
-            Event::CarryAll => return self.carry_all(),
-            Event::Run { time, reports_lost } => return self.work(time, reports_lost),
+            Event::HandleMessage(fate, index) => return self.deliver_message(fate, index),
+            Event::DeliverAll => return self.deliver_all(),
+            Event::Run {
+                time,
+                loses_reports,
+            } => return self.work(time, loses_reports),
             Event::Kill(vm) => drop(self.vms.remove(&vm)),
             Event::Start(vm) => self.start(vm),
-            Event::Leave(vm) => self.leave(vm),
+            Event::Stop(vm) => self.stop(vm),
             Event::Freeze(vm) => self.set_frozen(vm, true),
             Event::Thaw(vm) => self.set_frozen(vm, false),
             Event::Store(up) => self.store.up = up,
-            Event::List => self.update_list(),
-            Event::Unlist(vm) => self.unlist(vm),
+            Event::UpdateList => self.update_list(),
+            Event::OmitFromList(vm) => self.omit_from_list(vm),
             Event::Limit(rate) => self.limits.push(Limit {
                 rate,
                 burst: rate * 2,
@@ -138,7 +144,7 @@
     fn work(
         &mut self,
         time: Millis,
-        reports_lost: bool,
+        loses_reports: bool,
     ) -> Vec<Outcome> {
         let end = self.now + time;
         let mut outcomes = Vec::new();
@@ -150,16 +156,16 @@
                 while self.is_awake(vm) && !self.vms[&vm].to_write.is_empty() {
                     self.write(vm);
                 }
-                outcomes.extend(self.tick(vm, reports_lost));
+                outcomes.extend(self.tick(vm, loses_reports));
             }
-            outcomes.extend(self.carry_all());
+            outcomes.extend(self.deliver_all());
             self.advance(STEP);
         }
         outcomes
     }
 
     /// Ends all faults except dead VMs, and ensures that at least one VM is alive.
-    pub fn heal(&mut self) {
+    pub fn recover(&mut self) {
         self.store.up = true;
         if self.vms.is_empty() {
             self.start(VmId(1));
@@ -174,7 +180,7 @@
 
     /// Number of messages in transit.
     pub fn in_transit(&self) -> usize {
-        self.links.len()
+        self.messages.len()
     }
 
     /// Number of admitted requests.
@@ -221,11 +227,15 @@
         &mut self,
         vm: VmId,
         controller: bool,
-        second: bool,
+        is_second_account: bool,
         cost: u64,
-        uses: u64,
+        usage_percent: u64,
     ) -> Vec<Outcome> {
-        let account = ACCOUNTS[if controller { 2 } else { usize::from(second) }];
+        let account = ACCOUNTS[if controller {
+            2
+        } else {
+            usize::from(is_second_account)
+        }];
         let cost = if controller { cost % 8 + 1 } else { cost };
         self.callers += 1;
         let (now, caller) = (self.now, CallerTag(self.callers));
@@ -233,9 +243,10 @@
             return Vec::new();
         };
         let daemon = &mut at.daemons[usize::from(controller)];
-        let uses = cost * uses.min(100) / 100;
-        let (outcome, asks) = daemon.request(account, cost, uses, caller, now, &mut self.ran);
-        self.links.extend(asks.into_iter().map(Message::Request));
+        let actual_tokens = cost * usage_percent.min(100) / 100;
+        let (outcome, asks) =
+            daemon.request(account, cost, actual_tokens, caller, now, &mut self.ran);
+        self.messages.extend(asks.into_iter().map(Message::Request));
         vec![outcome]
     }
 
@@ -253,7 +264,7 @@
     fn tick(
         &mut self,
         vm: VmId,
-        reply_lost: bool,
+        loses_report: bool,
     ) -> Vec<Outcome> {
         let (now, mut outcomes) = (self.now, Vec::new());
         let Some(at) = self.vms.get_mut(&vm).filter(|vm| !vm.frozen) else {
@@ -268,14 +279,14 @@
             let again = daemon.ledger.unanswered(now);
             let ahead = daemon.ledger.rebalance(now);
             let all = asks.into_iter().chain(again).chain(ahead);
-            self.links.extend(all.map(Message::Request));
+            self.messages.extend(all.map(Message::Request));
             let Some(epoch) = &at.view.epoch else {
                 continue;
             };
-            let Some(rights) = daemon.see_epoch(&epoch.value, now) else {
+            let Some(rights) = daemon.handle_epoch(&epoch.value, now) else {
                 continue;
             };
-            if self.store.up && !reply_lost {
+            if self.store.up && !loses_report {
                 self.store.report(HoldingsRecord {
                     epoch: epoch.value.epoch,
                     holder: daemon.holder,
@@ -289,7 +300,7 @@
     fn read(
         &mut self,
         vm: VmId,
-        old_list: bool,
+        keeps_stale_list: bool,
     ) {
         let now = self.now;
         let Some(at) = self
@@ -308,7 +319,7 @@
             now + LEASE_TTL,
         );
         let mut view = self.store.read(now);
-        if old_list && at.view.listed.is_some() {
+        if keeps_stale_list && at.view.listed.is_some() {
             view.listed = at.view.listed.take();
             view.read_at = at.view.read_at;
         }
--- a/crates/core/tests/support/lifecycle.rs
+++ b/crates/core/tests/support/lifecycle.rs
@@ -50,7 +50,7 @@
         self.configure(vm);
     }
 
-    pub(super) fn leave(
+    pub(super) fn stop(
         &mut self,
         vm: VmId,
     ) {
@@ -84,7 +84,7 @@
         self.unlisted.clear();
     }
 
-    pub(super) fn unlist(
+    pub(super) fn omit_from_list(
         &mut self,
         vm: VmId,
     ) {
--- a/crates/core/tests/support/links.rs
+++ b/crates/core/tests/support/messages.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Event, Fleet, Link, daemon::Outcome},
+    super::{Event, Fleet, MessageFate, daemon::Outcome},
     jasmine_core::{
         ids::{Holder, TransferId},
         rights::{Ask, Given},
@@ -24,46 +24,46 @@
 
 impl Fleet {
     /// Delivers messages until none are left except those to frozen VMs.
-    pub fn carry_all(&mut self) -> Vec<Outcome> {
+    pub fn deliver_all(&mut self) -> Vec<Outcome> {
         let mut outcomes = Vec::new();
         for _ in 0..1000 {
             let Some(index) = self
-                .links
+                .messages
                 .iter()
                 .position(|message| !self.vms.get(&message.to().vm).is_some_and(|vm| vm.frozen))
             else {
                 break;
             };
-            outcomes.extend(self.carry(Link::Deliver, index));
+            outcomes.extend(self.deliver_message(MessageFate::Deliver, index));
         }
         outcomes
     }
 
     /// Delivers, duplicates or drops one message in transit.
-    pub fn carry(
+    pub fn deliver_message(
         &mut self,
-        link: Link,
+        fate: MessageFate,
         index: usize,
     ) -> Vec<Outcome> {
-        if self.links.is_empty() {
+        if self.messages.is_empty() {
             return Vec::new();
         }
-        let index = index % self.links.len();
-        let message = self.links[index];
-        match link {
-            Link::Duplicate => {
-                self.links.push_back(message);
+        let index = index % self.messages.len();
+        let message = self.messages[index];
+        match fate {
+            MessageFate::Duplicate => {
+                self.messages.push_back(message);
                 Vec::new()
             }
-            Link::Drop => {
-                self.links.remove(index);
+            MessageFate::Drop => {
+                self.messages.remove(index);
                 Vec::new()
             }
-            Link::Deliver if self.vms.get(&message.to().vm).is_some_and(|vm| vm.frozen) => {
+            MessageFate::Deliver if self.vms.get(&message.to().vm).is_some_and(|vm| vm.frozen) => {
                 Vec::new()
             }
-            Link::Deliver => {
-                self.links.remove(index);
+            MessageFate::Deliver => {
+                self.messages.remove(index);
                 self.deliver(&message)
             }
         }
@@ -85,13 +85,13 @@
             Message::Request(ask) => {
                 let given = daemon.ledger.give(&ask.request, now);
                 let answer = Message::Response(ask.request.from, ask.request.transfer, given);
-                self.links.push_back(answer);
+                self.messages.push_back(answer);
                 Vec::new()
             }
             Message::Response(_, transfer, given) => {
                 daemon.ledger.receive(*transfer, given, now);
                 let (outcomes, asks) = daemon.retry(now, &mut self.ran);
-                self.links.extend(asks.into_iter().map(Message::Request));
+                self.messages.extend(asks.into_iter().map(Message::Request));
                 outcomes
                     .into_iter()
                     .filter(|outcome| *outcome != Outcome::Pending)
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -12,13 +12,13 @@
 mod event;
 mod fleet;
 mod lifecycle;
-mod links;
+mod messages;
 mod reference;
 mod script;
 mod store;
 
 pub use {
-    event::{Event, Link, VMS},
+    event::{Event, MessageFate, VMS},
     fleet::Fleet,
     script::run_scripts,
 };
--- a/crates/core/tests/support/reference.rs
+++ b/crates/core/tests/support/reference.rs
@@ -2,20 +2,20 @@
 
 /// The usage of one request, as recorded by the engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
+pub struct Usage {
     pub account: AccountId,
     pub at: Millis,
     pub charged: u64,
     /// Actual usage in tokens.
-    pub uses: u64,
+    pub actual_tokens: u64,
     pub finished: bool,
 }
 
-impl Used {
+impl Usage {
     /// The tokens that count: the actual usage, or the charge while the request is running.
     fn tokens(&self) -> u64 {
         if self.finished {
-            self.uses
+            self.actual_tokens
         } else {
             self.charged
         }
@@ -56,7 +56,7 @@
     /// Subtracts a usage, and returns whether it is within the limit.
     pub fn take(
         &mut self,
-        used: &Used,
+        used: &Usage,
     ) -> bool {
         self.advance(used.at);
         self.level -= i128::from(used.tokens()) * 1000;
--- a/crates/core/tests/support/script.rs
+++ b/crates/core/tests/support/script.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Event, Fleet, Link, daemon::Outcome},
+    super::{Event, Fleet, MessageFate, daemon::Outcome},
     goldenscript::{Command, Context, Runner},
     jasmine_core::{
         clock::Millis,
@@ -32,8 +32,8 @@
             return "no fleet".to_owned();
         };
         let outcomes = fleet.apply(event);
-        fleet.check_now();
-        fleet.check_used();
+        fleet.check_shares();
+        fleet.check_limits();
         outcomes
             .into_iter()
             .map(|outcome| describe(outcome) + "\n")
@@ -42,12 +42,12 @@
 
     fn each_message(
         &mut self,
-        link: Link,
+        fate: MessageFate,
     ) -> String {
         let in_transit = self.fleet.as_ref().map_or(0, Fleet::in_transit);
         let mut out = String::new();
         for _ in 0..in_transit {
-            out += &self.apply(Event::Carry(link, 0));
+            out += &self.apply(Event::HandleMessage(fate, 0));
         }
         let _ = write!(out, "{in_transit} messages");
         out
@@ -80,7 +80,7 @@
                 .unwrap_or(default))
         };
         let vm = VmId(number("vm", 1)? as u32);
-        let (cost, uses, rate) = (
+        let (cost, usage_percent, rate) = (
             number("cost", 10)?,
             number("uses", 100)?,
             number("rate", 100)?,
@@ -93,7 +93,7 @@
                 self.fleet = Some(Fleet::new(vms, RightsSettings::default()));
                 return Ok(self.apply(Event::Run {
                     time: Millis(2000),
-                    reports_lost: false,
+                    loses_reports: false,
                 }));
             }
             "show" => {
@@ -103,35 +103,35 @@
                     .as_mut()
                     .map_or(String::new(), |fleet| fleet.show(account)));
             }
-            "drop" => return Ok(self.each_message(Link::Drop)),
-            "duplicate" => return Ok(self.each_message(Link::Duplicate)),
-            "deliver" => return Ok(self.each_message(Link::Deliver)),
+            "drop" => return Ok(self.each_message(MessageFate::Drop)),
+            "duplicate" => return Ok(self.each_message(MessageFate::Duplicate)),
+            "deliver" => return Ok(self.each_message(MessageFate::Deliver)),
             "request" => Event::Request {
                 vm,
                 controller: account == 9,
-                second: account == 2,
+                is_second_account: account == 2,
                 cost,
-                uses,
+                usage_percent,
             },
             "finish" => Event::Finish(vm),
             "advance" => Event::Advance(ms),
             "tick" => Event::Tick {
                 vm,
-                reply_lost: false,
+                loses_report: false,
             },
             "run" => Event::Run {
                 time: ms,
-                reports_lost: false,
+                loses_reports: false,
             },
             "kill" => Event::Kill(vm),
             "start" => Event::Start(vm),
-            "leave" => Event::Leave(vm),
+            "leave" => Event::Stop(vm),
             "freeze" => Event::Freeze(vm),
             "thaw" => Event::Thaw(vm),
             "outage" => Event::Store(false),
             "recovery" => Event::Store(true),
-            "list" => Event::List,
-            "unlist" => Event::Unlist(vm),
+            "list" => Event::UpdateList,
+            "unlist" => Event::OmitFromList(vm),
             "limit" => Event::Limit(rate),
             "configure" => Event::Configure(vm),
             other => return Err(format!("no command {other}").into()),
