--- a/crates/core/benches/rights_and_queue.rs
+++ b/crates/core/benches/rights_and_queue.rs
@@ -1,4 +1,4 @@
-//! Benchmarks of rate rights, epochs and the fair queue, at the current and the designed fleet size.
+//! Benchmarks of rate rights, epochs and the fair queue, at two fleet sizes.
 //!
 //! Run with `cargo bench -p jasmine-core --bench rights_and_queue`. The memory use of a ledger is
 //! printed first, as growth of the resident set size.
--- a/crates/core/src/clock/millis.rs
+++ b/crates/core/src/clock/millis.rs
@@ -5,8 +5,9 @@
 
 /// A point in time or a duration, in milliseconds.
 ///
-/// Points in time are relative to an arbitrary origin of the process, on a monotonic clock that keeps
-/// running while the process is suspended. They can't be compared between processes; durations can.
+/// Points in time are relative to an arbitrary origin of the process, on a monotonic clock that
+/// keeps running while the process is suspended. They can't be compared between processes;
+/// durations can.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
--- a/crates/core/src/ids/mod.rs
+++ b/crates/core/src/ids/mod.rs
@@ -1,7 +1,7 @@
 //! `Copy` identifiers that are shared by the daemons.
 //!
-//! The ids of accounts, keys, adapters, upstreams and services are assigned by the configuration and
-//! never reused, so they are the same on every VM.
+//! The ids of accounts, keys, adapters, upstreams and services are assigned by the configuration
+//! and never reused, so they are the same on every VM.
 
 mod adapter_version;
 mod epoch;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decisions of the serving layer as deterministic state machines.
 //!
-//! This crate does no I/O, reads no clock, writes no logs and has no global state. Each state machine
-//! takes an event and the current [`clock::Millis`] and returns actions for its daemon to execute, so
-//! scripts and property tests run the same code as production.
+//! This crate does no I/O, reads no clock, writes no logs and has no global state. Each state
+//! machine takes an event and the current [`clock::Millis`] and returns actions for its daemon to
+//! execute, so scripts and property tests run the same code as production.
 
 pub mod clock;
 mod decayed;
--- a/crates/core/src/placement/preferred.rs
+++ b/crates/core/src/placement/preferred.rs
@@ -6,8 +6,8 @@
 
 /// Weighted rendezvous hashing: the score of a candidate for a key; the highest score wins.
 ///
-/// All processes with the same candidates choose the same winner, and adding or removing a candidate
-/// moves only the keys of that candidate.
+/// All processes with the same candidates choose the same winner, and adding or removing a
+/// candidate moves only the keys of that candidate.
 pub fn rendezvous(
     key: u64,
     candidate: u64,
@@ -30,8 +30,8 @@
 /// The `k` preferred engines of an adapter, best first.
 ///
 /// All versions of an adapter prefer the same engines, so a rollout doesn't move load to other
-/// engines. The choices alternate between data centres, so the loss of one data centre affects as few
-/// copies as possible.
+/// engines. The choices alternate between data centres, so the loss of one data centre affects as
+/// few copies as possible.
 pub fn preferred(
     adapter: AdapterVersion,
     engines: &[EngineSlot],
--- a/crates/core/src/queue/account_queue.rs
+++ b/crates/core/src/queue/account_queue.rs
@@ -12,8 +12,8 @@
 
 /// The waiting requests of one client account, grouped by target.
 ///
-/// Only the first request of each target is considered, so requests of a blocked target neither block
-/// the others nor have to be scanned.
+/// Only the first request of each target is considered, so requests of a blocked target neither
+/// block the others nor have to be scanned.
 #[derive(Clone, Debug, Default)]
 pub struct AccountQueue {
     /// Weight and queue limit.
--- a/crates/core/src/queue/estimate.rs
+++ b/crates/core/src/queue/estimate.rs
@@ -8,7 +8,7 @@
     std::collections::BTreeMap,
 };
 
-/// Estimated wait, in percent of the time to the deadline, above which a waiting request is dropped.
+/// Estimated wait above which a request is dropped, in percent of the time to its deadline.
 const MAX_WAIT_PERCENT: u64 = 150;
 
 /// Estimates the wait of a new request; `None` while the service rate is unknown.
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -103,8 +103,8 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::QueueFull`] when a queue limit is reached, [`ErrorKind::CannotMeetDeadline`] when
-    /// it would miss its deadline at the observed service rate.
+    /// [`ErrorKind::QueueFull`] when a queue limit is reached, [`ErrorKind::CannotMeetDeadline`]
+    /// when it would miss its deadline at the observed service rate.
     pub fn push(
         &mut self,
         waiting: Waiting,
--- a/crates/core/src/rights/account_rights.rs
+++ b/crates/core/src/rights/account_rights.rs
@@ -163,8 +163,8 @@
 
     /// Computes the burst share that goes with the given tokens and rate.
     ///
-    /// The giver keeps at least `min_kept`, and enough for its remaining tokens: a bucket that is too
-    /// small for its rate overflows.
+    /// The giver keeps at least `min_kept`, and enough for its remaining tokens: a bucket that is
+    /// too small for its rate overflows.
     fn burst_share_to_give(
         &self,
         tokens: u64,
--- a/crates/core/src/rights/home.rs
+++ b/crates/core/src/rights/home.rs
@@ -5,8 +5,8 @@
 
 /// Rank of a holder among the home holders of an account, lowest first (rendezvous hashing).
 ///
-/// Grants go to the holders with the lowest ranks, and these are asked first. All holders compute the
-/// same order, and a membership change moves few accounts.
+/// Grants go to the holders with the lowest ranks, and these are asked first. All holders compute
+/// the same order, and a membership change moves few accounts.
 pub fn home_rank(
     account: AccountId,
     holder: Holder,
--- a/crates/core/src/rights/ledger.rs
+++ b/crates/core/src/rights/ledger.rs
@@ -17,8 +17,9 @@
 /// The rate rights of one holder to all accounts.
 ///
 /// The daemon calls [`Self::try_admit`] for each request. If peers may have the missing tokens, it
-/// sends them the messages from [`Self::whom_to_ask`], passes their responses to the ledger and tries
-/// again. When no peer is left to ask or the wait takes too long, it calls [`Self::refuse_after_ask`].
+/// sends them the messages from [`Self::whom_to_ask`], passes their responses to the ledger and
+/// tries again. When no peer is left to ask or the wait takes too long, it calls
+/// [`Self::refuse_after_ask`].
 #[derive(Clone, Debug)]
 pub struct RightsLedger {
     me: Holder,
--- a/crates/core/src/rights/peers.rs
+++ b/crates/core/src/rights/peers.rs
@@ -40,8 +40,8 @@
 /// Selects the peers to ask for rights to one account, with backoff.
 ///
 /// When an account is over its limit, no peer has spare tokens, and asking for each request would
-/// amplify the load. Peers with empty responses are skipped for a while, and so is the whole account
-/// after several consecutive empty responses.
+/// amplify the load. Peers with empty responses are skipped for a while, and so is the whole
+/// account after several consecutive empty responses.
 #[derive(Clone, Debug, Default)]
 pub struct PeerSelector {
     /// Indexed like the ledger's peers; empty until the first request.
--- a/crates/core/src/rights/reservations.rs
+++ b/crates/core/src/rights/reservations.rs
@@ -13,8 +13,8 @@
 
 /// Reservations for the refused callers of one account.
 ///
-/// Retry times are spread by the refill rate and new callers can't use reserved tokens; otherwise all
-/// refused callers would retry at once and be refused again.
+/// Retry times are spread by the refill rate and new callers can't use reserved tokens; otherwise
+/// all refused callers would retry at once and be refused again.
 ///
 /// Many callers never retry, so only the fraction that is expected to return is reserved.
 #[derive(Clone, Debug)]
