--- a/crates/core/benches/rights_and_queue.rs
+++ b/crates/core/benches/rights_and_queue.rs
@@ -1,9 +1,12 @@
-//! Cost of the decisions on rate rights, epochs and the fair queue at two sizes.
+//! Benchmarks of rate rights, epochs and the fair queue, at two fleet sizes.
 //!
-//! `cargo bench -p jasmine-core --bench rights_and_queue`. Memory is printed first, from the
-//! process's resident set.
+//! Run with `cargo bench -p jasmine-core --bench rights_and_queue`. The memory use of a ledger is
+//! printed first, as growth of the resident set size.
 
-#![expect(missing_docs, reason = "criterion's macro writes a function without")]
+#![expect(
+    missing_docs,
+    reason = "criterion's macro generates an undocumented function"
+)]
 
 use {
     criterion::{BatchSize, Criterion, criterion_group, criterion_main},
@@ -28,8 +31,8 @@
     burst: 1_000_000_000,
 };
 
-/// Client accounts and gateways: today, and the size to design for.
-const SIZES: [(u32, u32); 2] = [(5, 8), (500, 180)];
+/// Client accounts and gateways, at the current and the designed size.
+const FLEET_SIZES: [(u32, u32); 2] = [(5, 8), (500, 180)];
 
 fn holder(vm: u32) -> Holder {
     Holder {
@@ -59,7 +62,7 @@
     ledger
 }
 
-/// Every peer has been asked once for every account and has answered.
+/// Asks every peer once for every account, with empty responses.
 fn ask_all(
     ledger: &mut RightsLedger,
     accounts: u32,
@@ -89,7 +92,7 @@
 }
 
 fn rights(c: &mut Criterion) {
-    for (accounts, holders) in SIZES {
+    for (accounts, holders) in FLEET_SIZES {
         let name = format!("{accounts} accounts, {holders} holders");
         let mut ledger = ledger(accounts, holders);
         ask_all(&mut ledger, accounts, holders);
@@ -198,7 +201,7 @@
     }
 }
 
-/// A view in which all members have reported for the first epoch.
+/// Creates a view in which all members have reported for the first epoch.
 fn reported(
     vms: u32,
     accounts: u32,
@@ -231,7 +234,7 @@
 }
 
 fn epochs(c: &mut Criterion) {
-    for (accounts, vms) in SIZES {
+    for (accounts, vms) in FLEET_SIZES {
         let name = format!("{accounts} accounts, {vms} VMs");
         let quiet = reported(vms, accounts);
         let machine = EpochMachine::new(VmId(1), MembershipSettings::default());
@@ -263,7 +266,7 @@
 }
 
 fn memory(_: &mut Criterion) {
-    for (accounts, holders) in SIZES {
+    for (accounts, holders) in FLEET_SIZES {
         let before = resident_kib();
         let mut kept = Vec::new();
         for _ in 0..4 {
--- a/crates/core/src/queue/service_rate.rs
+++ b/crates/core/src/queue/service_rate.rs
@@ -1,41 +1,42 @@
 use crate::clock::Millis;
 
-/// How long the past counts.
-const MEMORY: Millis = Millis(5000);
+/// Time constant of the exponential decay.
+const TIME_CONSTANT: Millis = Millis(5000);
 
-/// Nothing is said about the rate before this much busy time has been seen, in milliseconds.
-const LEAST_BUSY: f64 = 500.0;
+/// Decayed busy time below which the rate is unknown, in milliseconds.
+const MIN_BUSY_MS: f64 = 500.0;
 
-/// Nor while fewer requests than this have been served lately: all that waits may wait for an adapter
-/// to load, and that says nothing about how fast others would be served.
-const LEAST_SERVED: f64 = 1.0;
+/// Decayed number of served requests below which the rate is unknown.
+///
+/// If all requests wait for adapters to load, the rate of other requests can't be estimated.
+const MIN_SERVED_REQUESTS: f64 = 1.0;
 
-/// The rate at which the queue is being emptied, observed only while something waits.
+/// The rate at which a queue is served, measured only while requests are waiting.
 ///
-/// Idle time tells nothing about what could be served and is left out.
+/// Idle time is excluded, because it doesn't show the available capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceRate {
-    /// Cost served, faded.
+    /// Decayed sum of the served cost, in tokens.
     served: f64,
-    /// Requests served, faded in the same way.
+    /// Decayed number of served requests.
     requests: f64,
-    /// Busy milliseconds, faded in the same way.
+    /// Decayed busy time, in milliseconds.
     busy: f64,
-    /// Since when the queue has not been empty; none while it is.
+    /// Start of the busy time not yet counted; `None` while the queue is empty.
     busy_since: Option<Millis>,
 }
 
 impl ServiceRate {
-    /// Notes that something waits.
-    pub fn note_waiting(
+    /// Records that a request is waiting.
+    pub fn record_waiting(
         &mut self,
         now: Millis,
     ) {
         self.busy_since.get_or_insert(now);
     }
 
-    /// Notes that a request of `cost` left to be run.
-    pub fn note_served(
+    /// Records that a request of `cost` tokens was dequeued to run.
+    pub fn record_served(
         &mut self,
         cost: u64,
         still_waiting: bool,
@@ -47,8 +48,8 @@
         self.busy_since = still_waiting.then_some(now);
     }
 
-    /// Notes that the queue has emptied without anything being served.
-    pub fn note_empty(
+    /// Records that the queue became empty without a request being served.
+    pub fn record_empty(
         &mut self,
         now: Millis,
     ) {
@@ -56,14 +57,15 @@
         self.busy_since = None;
     }
 
-    /// Cost served in a millisecond, or none before enough has been seen.
+    /// Tokens served per millisecond; `None` without enough samples.
     pub fn per_millisecond(
         &self,
         now: Millis,
     ) -> Option<f64> {
-        let mut seen = *self;
-        seen.advance(now);
-        (seen.busy >= LEAST_BUSY && seen.requests >= LEAST_SERVED).then(|| seen.served / seen.busy)
+        let mut current = *self;
+        current.advance(now);
+        (current.busy >= MIN_BUSY_MS && current.requests >= MIN_SERVED_REQUESTS)
+            .then(|| current.served / current.busy)
     }
 
     fn advance(
@@ -74,10 +76,10 @@
             return;
         };
         let elapsed = now.since(since);
-        let fade = (-(elapsed.0 as f64) / MEMORY.0 as f64).exp();
-        self.served *= fade;
-        self.requests *= fade;
-        self.busy = self.busy * fade + (1.0 - fade) * MEMORY.0 as f64;
+        let decay = (-(elapsed.0 as f64) / TIME_CONSTANT.0 as f64).exp();
+        self.served *= decay;
+        self.requests *= decay;
+        self.busy = self.busy * decay + (1.0 - decay) * TIME_CONSTANT.0 as f64;
         self.busy_since = Some(since.max(now));
     }
 }
--- a/crates/core/src/queue/settings.rs
+++ b/crates/core/src/queue/settings.rs
@@ -1,32 +1,32 @@
 use {super::Priority, crate::clock::Millis};
 
-/// Bounds of the queue.
+/// Limits and priority delays of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueSettings {
-    /// Nothing waits longer than this, whatever its deadline.
+    /// Maximum wait of a request, even if its deadline is later.
     pub max_wait: Millis,
-    /// Requests that may wait in all.
+    /// Maximum number of waiting requests of all accounts.
     pub max_queued: usize,
-    /// How much later a request of normal priority may arrive and still not be overtaken by one
-    /// of high priority.
-    pub normal_patience: Millis,
-    /// The same for low priority.
-    pub low_patience: Millis,
-    /// Whether requests are refused by the observed rate of service. Its user may know better: what waits for an
-    /// adapter slows the observed rate although others would be served at once.
+    /// Delay added to the arrival time of a request of normal priority, for ordering.
+    pub normal_delay: Millis,
+    /// Delay added to the arrival time of a request of low priority, for ordering.
+    pub low_delay: Millis,
+    /// Whether to refuse requests that would miss their deadlines at the observed service rate.
+    ///
+    /// Disable it if adapter loads make the observed rate unreliable.
     pub judges_by_rate: bool,
 }
 
 impl QueueSettings {
-    /// By how much the requests of a class count as having come later.
-    pub const fn patience(
+    /// Delay added to the arrival time of a request, by its priority.
+    pub const fn priority_delay(
         &self,
         priority: Priority,
     ) -> Millis {
         match priority {
             Priority::High => Millis::ZERO,
-            Priority::Normal => self.normal_patience,
-            Priority::Low => self.low_patience,
+            Priority::Normal => self.normal_delay,
+            Priority::Low => self.low_delay,
         }
     }
 }
@@ -36,19 +36,19 @@
         Self {
             max_wait: Millis::from_secs(30),
             max_queued: 10_000,
-            normal_patience: Millis(1000),
-            low_patience: Millis(5000),
+            normal_delay: Millis(1000),
+            low_delay: Millis(5000),
             judges_by_rate: true,
         }
     }
 }
 
-/// One client account's part of the queue.
+/// One client account's weight and queue limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountShare {
-    /// Its weight against the other accounts, at least 1.
+    /// Weight relative to other accounts, at least 1.
     pub weight: u32,
-    /// Requests that may wait at a time.
+    /// Maximum number of waiting requests of the account.
     pub max_queued: usize,
 }
 
--- a/crates/core/src/rights/bucket.rs
+++ b/crates/core/src/rights/bucket.rs
@@ -6,34 +6,32 @@
 
 /// One holder's part of one account's token bucket.
 ///
-/// All amounts are in thousandths of a token. One invariant carries the limit of the fleet: tokens
-/// and what refunds may still add are together at most the room.
+/// All amounts are in millitokens. Invariant: tokens plus outstanding refunds never exceed the
+/// capacity.
 ///
-/// Refunds count because a request is charged at admission and settled when it ends, which may be
-/// long after. The bucket could have filled up meanwhile, be emptied, and then get the refund on
-/// top: more than the burst at once, seen in the engines' record only. A bucket that had charged the
-/// true cost from the start would have overflowed, so that part of the refund is void, and it is
-/// taken from the oldest charges. Each charge has its own allowance: with one for all together, an
-/// old refund that is void could use that of a newer charge.
+/// A request is charged at admission and refunded when it ends. If the bucket refills in between, a
+/// full refund would let the account use more than its burst. Refunds that don't fit are therefore
+/// voided, those of the oldest charges first. Each charge has its own allowance, so a voided refund
+/// can't use the allowance of a newer charge.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
     limit: Option<Limit>,
     rate_share: u64,
     room_share: u64,
-    /// Negative after a request used more than it was charged for.
+    /// Negative while there is debt from requests that used more than their charge.
     tokens: i64,
-    /// Part of a thousandth, of 2^32.
+    /// Fraction of a millitoken, in units of 2^-32.
     fraction: u64,
-    /// The most that the refund of each unsettled charge may still add; those with none left out.
+    /// Maximum refund of each unsettled charge, by charge number; zero entries are removed.
     refundable: BTreeMap<u64, u64>,
-    /// Sum of these.
+    /// Sum of `refundable`.
     refundable_sum: u64,
     next_charge: u64,
-    filled_at: Millis,
+    refilled_at: Millis,
 }
 
 impl Bucket {
-    /// Sets the account's limit; tokens above a smaller burst are lost.
+    /// Sets the account's limit; tokens above a lower burst are dropped.
     pub fn set_limit(
         &mut self,
         limit: Limit,
@@ -41,44 +39,44 @@
     ) {
         self.refill(now);
         self.limit = Some(limit);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
-    /// Adds what the rate share has earned since the last time.
+    /// Adds the tokens earned by the rate share since the last refill.
     pub fn refill(
         &mut self,
         now: Millis,
     ) {
-        let elapsed = now.since(self.filled_at);
-        self.filled_at = self.filled_at.max(now);
+        let elapsed = now.since(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
         let rate = self.limit.map_or(0, |limit| limit.rate);
-        // A token a second is a thousandth a millisecond.
+        // One token per second is one millitoken per millisecond.
         let earned = u128::from(elapsed.0) * u128::from(rate) * u128::from(self.rate_share)
             + u128::from(self.fraction);
         self.fraction = u64::from(earned as u32);
         let whole = i64::try_from(earned >> 32).unwrap_or(i64::MAX);
         self.tokens = self.tokens.saturating_add(whole);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
-    /// Takes `milli` at admission, if it is there, and returns the charge's number.
+    /// Charges `millitokens` if available, and returns the charge number.
     pub fn charge(
         &mut self,
-        milli: u64,
+        millitokens: u64,
     ) -> Option<u64> {
-        if self.tokens() < milli {
+        if self.tokens() < millitokens {
             return None;
         }
-        self.tokens -= milli as i64;
+        self.tokens -= millitokens as i64;
         self.next_charge += 1;
-        self.refundable.insert(self.next_charge, milli);
-        self.refundable_sum += milli;
+        self.refundable.insert(self.next_charge, millitokens);
+        self.refundable_sum += millitokens;
         Some(self.next_charge)
     }
 
     /// Replaces a charge by the actual cost.
     ///
-    /// What was charged too little becomes debt; what was charged too much comes back.
+    /// The difference is refunded or becomes debt.
     pub fn settle(
         &mut self,
         charge: u64,
@@ -93,10 +91,10 @@
             .tokens
             .saturating_add_unsigned(refund)
             .saturating_sub_unsigned(debt);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
-    /// Adds a right that came from a peer or with an epoch.
+    /// Adds a right from a peer or from an epoch grant.
     pub fn add(
         &mut self,
         right: &Right,
@@ -104,10 +102,10 @@
         self.rate_share += right.rate_share;
         self.room_share += right.room_share;
         self.tokens = self.tokens.saturating_add_unsigned(right.tokens);
-        self.clip();
+        self.clamp_to_capacity();
     }
 
-    /// Takes a right out; each part is cut down to what is there.
+    /// Removes a right, each part limited to what is available, and returns it.
     pub fn take(
         &mut self,
         wanted: &Right,
@@ -121,11 +119,11 @@
         self.rate_share -= taken.rate_share;
         self.room_share -= taken.room_share;
         self.tokens -= taken.tokens as i64;
-        self.clip();
+        self.clamp_to_capacity();
         taken
     }
 
-    /// Everything held, as a right.
+    /// Returns the whole bucket as a right.
     pub fn held(
         &self,
         account: AccountId,
@@ -138,12 +136,12 @@
         }
     }
 
-    /// The account's limit, if the configuration in force here has one.
+    /// The account's limit, if it is configured here.
     pub const fn limit(&self) -> Option<Limit> {
         self.limit
     }
 
-    /// Tokens that may be used now.
+    /// Available millitokens.
     pub const fn tokens(&self) -> u64 {
         if self.tokens > 0 {
             self.tokens as u64
@@ -152,7 +150,7 @@
         }
     }
 
-    /// Tokens owed by requests that used more than they were charged for.
+    /// Millitokens used beyond the charges and not yet earned back.
     pub const fn debt(&self) -> u64 {
         if self.tokens < 0 {
             self.tokens.unsigned_abs()
@@ -161,12 +159,12 @@
         }
     }
 
-    /// The most that this bucket holds.
-    pub fn room(&self) -> u64 {
+    /// Capacity in millitokens.
+    pub fn capacity(&self) -> u64 {
         part_of(self.limit.map_or(0, Limit::burst_milli), self.room_share)
     }
 
-    /// What is earned in a second.
+    /// Refill rate in millitokens per second.
     pub fn rate(&self) -> u64 {
         let rate = self
             .limit
@@ -174,41 +172,41 @@
         part_of(rate, self.rate_share)
     }
 
-    /// The share of the rate, of [`super::SHARE_WHOLE`].
+    /// Share of the account's rate, in units of [`super::SHARE_WHOLE`].
     pub const fn rate_share(&self) -> u64 {
         self.rate_share
     }
 
-    /// The share of the burst, of [`super::SHARE_WHOLE`].
+    /// Share of the account's burst, in units of [`super::SHARE_WHOLE`].
     pub const fn room_share(&self) -> u64 {
         self.room_share
     }
 
-    fn clip(&mut self) {
-        // Without a limit the size of the room is unknown; it is clipped once the limit comes.
+    fn clamp_to_capacity(&mut self) {
+        // The capacity is unknown until the limit is set.
         if self.limit.is_none() {
             return;
         }
-        let room = i64::try_from(self.room()).unwrap_or(i64::MAX);
-        if self.tokens >= room {
-            self.tokens = room;
+        let capacity = i64::try_from(self.capacity()).unwrap_or(i64::MAX);
+        if self.tokens >= capacity {
+            self.tokens = capacity;
             self.fraction = 0;
         }
-        self.void_refunds(room.abs_diff(self.tokens));
+        self.void_refunds(capacity.abs_diff(self.tokens));
     }
 
-    /// Cuts what refunds may add down to `most`, the oldest first.
+    /// Limits outstanding refunds to `max`, reducing the oldest first.
     fn void_refunds(
         &mut self,
-        most: u64,
+        max: u64,
     ) {
-        while self.refundable_sum > most
+        while self.refundable_sum > max
             && let Some(mut oldest) = self.refundable.first_entry()
         {
-            let excess = self.refundable_sum - most;
-            let void = excess.min(*oldest.get());
-            *oldest.get_mut() -= void;
-            self.refundable_sum -= void;
+            let excess = self.refundable_sum - max;
+            let voided = excess.min(*oldest.get());
+            *oldest.get_mut() -= voided;
+            self.refundable_sum -= voided;
             if *oldest.get() == 0 {
                 oldest.remove();
             }
--- a/crates/core/src/rights/demand.rs
+++ b/crates/core/src/rights/demand.rs
@@ -1,40 +1,40 @@
 use crate::clock::Millis;
 
-/// How long the past counts; older demand fades.
-const MEMORY: Millis = Millis(1000);
+/// Time constant of the exponential decay.
+const TIME_CONSTANT: Millis = Millis(1000);
 
-/// A fading average of what callers have asked for, admitted or not.
+/// Exponentially decaying average of the requested tokens, admitted or not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
-    /// Thousandths of a token, each faded by its age.
-    weight: f64,
-    at: Millis,
+    /// Decayed sum in millitokens.
+    decayed_sum: f64,
+    updated_at: Millis,
 }
 
 impl Demand {
-    /// Notes a request.
-    pub fn note(
+    /// Adds the cost of a request.
+    pub fn record(
         &mut self,
-        milli: u64,
+        millitokens: u64,
         now: Millis,
     ) {
-        self.weight = self.faded(now) + milli as f64;
-        self.at = self.at.max(now);
+        self.decayed_sum = self.decayed(now) + millitokens as f64;
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Thousandths of a token asked for in a second.
+    /// Demand in millitokens per second.
     pub fn per_second(
         &self,
         now: Millis,
     ) -> u64 {
-        (self.faded(now) / MEMORY.as_secs_f64()) as u64
+        (self.decayed(now) / TIME_CONSTANT.as_secs_f64()) as u64
     }
 
-    fn faded(
+    fn decayed(
         &self,
         now: Millis,
     ) -> f64 {
-        let age = now.since(self.at);
-        self.weight * (-(age.0 as f64) / MEMORY.0 as f64).exp()
+        let age = now.since(self.updated_at);
+        self.decayed_sum * (-(age.0 as f64) / TIME_CONSTANT.0 as f64).exp()
     }
 }
--- a/crates/core/src/rights/ledger.rs
+++ b/crates/core/src/rights/ledger.rs
@@ -3,8 +3,8 @@
         Admission, Ask, CallerTag, Charge, Claim, Given, Limit, MILLI, Right, RightsSettings,
         TakeRequest,
         account_rights::AccountRights,
-        pending_asks::PendingAsks,
-        transfer_log::{Seen, TransferLog},
+        pending_requests::PendingRequests,
+        transfer_log::{LookUp, TransferLog},
     },
     crate::{
         clock::Millis,
@@ -14,29 +14,30 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// What one holder has of the rights to all accounts.
+/// The rate rights of one holder to all accounts.
 ///
-/// The daemon asks [`Self::try_admit`] for each request. On [`Admission::Ask`] it sends what
-/// [`Self::whom_to_ask`] returns, hands the answers to [`Self::receive`] and tries again; when
-/// nobody is left to ask or the wait grows too long it takes [`Self::refuse_after_ask`].
+/// The daemon calls [`Self::try_admit`] for each request. If peers may have the missing tokens, it
+/// sends them the messages from [`Self::whom_to_ask`], passes their responses to the ledger and
+/// tries again. When no peer is left to ask or the wait takes too long, it calls
+/// [`Self::refuse_after_ask`].
 #[derive(Clone, Debug)]
 pub struct RightsLedger {
     me: Holder,
     settings: RightsSettings,
     epoch: Option<Epoch>,
-    /// What was held on entering the epoch.
-    entered_with: Vec<Right>,
-    /// Accounts whose grant of this epoch has been added.
+    /// Rights held when the current epoch was entered.
+    epoch_report: Vec<Right>,
+    /// Accounts whose grant of the current epoch has been applied.
     granted: BTreeSet<AccountId>,
-    closed: bool,
+    is_closed: bool,
     accounts: BTreeMap<AccountId, AccountRights>,
     peers: Vec<Holder>,
-    pending: PendingAsks,
-    given: TransferLog,
+    pending: PendingRequests,
+    responses: TransferLog,
 }
 
 impl RightsLedger {
-    /// A holder that has nothing yet.
+    /// Creates a ledger without rights.
     pub fn new(
         me: Holder,
         settings: RightsSettings,
@@ -45,17 +46,17 @@
             me,
             settings,
             epoch: None,
-            entered_with: Vec::new(),
+            epoch_report: Vec::new(),
             granted: BTreeSet::new(),
-            closed: false,
+            is_closed: false,
             accounts: BTreeMap::new(),
             peers: Vec::new(),
-            pending: PendingAsks::default(),
-            given: TransferLog::default(),
+            pending: PendingRequests::default(),
+            responses: TransferLog::default(),
         }
     }
 
-    /// Sets the peers that may be asked: the other holders of the same role that can be reached.
+    /// Sets the peers to ask: the reachable holders of the same role.
     pub fn set_peers(
         &mut self,
         peers: impl IntoIterator<Item = Holder>,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Sets an account's limit; a lower burst cuts the tokens down at once.
+    /// Sets an account's limit; tokens above a lower burst are dropped at once.
     pub fn set_limit(
         &mut self,
         account: AccountId,
@@ -82,7 +83,7 @@
         rights.bucket.set_limit(limit, now);
     }
 
-    /// Forgets an account that no longer exists; its number is never used again.
+    /// Removes a deleted account; account ids are never reused.
     pub fn remove(
         &mut self,
         account: AccountId,
@@ -91,7 +92,7 @@
         self.pending.remove_account(account);
     }
 
-    /// Admits a request of `cost` tokens, or says what has to be done first.
+    /// Tries to admit a request of `cost` tokens without using reserved tokens.
     pub fn try_admit(
         &mut self,
         account: AccountId,
@@ -102,55 +103,55 @@
         self.try_admit_as(Claim::Leaving(0), account, cost, caller, now)
     }
 
-    /// The same for a request that comes before or after others of its account.
+    /// Like [`Self::try_admit`], with explicit access to reserved tokens.
     pub fn try_admit_as(
         &mut self,
-        claim: Claim,
+        reserve: Claim,
         account: AccountId,
         cost: u64,
         caller: CallerTag,
         now: Millis,
     ) -> Admission {
-        if self.closed {
+        if self.is_closed {
             return Admission::Refused(Refusal::new(ErrorKind::ShuttingDown));
         }
         let Some(rights) = self.accounts.get_mut(&account) else {
             return Admission::Refused(Refusal::new(ErrorKind::RateLimited));
         };
         rights.advance(&self.settings, now);
-        let milli = cost.saturating_mul(MILLI);
-        if milli > rights.burst() {
+        let millitokens = cost.saturating_mul(MILLI);
+        if millitokens > rights.burst() {
             return Admission::Refused(Refusal::new(ErrorKind::LargerThanBurst));
         }
-        let kept_back = match claim {
+        let reserved = match reserve {
             Claim::First => 0,
             Claim::Leaving(tokens) => rights
                 .reserved_before(caller)
                 .saturating_add(tokens.saturating_mul(MILLI)),
         };
-        let wanted = milli.saturating_add(kept_back);
+        let required = millitokens.saturating_add(reserved);
         let tokens = rights.bucket.tokens();
-        let number = (tokens >= wanted)
-            .then(|| rights.bucket.charge(milli))
+        let number = (tokens >= required)
+            .then(|| rights.bucket.charge(millitokens))
             .flatten();
         match number {
             Some(number) => {
-                rights.promises.end(caller);
-                rights.demand.note(milli, now);
+                rights.reservations.complete(caller);
+                rights.demand.record(millitokens, now);
                 Admission::Admitted(Charge {
                     account,
                     number,
                     tokens: cost,
                 })
             }
-            None if self.may_ask_for(account, now) => Admission::Ask {
-                shortfall: wanted - tokens,
+            None if self.can_ask_peers(account, now) => Admission::Ask {
+                shortfall: required - tokens,
             },
             None => Admission::Refused(self.refuse_after_ask(account, cost, caller, now)),
         }
     }
 
-    /// Refuses a request, promises when it will be served and keeps tokens back for that time.
+    /// Refuses a request with a retry time, and reserves tokens for the retry where possible.
     pub fn refuse_after_ask(
         &mut self,
         account: AccountId,
@@ -161,16 +162,16 @@
         let Some(rights) = self.accounts.get_mut(&account) else {
             return Refusal::new(ErrorKind::RateLimited);
         };
-        let milli = cost.saturating_mul(MILLI);
-        if milli > rights.burst() {
+        let millitokens = cost.saturating_mul(MILLI);
+        if millitokens > rights.burst() {
             return Refusal::new(ErrorKind::LargerThanBurst);
         }
         rights.advance(&self.settings, now);
-        rights.demand.note(milli, now);
-        rights.promise(milli, caller, &self.settings, now)
+        rights.demand.record(millitokens, now);
+        rights.refuse(millitokens, caller, &self.settings, now)
     }
 
-    /// Settles a charge with what the engine counted.
+    /// Settles a charge with the actual usage, in tokens.
     pub fn settle(
         &mut self,
         charge: Charge,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Requests for rights to send now because `shortfall` thousandths of a token are missing.
+    /// Creates the requests to send to peers for `shortfall` missing millitokens.
     pub fn whom_to_ask(
         &mut self,
         account: AccountId,
@@ -195,12 +196,12 @@
         let (Some(epoch), Some(rights)) = (self.epoch, self.accounts.get_mut(&account)) else {
             return Vec::new();
         };
-        if self.closed || !self.settings.sharing {
+        if self.is_closed || !self.settings.sharing {
             return Vec::new();
         }
         let demand = rights.demand.per_second(now);
-        let ahead = demand.saturating_mul(self.settings.ahead.0) / 1000;
-        let needed = shortfall.saturating_add(ahead);
+        let prefetch_tokens = demand.saturating_mul(self.settings.prefetch_window.0) / 1000;
+        let needed = shortfall.saturating_add(prefetch_tokens);
         let peers = &mut rights.peers;
         let chosen = peers.choose(account, needed, &self.peers, &self.settings, now);
         let mut asks = Vec::with_capacity(chosen.len());
@@ -221,9 +222,10 @@
         asks
     }
 
-    /// Requests that have waited long for their answer, to be sent again as they are.
+    /// Returns the unanswered requests that are due to be sent again, unchanged.
     ///
-    /// The giver may have subtracted already; only the answer to the same transfer brings it back.
+    /// The giver may already have subtracted the rights, which only a response to the same transfer
+    /// can deliver.
     pub fn unanswered(
         &mut self,
         now: Millis,
@@ -231,72 +233,76 @@
         self.pending.unanswered(&self.settings, now)
     }
 
-    /// Asks ahead for accounts that are in use here and whose tokens run low.
+    /// Prefetches tokens for accounts that are in use here and run low.
     ///
-    /// Peers without demand earn too; what doesn't fit in their rooms is lost unless it is fetched.
+    /// Idle peers earn tokens too, and lose those that exceed the capacity of their buckets.
     pub fn rebalance(
         &mut self,
         now: Millis,
     ) -> Vec<Ask> {
-        let ahead = self.settings.ahead.0;
-        let mut low = Vec::new();
+        let prefetch_window = self.settings.prefetch_window.0;
+        let mut low_accounts = Vec::new();
         for (&account, rights) in &mut self.accounts {
             let demand = rights.demand.per_second(now);
             if demand == 0 {
                 continue;
             }
             rights.advance(&self.settings, now);
-            let wanted = (demand.saturating_mul(ahead) / 1000).min(rights.burst() / 2);
-            if rights.bucket.tokens() < wanted {
-                low.push(account);
+            let required = (demand.saturating_mul(prefetch_window) / 1000).min(rights.burst() / 2);
+            if rights.bucket.tokens() < required {
+                low_accounts.push(account);
             }
         }
-        low.into_iter()
+        low_accounts
+            .into_iter()
             .flat_map(|account| self.whom_to_ask(account, 0, now))
             .collect()
     }
 
-    /// Answers a peer; what it is given is subtracted here first.
+    /// Handles a peer's request; the returned rights have been subtracted here.
     pub fn give(
         &mut self,
         request: &TakeRequest,
         now: Millis,
     ) -> Given {
         let epoch = self.epoch.unwrap_or_default();
-        let nothing = Given {
+        let empty = Given {
             epoch,
             right: Right::none(request.account),
             spare: 0,
         };
-        if self.epoch != Some(request.epoch) || self.closed || !self.settings.sharing {
-            return nothing;
+        if self.epoch != Some(request.epoch) || self.is_closed || !self.settings.sharing {
+            return empty;
         }
-        match self.given.look_up(request.from, request.transfer) {
-            Seen::Answered(given) => return given,
-            Seen::Forgotten => return nothing,
-            Seen::No => (),
+        match self.responses.look_up(request.from, request.transfer) {
+            LookUp::Handled(response) => return response,
+            LookUp::Evicted => return empty,
+            LookUp::New => (),
         }
         let holders = self.peers.len() as u64 + 1;
         let Some(rights) = self.accounts.get_mut(&request.account) else {
-            return nothing;
+            return empty;
         };
         rights.advance(&self.settings, now);
         let offer = rights.offer(request, holders, &self.settings, now);
         let right = rights.bucket.take(&offer);
-        let given = Given {
+        let response = Given {
             epoch,
             right,
             spare: rights.spare(&self.settings, now),
         };
-        self.given.keep(request.from, request.transfer, given);
-        given
+        self.responses
+            .store(request.from, request.transfer, response);
+        response
     }
 
-    /// Adds what a peer gave, at most once and only if it was asked for in this epoch.
+    /// Adds the rights of a peer's response and returns whether there were any.
+    ///
+    /// Each transfer is applied at most once, and only in the epoch in which it was requested.
     pub fn receive(
         &mut self,
         transfer: TransferId,
-        given: &Given,
+        response: &Given,
         now: Millis,
     ) -> bool {
         let Some(ask) = self.pending.take(transfer) else {
@@ -306,26 +312,26 @@
         let Some(rights) = self.accounts.get_mut(&account) else {
             return false;
         };
-        let same_epoch = self.epoch == Some(given.epoch);
-        let valid = same_epoch && given.right.account == account && !self.closed;
-        let useful = valid && !given.right.is_none();
+        let same_epoch = self.epoch == Some(response.epoch);
+        let valid = same_epoch && response.right.account == account && !self.is_closed;
+        let useful = valid && !response.right.is_none();
         if let Some(peer) = self.peers.iter().position(|&peer| peer == ask.to) {
             let settings = &self.settings;
             rights
                 .peers
-                .note_answer(peer, useful, given.spare, settings, now);
+                .record_response(peer, useful, response.spare, settings, now);
         }
         if useful {
             rights.bucket.refill(now);
-            rights.bucket.add(&given.right);
+            rights.bucket.add(&response.right);
         }
         useful
     }
 
-    /// Enters an epoch and returns what is held at that moment, to be reported.
+    /// Enters an epoch and returns the rights held at that moment, to be reported.
     ///
-    /// From here on transfers of other epochs are refused, so each right is in exactly one report
-    /// or in none. Entering the same epoch again returns the same; an older one, nothing.
+    /// Transfers of other epochs are rejected from then on, so each right is in at most one report.
+    /// Entering the current epoch again returns the same report; an older epoch returns `None`.
     pub fn enter_epoch(
         &mut self,
         epoch: Epoch,
@@ -333,29 +339,29 @@
     ) -> Option<&[Right]> {
         match self.epoch {
             Some(current) if epoch < current => return None,
-            Some(current) if epoch == current => return Some(&self.entered_with),
+            Some(current) if epoch == current => return Some(&self.epoch_report),
             _ => (),
         }
         self.epoch = Some(epoch);
         self.pending.clear();
-        self.given.clear();
+        self.responses.clear();
         self.granted.clear();
         for rights in self.accounts.values_mut() {
             rights.advance(&self.settings, now);
             rights.peers.clear();
         }
-        self.entered_with = self.held();
-        Some(&self.entered_with)
+        self.epoch_report = self.held();
+        Some(&self.epoch_report)
     }
 
-    /// Adds what the epoch's record grants this holder, each account's grant once.
+    /// Applies the grants of an epoch record to this holder, once for each account.
     pub fn apply_grants(
         &mut self,
         epoch: Epoch,
         grants: &[Right],
         now: Millis,
     ) {
-        if self.epoch != Some(epoch) || self.closed {
+        if self.epoch != Some(epoch) || self.is_closed {
             return;
         }
         for grant in grants {
@@ -367,7 +373,7 @@
         }
     }
 
-    /// Stops for good and returns all that was held: the holder's last word.
+    /// Closes the ledger and returns all rights for the final report.
     pub fn give_all_back(
         &mut self,
         now: Millis,
@@ -380,15 +386,15 @@
         held
     }
 
-    /// Drops everything and stops: others have been told that this holder is gone.
+    /// Closes the ledger and drops all rights, because they are reissued to other holders.
     pub fn forfeit(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
         self.accounts.clear();
         self.pending.clear();
-        self.given.clear();
+        self.responses.clear();
     }
 
-    /// Everything held now, as of the last use of each account.
+    /// Returns the rights held, as of the last use of each account.
     pub fn held(&self) -> Vec<Right> {
         self.accounts
             .iter()
@@ -397,12 +403,12 @@
             .collect()
     }
 
-    /// The epoch this holder is in.
+    /// The current epoch, if one has been entered.
     pub const fn epoch(&self) -> Option<Epoch> {
         self.epoch
     }
 
-    fn may_ask_for(
+    fn can_ask_peers(
         &self,
         account: AccountId,
         now: Millis,
--- a/crates/core/src/rights/settings.rs
+++ b/crates/core/src/rights/settings.rs
@@ -1,34 +1,34 @@
 use crate::clock::Millis;
 
-/// How a holder shares its rights.
+/// Settings for the transfer of rights between holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RightsSettings {
-    /// Whether rights move between holders at all.
+    /// Whether holders transfer rights.
     pub sharing: bool,
-    /// Peers asked at a time for one account.
+    /// Maximum number of peers asked at a time for one account.
     pub fan_out: usize,
-    /// For how long ahead a giver keeps the tokens that its own demand needs.
-    pub keep: Millis,
-    /// For how long a peer that had nothing to spare is not asked again.
-    pub back_off: Millis,
-    /// How often that time doubles while the peer keeps having nothing.
-    pub max_doublings: u32,
-    /// Empty rounds of asking after which an account is left alone for a while.
-    pub rounds: usize,
-    /// How long an answer is worth waiting for before a request is refused.
-    pub answer_wait: Millis,
-    /// For how long ahead a holder that runs low asks.
-    pub ahead: Millis,
-    /// After how long without an answer a request for rights is sent again.
-    pub resend: Millis,
-    /// A holder keeps its even part of the rate divided by this, whoever asks.
-    pub floor_divisor: u64,
-    /// How long the tokens of a promised refusal wait for their caller after the promised time.
-    pub grace: Millis,
-    /// How far ahead a refusal is promised; rights move, so what lies further ahead can't be.
+    /// Time of its own demand for which a giver keeps tokens.
+    pub keep_window: Millis,
+    /// Initial backoff for a peer without spare tokens.
+    pub backoff: Millis,
+    /// Maximum number of times that a backoff or resend interval doubles.
+    pub max_backoff_doublings: u32,
+    /// Empty rounds of requests after which an account backs off.
+    pub max_empty_rounds: usize,
+    /// How long admission waits for a response of a peer.
+    pub response_timeout: Millis,
+    /// Time of its own demand for which a holder prefetches tokens.
+    pub prefetch_window: Millis,
+    /// Initial interval between resends of an unanswered request.
+    pub resend_interval: Millis,
+    /// A giver keeps at least an even share of the rate divided by this.
+    pub min_share_divisor: u64,
+    /// How long tokens stay reserved after the retry time.
+    pub reservation_grace: Millis,
+    /// Maximum delay of a retry for which tokens are reserved.
     pub horizon: Millis,
-    /// Promised refusals kept for one account.
-    pub max_promises: usize,
+    /// Maximum number of reservations of one account.
+    pub max_reservations: usize,
 }
 
 impl Default for RightsSettings {
@@ -36,17 +36,17 @@
         Self {
             sharing: true,
             fan_out: 3,
-            keep: Millis(100),
-            back_off: Millis(50),
-            max_doublings: 3,
-            rounds: 3,
-            answer_wait: Millis(50),
-            ahead: Millis(1000),
-            resend: Millis(250),
-            floor_divisor: 32,
-            grace: Millis(1500),
+            keep_window: Millis(100),
+            backoff: Millis(50),
+            max_backoff_doublings: 3,
+            max_empty_rounds: 3,
+            response_timeout: Millis(50),
+            prefetch_window: Millis(1000),
+            resend_interval: Millis(250),
+            min_share_divisor: 32,
+            reservation_grace: Millis(1500),
             horizon: Millis::from_secs(10),
-            max_promises: 1024,
+            max_reservations: 1024,
         }
     }
 }
--- a/crates/core/src/rights/transfer_log.rs
+++ b/crates/core/src/rights/transfer_log.rs
@@ -4,13 +4,13 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Answers kept for each asker, so that a repeated request gets the same one.
-const KEPT: usize = 64;
+/// Responses kept per asker for resent requests.
+const MAX_RESPONSES_PER_ASKER: usize = 64;
 
-/// What has been given in this epoch.
+/// Responses of this epoch, to deduplicate resent requests.
 ///
-/// A request is sent again when its answer was lost. Were it taken for a new one, the giver would
-/// subtract twice; the asker applies one answer only, so the other part would be lost.
+/// Handling a resent request as new would subtract rights twice, while the asker applies only one
+/// response.
 #[derive(Clone, Debug, Default)]
 pub struct TransferLog {
     askers: HashMap<Holder, Asker>,
@@ -18,56 +18,56 @@
 
 #[derive(Clone, Debug, Default)]
 struct Asker {
-    answers: VecDeque<(TransferId, Given)>,
-    /// The highest transfer whose answer is no longer kept.
-    forgotten: Option<TransferId>,
+    responses: VecDeque<(TransferId, Given)>,
+    /// The highest transfer whose response was evicted.
+    last_evicted: Option<TransferId>,
 }
 
-/// Whether a request for rights is new.
+/// Whether a request was handled before.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen {
-    /// It is new.
-    No,
-    /// It was answered so.
-    Answered(Given),
-    /// It may have been answered; the answer is no longer kept.
-    Forgotten,
+pub enum LookUp {
+    /// The request is new.
+    New,
+    /// The request was handled with this response.
+    Handled(Given),
+    /// The request may have been handled; its response was evicted.
+    Evicted,
 }
 
 impl TransferLog {
-    /// Looks a transfer up.
+    /// Looks up the response to a transfer.
     pub fn look_up(
         &self,
         from: Holder,
         transfer: TransferId,
-    ) -> Seen {
+    ) -> LookUp {
         let Some(asker) = self.askers.get(&from) else {
-            return Seen::No;
+            return LookUp::New;
         };
-        let kept = asker.answers.iter().find(|(id, _)| *id == transfer);
-        match (kept, asker.forgotten) {
-            (Some(&(_, given)), _) => Seen::Answered(given),
-            (None, Some(forgotten)) if transfer <= forgotten => Seen::Forgotten,
-            (None, _) => Seen::No,
+        let kept = asker.responses.iter().find(|(id, _)| *id == transfer);
+        match (kept, asker.last_evicted) {
+            (Some(&(_, given)), _) => LookUp::Handled(given),
+            (None, Some(last_evicted)) if transfer <= last_evicted => LookUp::Evicted,
+            (None, _) => LookUp::New,
         }
     }
 
-    /// Keeps an answer.
-    pub fn keep(
+    /// Stores a response, evicting the oldest of the asker if there are too many.
+    pub fn store(
         &mut self,
         from: Holder,
         transfer: TransferId,
         given: Given,
     ) {
         let asker = self.askers.entry(from).or_default();
-        asker.answers.push_back((transfer, given));
-        if asker.answers.len() > KEPT {
-            let oldest = asker.answers.pop_front().map(|(id, _)| id);
-            asker.forgotten = asker.forgotten.max(oldest);
+        asker.responses.push_back((transfer, given));
+        if asker.responses.len() > MAX_RESPONSES_PER_ASKER {
+            let oldest = asker.responses.pop_front().map(|(id, _)| id);
+            asker.last_evicted = asker.last_evicted.max(oldest);
         }
     }
 
-    /// Forgets all; transfers of an earlier epoch are refused for their epoch.
+    /// Drops all responses; requests of earlier epochs are rejected by their epoch.
     pub fn clear(&mut self) {
         self.askers.clear();
     }
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -1,6 +1,6 @@
-//! The fair queue: scripts of `scripts/fair_queue`, and generated orders of events.
+//! Tests of the fair queue: the scripts in `scripts/fair_queue`, and random event sequences.
 //!
-//! A long run of the orders: `JASMINE_ORDERS=100000 cargo test --release -p jasmine-core --test
+//! For a long run: `JASMINE_ORDERS=100000 cargo test --release -p jasmine-core --test
 //! fair_queue`.
 
 use {
@@ -19,7 +19,7 @@
     std::{collections::BTreeMap, error::Error, fmt::Write as _},
 };
 
-/// Orders that CI runs.
+/// Default number of event sequences.
 const ORDERS: u64 = 500;
 const EVENTS: usize = 300;
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// A queue driven by a script.
+/// Runs script commands on a queue.
 struct Script {
     queue: FairQueue,
     now: Millis,
     next: u64,
-    /// Base models whose engines are full.
+    /// Base models without free engine capacity.
     busy: Vec<u32>,
 }
 
@@ -150,7 +150,7 @@
             "advance" => self.now += Millis(times),
             "pop" => out = self.pop(times as usize),
             "serve" => {
-                // One at a time, so that the queue learns its rate.
+                // One at a time, so that the queue measures its service rate.
                 for _ in 0..times {
                     self.now += Millis(100);
                     out += &self.pop(1);
@@ -177,7 +177,7 @@
     }
 }
 
-/// One thing that happens to a queue.
+/// An event in a generated sequence.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Event {
@@ -203,7 +203,7 @@
     Settle(#[generator(0..4)] u32, #[generator(0..500)] u64),
 }
 
-/// What a correct queue would hold.
+/// Reference model that checks the queue after each event.
 struct Model {
     queue: FairQueue,
     now: Millis,
@@ -211,11 +211,11 @@
     busy: u32,
     waiting: BTreeMap<RequestId, (Waiting, Millis)>,
     accepted: usize,
-    left: usize,
+    removed: usize,
 }
 
-const PATIENCE: [Millis; 3] = [Millis(0), Millis(1000), Millis(5000)];
-const MOST: usize = 40;
+const PRIORITY_DELAY: [Millis; 3] = [Millis(0), Millis(1000), Millis(5000)];
+const MAX_QUEUED: usize = 40;
 
 impl Model {
     fn new() -> Self {
@@ -223,7 +223,7 @@
         for account in 0..4 {
             let share = AccountShare {
                 weight: account + 1,
-                max_queued: MOST,
+                max_queued: MAX_QUEUED,
             };
             queue.set_share(AccountId(account), share);
         }
@@ -234,7 +234,7 @@
             busy: 3,
             waiting: BTreeMap::new(),
             accepted: 0,
-            left: 0,
+            removed: 0,
         }
     }
 
@@ -262,16 +262,16 @@
                 if let Some(request) = request {
                     let cancelled = self.queue.cancel(request, self.now);
                     assert!(cancelled.is_some(), "{request} waits");
-                    self.leaves(request);
+                    self.remove(request);
                 }
             }
             Event::Advance(by) => self.now += Millis(by),
             Event::Expire => {
                 for expired in self.queue.expire(self.now) {
-                    self.leaves(expired.request);
+                    self.remove(expired.request);
                 }
                 let late = self.waiting.values().find(|(w, _)| w.deadline <= self.now);
-                assert!(late.is_none(), "held back beyond its deadline: {late:?}");
+                assert!(late.is_none(), "still queued after its deadline: {late:?}");
             }
             Event::Busy(model) => self.busy = model,
             Event::Settle(account, actual) => {
@@ -279,7 +279,7 @@
             }
         }
         assert_eq!(self.queue.len(), self.waiting.len());
-        assert_eq!(self.accepted, self.left + self.waiting.len());
+        assert_eq!(self.accepted, self.removed + self.waiting.len());
     }
 
     fn push(
@@ -300,10 +300,10 @@
             target: Target::Base(ModelId(model)),
         };
         self.next += 1;
-        let before = self.queue.len_of(waiting.account);
+        let before = self.queue.account_len(waiting.account);
         match self.queue.push(waiting, self.now) {
             Ok(queued) => {
-                assert!(before < MOST, "over the bound");
+                assert!(before < MAX_QUEUED, "the account's queue limit is exceeded");
                 assert!(queued.expected_wait < Millis(within));
                 self.waiting.insert(waiting.request, (waiting, self.now));
                 self.accepted += 1;
@@ -315,31 +315,34 @@
     fn pop(&mut self) {
         let busy = self.busy;
         let can_run = |waiting: &Waiting| waiting.target != Target::Base(ModelId(busy));
-        let place = |&(waiting, at): &(Waiting, Millis)| {
-            (at + PATIENCE[waiting.priority as usize], waiting.request)
+        let position = |&(waiting, at): &(Waiting, Millis)| {
+            (
+                at + PRIORITY_DELAY[waiting.priority as usize],
+                waiting.request,
+            )
         };
         match self.queue.pop(self.now, can_run) {
             Some(popped) => {
-                let own = place(&self.waiting[&popped.request]);
+                let own = position(&self.waiting[&popped.request]);
                 let overtaken = self.waiting.values().find(|other| {
-                    other.0.account == popped.account && can_run(&other.0) && place(other) < own
+                    other.0.account == popped.account && can_run(&other.0) && position(other) < own
                 });
                 assert!(overtaken.is_none(), "{popped:?} overtook {overtaken:?}");
-                self.leaves(popped.request);
+                self.remove(popped.request);
             }
             None => assert!(self.waiting.values().all(|(waiting, _)| !can_run(waiting))),
         }
     }
 
-    fn leaves(
+    fn remove(
         &mut self,
         request: RequestId,
     ) {
         assert!(
             self.waiting.remove(&request).is_some(),
-            "{request} left twice"
+            "{request} was removed twice"
         );
-        self.left += 1;
+        self.removed += 1;
     }
 }
 
@@ -360,8 +363,8 @@
     }
 }
 
-/// Four accounts of weights 1 to 4 always have work waiting and one of them sends far more.
-/// Whoever sends more must not get more than its weight; the other callers would wait for it.
+/// Guards against an account that sends more requests getting more than its weighted share.
+/// Four accounts of weights 1 to 4 are always backlogged, one with far more requests.
 #[test]
 fn weighted_parts() {
     let mut model = Model::new();
--- a/crates/core/tests/support/daemon.rs
+++ b/crates/core/tests/support/daemon.rs
@@ -1,5 +1,5 @@
 use {
-    super::reference::Used,
+    super::reference::Usage,
     jasmine_core::{
         clock::Millis,
         error::ErrorKind,
@@ -9,32 +9,32 @@
     },
 };
 
-/// A request that waits for the answers of peers.
+/// A request that waits for responses of peers.
 #[derive(Clone, Copy, Debug)]
 struct Asking {
     account: AccountId,
     cost: u64,
-    uses: u64,
+    actual_tokens: u64,
     caller: CallerTag,
     since: Millis,
 }
 
-/// How a request fared.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     Admitted,
-    Asking,
+    Pending,
     Refused(ErrorKind, Option<Millis>),
 }
 
-/// A daemon that holds rights.
+/// A daemon with a rights ledger.
 #[derive(Debug)]
 pub struct Daemon {
     pub holder: Holder,
     pub ledger: RightsLedger,
     asking: Vec<Asking>,
-    /// Charges of running requests and where they stand in the record of what ran.
-    running: Vec<(Charge, usize)>,
+    /// Charges of running requests and their indexes in the usage records.
+    charges: Vec<(Charge, usize)>,
 }
 
 impl Daemon {
@@ -46,7 +46,7 @@
             holder,
             ledger: RightsLedger::new(holder, settings),
             asking: Vec::new(),
-            running: Vec::new(),
+            charges: Vec::new(),
         }
     }
 
@@ -55,56 +55,56 @@
         &mut self,
         account: AccountId,
         cost: u64,
-        uses: u64,
+        actual_tokens: u64,
         caller: CallerTag,
         now: Millis,
-        ran: &mut Vec<Used>,
-    ) -> (Fate, Vec<Ask>) {
+        ran: &mut Vec<Usage>,
+    ) -> (Outcome, Vec<Ask>) {
         let asking = Asking {
             account,
             cost,
-            uses,
+            actual_tokens,
             caller,
             since: now,
         };
         self.attempt(asking, now, ran)
     }
 
-    /// Tries again what waits for answers, and gives up what has waited long.
+    /// Retries waiting requests, and refuses those that have timed out.
     pub fn retry(
         &mut self,
         now: Millis,
-        ran: &mut Vec<Used>,
-    ) -> (Vec<Fate>, Vec<Ask>) {
-        let (mut fates, mut asks) = (Vec::new(), Vec::new());
+        ran: &mut Vec<Usage>,
+    ) -> (Vec<Outcome>, Vec<Ask>) {
+        let (mut outcomes, mut asks) = (Vec::new(), Vec::new());
         for asking in std::mem::take(&mut self.asking) {
-            let (fate, more) = match now.since(asking.since) {
-                waited if waited >= Millis(100) => (self.give_up(asking, now), Vec::new()),
+            let (outcome, more) = match now.since(asking.since) {
+                waited if waited >= Millis(100) => (self.refuse(asking, now), Vec::new()),
                 _ => self.attempt(asking, now, ran),
             };
             asks.extend(more);
-            fates.push(fate);
+            outcomes.push(outcome);
         }
-        (fates, asks)
+        (outcomes, asks)
     }
 
     /// Ends the oldest running request and settles its charge.
     pub fn finish(
         &mut self,
         now: Millis,
-        ran: &mut [Used],
+        ran: &mut [Usage],
     ) -> bool {
-        if self.running.is_empty() {
+        if self.charges.is_empty() {
             return false;
         }
-        let (charge, index) = self.running.remove(0);
+        let (charge, index) = self.charges.remove(0);
         ran[index].finished = true;
-        self.ledger.settle(charge, ran[index].uses, now);
+        self.ledger.settle(charge, ran[index].actual_tokens, now);
         true
     }
 
-    /// Sees an epoch record; what it holds is returned if it has to be reported.
-    pub fn see_epoch(
+    /// Handles an epoch record; returns the rights to report if it is a member.
+    pub fn handle_epoch(
         &mut self,
         record: &EpochRecord,
         now: Millis,
@@ -130,8 +130,8 @@
         &mut self,
         asking: Asking,
         now: Millis,
-        ran: &mut Vec<Used>,
-    ) -> (Fate, Vec<Ask>) {
+        ran: &mut Vec<Usage>,
+    ) -> (Outcome, Vec<Ask>) {
         let Asking {
             account,
             cost,
@@ -140,32 +140,33 @@
         } = asking;
         match self.ledger.try_admit(account, cost, caller, now) {
             Admission::Admitted(charge) => {
-                self.running.push((charge, ran.len()));
-                ran.push(Used {
+                self.charges.push((charge, ran.len()));
+                ran.push(Usage {
                     account,
                     at: now,
                     charged: cost,
-                    uses: asking.uses,
+                    actual_tokens: asking.actual_tokens,
                     finished: false,
                 });
-                (Fate::Admitted, Vec::new())
+                (Outcome::Admitted, Vec::new())
             }
             Admission::Ask { shortfall } => {
                 self.asking.push(asking);
                 let asks = self.ledger.whom_to_ask(account, shortfall, now);
-                (Fate::Asking, asks)
-            }
-            Admission::Refused(refusal) => {
-                (Fate::Refused(refusal.kind, refusal.retry_after), Vec::new())
+                (Outcome::Pending, asks)
             }
+            Admission::Refused(refusal) => (
+                Outcome::Refused(refusal.kind, refusal.retry_after),
+                Vec::new(),
+            ),
         }
     }
 
-    fn give_up(
+    fn refuse(
         &mut self,
         asking: Asking,
         now: Millis,
-    ) -> Fate {
+    ) -> Outcome {
         let Asking {
             account,
             cost,
@@ -173,6 +174,6 @@
             ..
         } = asking;
         let refusal = self.ledger.refuse_after_ask(account, cost, caller, now);
-        Fate::Refused(refusal.kind, refusal.retry_after)
+        Outcome::Refused(refusal.kind, refusal.retry_after)
     }
 }
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -1,10 +1,10 @@
 use {
     super::{
-        Event, Link,
+        Event, MessageFate,
         configuration::{ACCOUNTS, budgets},
-        daemon::{Daemon, Fate},
-        links::Message,
-        reference::Used,
+        daemon::{Daemon, Outcome},
+        messages::Message,
+        reference::Usage,
         store::Store,
     },
     jasmine_core::{
@@ -22,15 +22,15 @@
     },
 };
 
-const LEASE: Millis = Millis(3000);
-pub const LIST_LAG: Millis = Millis(5000);
+const LEASE_TTL: Millis = Millis(3000);
+pub const MAX_LIST_LAG: Millis = Millis(5000);
 const STEP: Millis = Millis(50);
 
-/// One VM that runs.
+/// A running VM.
 #[derive(Debug)]
 pub struct Vm {
     pub(super) frozen: bool,
-    /// Revision of the configuration in force.
+    /// Revision of the applied configuration.
     pub(super) revision: usize,
     pub(super) daemons: [Daemon; 2],
     pub(super) machine: EpochMachine,
@@ -38,7 +38,7 @@
     pub(super) to_write: VecDeque<EpochAction>,
 }
 
-/// The whole fleet.
+/// A simulated fleet with its store and links.
 #[derive(Debug)]
 pub struct Fleet {
     pub now: Millis,
@@ -47,17 +47,17 @@
     pub(super) vms: BTreeMap<VmId, Vm>,
     pub(super) last_run: BTreeMap<VmId, Incarnation>,
     pub(super) unlisted: BTreeMap<VmId, Millis>,
-    pub(super) links: VecDeque<Message>,
+    pub(super) messages: VecDeque<Message>,
     /// Limit of the first account at each revision.
     pub(super) limits: Vec<Limit>,
-    pub(super) ran: Vec<Used>,
-    /// In which order limits changed and requests ran.
-    pub(super) in_force: Vec<(usize, Millis, AccountId, Limit)>,
+    pub(super) ran: Vec<Usage>,
+    /// Limit changes: number of requests before it, time, account and limit.
+    pub(super) limit_changes: Vec<(usize, Millis, AccountId, Limit)>,
     callers: u64,
 }
 
 impl Fleet {
-    /// `vms` VMs that have just started.
+    /// Creates a fleet of `vms` VMs that have just started.
     pub fn new(
         vms: u32,
         settings: RightsSettings,
@@ -69,13 +69,13 @@
             vms: BTreeMap::new(),
             last_run: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            links: VecDeque::new(),
+            messages: VecDeque::new(),
             limits: vec![Limit {
                 rate: 100,
                 burst: 100,
             }],
             ran: Vec::new(),
-            in_force: Vec::new(),
+            limit_changes: Vec::new(),
             callers: 0,
         };
         fleet.store.up = true;
@@ -86,38 +86,44 @@
         fleet
     }
 
-    /// Makes one thing happen.
+    /// Applies an event.
     pub fn apply(
         &mut self,
         event: Event,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         match event {
             Event::Advance(by) => self.advance(by),
             Event::Request {
                 vm,
                 controller,
-                second,
+                is_second_account,
                 cost,
-                uses,
+                usage_percent,
             } => {
-                return self.request(vm, controller, second, cost, uses);
+                return self.request(vm, controller, is_second_account, cost, usage_percent);
             }
             Event::Finish(vm) => self.finish(vm),
-            Event::Tick { vm, reply_lost } => return self.tick(vm, reply_lost),
-            Event::Read { vm, old_list } => self.read(vm, old_list),
+            Event::Tick { vm, loses_report } => return self.tick(vm, loses_report),
+            Event::Read {
+                vm,
+                keeps_stale_list,
+            } => self.read(vm, keeps_stale_list),
             Event::Decide(vm) => self.decide(vm),
             Event::Write(vm) => self.write(vm),
-            Event::Carry(link, index) => return self.carry(link, index),
-            Event::CarryAll => return self.carry_all(),
-            Event::Run { time, reports_lost } => return self.work(time, reports_lost),
+            Event::HandleMessage(fate, index) => return self.deliver_message(fate, index),
+            Event::DeliverAll => return self.deliver_all(),
+            Event::Run {
+                time,
+                loses_reports,
+            } => return self.work(time, loses_reports),
             Event::Kill(vm) => drop(self.vms.remove(&vm)),
             Event::Start(vm) => self.start(vm),
-            Event::Leave(vm) => self.leave(vm),
+            Event::Stop(vm) => self.stop(vm),
             Event::Freeze(vm) => self.set_frozen(vm, true),
             Event::Thaw(vm) => self.set_frozen(vm, false),
             Event::Store(up) => self.store.up = up,
-            Event::List => self.update_list(),
-            Event::Unlist(vm) => self.unlist(vm),
+            Event::UpdateList => self.update_list(),
+            Event::OmitFromList(vm) => self.omit_from_list(vm),
             Event::Limit(rate) => self.limits.push(Limit {
                 rate,
                 burst: rate * 2,
@@ -127,21 +133,21 @@
         Vec::new()
     }
 
-    /// Lets everything work for a while, links and store included.
+    /// Runs all VMs for a while, with links and store.
     pub fn run(
         &mut self,
         time: Millis,
-    ) -> Vec<Fate> {
+    ) -> Vec<Outcome> {
         self.work(time, false)
     }
 
     fn work(
         &mut self,
         time: Millis,
-        reports_lost: bool,
-    ) -> Vec<Fate> {
+        loses_reports: bool,
+    ) -> Vec<Outcome> {
         let end = self.now + time;
-        let mut fates = Vec::new();
+        let mut outcomes = Vec::new();
         while self.now < end {
             let vms: Vec<VmId> = self.vms.keys().copied().collect();
             for vm in vms {
@@ -150,16 +156,16 @@
                 while self.is_awake(vm) && !self.vms[&vm].to_write.is_empty() {
                     self.write(vm);
                 }
-                fates.extend(self.tick(vm, reports_lost));
+                outcomes.extend(self.tick(vm, loses_reports));
             }
-            fates.extend(self.carry_all());
+            outcomes.extend(self.deliver_all());
             self.advance(STEP);
         }
-        fates
+        outcomes
     }
 
-    /// Ends all faults; VMs that are dead stay dead, but one VM lives.
-    pub fn heal(&mut self) {
+    /// Ends all faults except dead VMs, and ensures that at least one VM is alive.
+    pub fn recover(&mut self) {
         self.store.up = true;
         if self.vms.is_empty() {
             self.start(VmId(1));
@@ -172,12 +178,12 @@
         }
     }
 
-    /// Number of messages under way.
-    pub fn under_way(&self) -> usize {
-        self.links.len()
+    /// Number of messages in transit.
+    pub fn in_transit(&self) -> usize {
+        self.messages.len()
     }
 
-    /// Number of requests that ran.
+    /// Number of admitted requests.
     pub fn ran(&self) -> usize {
         self.ran.len()
     }
@@ -208,7 +214,7 @@
         let live = self.store.read(self.now).live;
         let (now, store, vms) = (self.now, &mut self.store, &self.vms);
         self.unlisted.retain(|vm, until| {
-            // A list that is wrong about a VM without a lease would be a proof of its death.
+            // Omitting a VM without a lease would count as proof of its death.
             let goes_on = now < *until && live.iter().any(|live| live.vm == *vm);
             if !goes_on && vms.contains_key(vm) {
                 store.listed.insert(*vm);
@@ -221,11 +227,15 @@
         &mut self,
         vm: VmId,
         controller: bool,
-        second: bool,
+        is_second_account: bool,
         cost: u64,
-        uses: u64,
-    ) -> Vec<Fate> {
-        let account = ACCOUNTS[if controller { 2 } else { usize::from(second) }];
+        usage_percent: u64,
+    ) -> Vec<Outcome> {
+        let account = ACCOUNTS[if controller {
+            2
+        } else {
+            usize::from(is_second_account)
+        }];
         let cost = if controller { cost % 8 + 1 } else { cost };
         self.callers += 1;
         let (now, caller) = (self.now, CallerTag(self.callers));
@@ -233,10 +243,11 @@
             return Vec::new();
         };
         let daemon = &mut at.daemons[usize::from(controller)];
-        let uses = cost * uses.min(100) / 100;
-        let (fate, asks) = daemon.request(account, cost, uses, caller, now, &mut self.ran);
-        self.links.extend(asks.into_iter().map(Message::Ask));
-        vec![fate]
+        let actual_tokens = cost * usage_percent.min(100) / 100;
+        let (outcome, asks) =
+            daemon.request(account, cost, actual_tokens, caller, now, &mut self.ran);
+        self.messages.extend(asks.into_iter().map(Message::Request));
+        vec![outcome]
     }
 
     fn finish(
@@ -253,26 +264,29 @@
     fn tick(
         &mut self,
         vm: VmId,
-        reply_lost: bool,
-    ) -> Vec<Fate> {
-        let (now, mut fates) = (self.now, Vec::new());
+        loses_report: bool,
+    ) -> Vec<Outcome> {
+        let (now, mut outcomes) = (self.now, Vec::new());
         let Some(at) = self.vms.get_mut(&vm).filter(|vm| !vm.frozen) else {
-            return fates;
+            return outcomes;
         };
         for daemon in &mut at.daemons {
             let (more, asks) = daemon.retry(now, &mut self.ran);
-            fates.extend(more.into_iter().filter(|fate| *fate != Fate::Asking));
+            outcomes.extend(
+                more.into_iter()
+                    .filter(|outcome| *outcome != Outcome::Pending),
+            );
             let again = daemon.ledger.unanswered(now);
             let ahead = daemon.ledger.rebalance(now);
             let all = asks.into_iter().chain(again).chain(ahead);
-            self.links.extend(all.map(Message::Ask));
+            self.messages.extend(all.map(Message::Request));
             let Some(epoch) = &at.view.epoch else {
                 continue;
             };
-            let Some(rights) = daemon.see_epoch(&epoch.value, now) else {
+            let Some(rights) = daemon.handle_epoch(&epoch.value, now) else {
                 continue;
             };
-            if self.store.up && !reply_lost {
+            if self.store.up && !loses_report {
                 self.store.report(HoldingsRecord {
                     epoch: epoch.value.epoch,
                     holder: daemon.holder,
@@ -280,13 +294,13 @@
                 });
             }
         }
-        fates
+        outcomes
     }
 
     fn read(
         &mut self,
         vm: VmId,
-        old_list: bool,
+        keeps_stale_list: bool,
     ) {
         let now = self.now;
         let Some(at) = self
@@ -302,10 +316,10 @@
                 gateway: Some(at.daemons[0].holder.incarnation),
                 controller: Some(at.daemons[1].holder.incarnation),
             },
-            now + LEASE,
+            now + LEASE_TTL,
         );
         let mut view = self.store.read(now);
-        if old_list && at.view.listed.is_some() {
+        if keeps_stale_list && at.view.listed.is_some() {
             view.listed = at.view.listed.take();
             view.read_at = at.view.read_at;
         }
