--- a/crates/core/src/feed/mod.rs
+++ b/crates/core/src/feed/mod.rs
@@ -1,13 +1,11 @@
-//! From whom a VM learns of changes in the store.
+//! Distribution of store changes to VMs.
 //!
-//! Each call to the store has its price and its service a rate, both of which grow more slowly than the fleet. Followed
-//! by every VM, the store was asked some hundred times a second by eighty of them, most of it for the same changes. So
-//! one VM of each data centre follows the store, and the others follow that VM. Nobody assigns it: all VMs of
-//! a data centre agree on an order of themselves, and each follows the first in it that serves.
+//! The store limits its call rate, so not every VM polls it. One VM per data centre reads the store and
+//! the others poll that VM. It is not elected: all VMs of a data centre rank themselves in the same
+//! order, and each polls the first one that serves changes.
 //!
-//! What can go wrong is that the VM that is followed loses the store, and with it all others their changes, though
-//! they reach the store themselves. It notices by the age of the store's last answer and says so, and whoever
-//! followed it asks the next one or the store.
+//! A VM that can't reach the store any more notices this by the age of the store's last response and
+//! reports itself as stale. The VMs that poll it then use the next one or the store.
 
 mod recent_changes;
 mod source_choice;
--- a/crates/core/src/feed/recent_changes.rs
+++ b/crates/core/src/feed/recent_changes.rs
@@ -1,46 +1,42 @@
 use {crate::clock::Millis, std::collections::HashMap};
 
-/// How long a change is kept for those who ask for what is new: somewhat longer than the longest pause between two
-/// questions of one VM.
+/// How long a change is kept; longer than the longest interval between two polls of a VM.
 const KEPT: Millis = Millis(10_000);
 
-/// Minor changes in one answer. Thousands of upstreams change every second: told all at once to each VM of a data centre
-/// they would fill its links, and the answers come too late.
+/// Maximum number of minor changes in one response, which bounds its size.
 pub const MAX_MINOR: usize = 64;
 
 /// A change of one key.
 #[derive(Clone, Debug)]
 pub struct Change<T> {
-    /// The store's revision that it made.
+    /// The store revision of the change.
     pub revision: u64,
-    /// What has become of the key.
+    /// The new state of the key.
     pub what: T,
 }
 
-/// What has changed since a revision.
+/// The changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Since<T> {
-    /// These, in order.
+    /// The changes, in order of revision.
     Changes(Vec<T>),
-    /// What was so long ago isn't known.
+    /// The history since that revision is no longer available.
     Gone,
 }
 
 #[derive(Clone, Debug)]
 struct Kept<T> {
     last: Change<T>,
-    /// The last change of the key that nobody may learn late; 0 for none.
+    /// Revision of the key's last major change, which must be delivered without delay; 0 if none.
     major_revision: u64,
     at: Millis,
 }
 
-/// The last change of each key that changed lately.
-///
-/// Of several changes of a key only the last matters to whoever hasn't seen any of them.
+/// The last change of each recently changed key.
 #[derive(Clone, Debug)]
 pub struct RecentChanges<T> {
     of_key: HashMap<String, Kept<T>>,
-    /// All later major changes are known.
+    /// All major changes after this revision are known.
     complete_after: u64,
     revision: u64,
 }
@@ -59,7 +55,7 @@
 where
     T: Clone,
 {
-    /// Begins anew at a revision, at which all was read.
+    /// Clears all changes after a full read at a revision.
     pub fn reset(
         &mut self,
         revision: u64,
@@ -69,7 +65,7 @@
         self.revision = revision;
     }
 
-    /// Notes a change; false where a later one of the key is known already.
+    /// Records a change; `false` if the same or a later one of the key is known.
     pub fn note(
         &mut self,
         key: &str,
@@ -95,7 +91,7 @@
         true
     }
 
-    /// Notes that everything up to a revision has been noted, and forgets what is old.
+    /// Records that all changes up to a revision are known, and drops expired ones.
     pub fn advance(
         &mut self,
         revision: u64,
@@ -112,7 +108,7 @@
         });
     }
 
-    /// Whether a change of a key is kept.
+    /// Whether a change of a key is known.
     pub fn has(
         &self,
         key: &str,
@@ -120,13 +116,15 @@
         self.of_key.contains_key(key)
     }
 
-    /// The revision up to which everything is known.
+    /// The revision up to which all changes are known.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The keys whose last major change is later than `after`, and, if there is a `minor_after`, the first
-    /// [`MAX_MINOR`] whose last change of any kind is later than that; old minor changes may be missing.
+    /// Returns the keys whose last major change is later than `after`.
+    ///
+    /// With `minor_after`, also returns the first [`MAX_MINOR`] other keys with any change later than
+    /// that revision; old minor changes may be missing.
     pub fn since(
         &self,
         after: u64,
--- a/crates/core/src/feed/source_choice.rs
+++ b/crates/core/src/feed/source_choice.rs
@@ -1,20 +1,19 @@
 use {super::VmRank, crate::clock::Millis, std::collections::BTreeMap};
 
-/// VMs of the order that are tried before the store itself. Each that fails costs its followers up to a third of a
-/// second, and a change has to be in force within two seconds.
+/// Number of VMs tried before the store; bounds the delay of a change if they fail.
 const TRIED: usize = 3;
-/// For how long a VM is passed over that wasn't reached or has lost the store: about what an outage of one VM's path lasts.
+/// How long a VM is skipped after it was unreachable or had lost the store.
 const FAILED: Millis = Millis(3_000);
-/// For how long one is passed over that only doesn't serve yet.
+/// How long a VM is skipped that does not serve changes yet.
 const NOT_YET: Millis = Millis(800);
-/// The same where nothing is known without it: it reads the store within half a second.
+/// How long the scheduling VM skips a VM that is about to read the store.
 const BEGINS: Millis = Millis(150);
-/// For how long the store is passed over after it failed, as long as another VM may reach it.
+/// How long the store is skipped after a failure.
 const STORE_FAILED: Millis = Millis(2_000);
-/// The same for the VM that schedules where nobody has changes: until others read the store that followed this VM.
+/// Delay before the scheduling VM retries the store if no other VM has changes.
 const STORE_AGAIN: Millis = Millis(600);
 
-/// Whom to ask for changes.
+/// Where to read changes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store.
@@ -23,25 +22,25 @@
     Vm(VmRank),
 }
 
-/// Why a VM gave no changes.
+/// Why a VM returned no changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub enum SourceFailure {
-    /// It didn't answer.
+    /// It did not respond.
     #[display("not reached")]
     Unreachable,
-    /// The store hasn't answered it for too long.
+    /// It has had no response from the store for too long.
     #[display("lost the store")]
     Stale,
-    /// It follows another VM itself.
+    /// It reads from another VM itself.
     #[display("follows another VM")]
     NotReading,
-    /// It doesn't know what has changed since.
+    /// It does not have the changes since the requested revision.
     #[display("knows no history")]
     HistoryGone,
 }
 
-/// The choice of one VM.
+/// Chooses where one VM reads changes from.
 #[derive(Clone, Debug)]
 pub struct SourceChoice {
     me: VmRank,
@@ -50,7 +49,7 @@
 }
 
 impl SourceChoice {
-    /// The choice of the VM `me`, to which nothing has failed yet.
+    /// Creates the choice of the VM `me`, without known failures.
     pub const fn new(me: VmRank) -> Self {
         Self {
             me,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Whom a VM asks now that doesn't schedule. `others` are the other VMs of the data centre.
+    /// The source for a VM that does not run the scheduler; `others` are the other VMs of its data centre.
     pub fn choose<I>(
         &self,
         others: I,
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Whether the store hasn't failed lately.
+    /// Whether the store has not failed recently.
     pub fn is_store_good(
         &self,
         now: Millis,
@@ -90,11 +89,11 @@
         now >= self.store_failed_until
     }
 
-    /// Whom the VM that schedules asks now, by itself as long as the store is good; none where it should look again in a
-    /// moment. `others` are the VMs that may have changes, the likeliest first.
+    /// The source for the VM that runs the scheduler; `None` if no source is available now.
     ///
-    /// All that is decided depends on what this VM knows. After an outage of the store nobody has changes yet, so the store
-    /// itself is asked again soon: passed over as by the others, a configuration was in force here seconds late.
+    /// It reads the store directly unless the store has failed recently. `others` are the VMs that may have
+    /// changes, the most likely first. If none of them serves, the store is retried early, so that
+    /// configuration changes after an outage are not delayed.
     pub fn choose_scheduling<I>(
         &self,
         others: I,
@@ -115,7 +114,7 @@
         serves.or_else(|| is_due.then_some(Source::Store))
     }
 
-    /// Notes that a VM gave no changes.
+    /// Records that a VM returned no changes.
     pub fn vm_failed(
         &mut self,
         vm: VmRank,
@@ -129,7 +128,7 @@
         self.pass_over(vm, pause, now);
     }
 
-    /// Notes that a VM doesn't serve yet that this one, which schedules, needs as soon as it does.
+    /// Records that a VM does not serve yet; the scheduling VM retries it soon.
     pub fn vm_begins(
         &mut self,
         vm: VmRank,
@@ -156,7 +155,7 @@
         self.failed_until.get(&vm).is_none_or(|&at| now >= at)
     }
 
-    /// Notes that the store didn't answer.
+    /// Records that the store did not respond.
     pub fn store_failed(
         &mut self,
         now: Millis,
@@ -164,7 +163,7 @@
         self.store_failed_until = now + STORE_FAILED;
     }
 
-    /// Notes that the store answered.
+    /// Records that the store responded.
     pub const fn store_answered(&mut self) {
         self.store_failed_until = Millis::ZERO;
     }
--- a/crates/core/src/forward/action.rs
+++ b/crates/core/src/forward/action.rs
@@ -6,55 +6,55 @@
     },
 };
 
-/// Why an upstream is to be chosen.
+/// Why an upstream has to be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteCause {
     /// The request is new.
     First,
-    /// Nothing ran at the upstream chosen before.
+    /// The request did not run at the previous upstream.
     NotRun,
-    /// It may have run at the upstream chosen before, so a second run has to be charged again.
+    /// It may have run at the previous upstream, so another run must be charged again.
     MayHaveRun,
 }
 
-/// What the daemon is to do for a request that is being forwarded.
+/// An action that the daemon performs for a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardAction {
     /// Choose an upstream.
     Route {
-        /// For which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// The one that failed last.
+        /// The upstream that failed last, to be avoided.
         avoid: Option<UpstreamId>,
-        /// Why.
+        /// Why an upstream has to be chosen.
         cause: RouteCause,
     },
     /// Send the request to the chosen upstream.
     Send {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// Whether a pooled connection is out of the question.
+        /// Whether a new connection is required instead of a pooled one.
         fresh: bool,
     },
-    /// Go on with the stream at the chosen upstream, over a new connection.
+    /// Resume the stream at the chosen upstream over a new connection.
     Resume {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// The token after which to go on.
+        /// Number of tokens already delivered; the stream resumes after them.
         offset: u64,
     },
-    /// Close the connection of the last attempt; nothing is wanted from it any more.
+    /// Close the connection of the last attempt.
     Abandon,
-    /// Tell the upstream to stop what it does for the last attempt.
+    /// Tell the upstream to stop running the last attempt.
     Cancel,
-    /// Forget the parts gathered so far.
+    /// Discard the parts buffered so far.
     Discard,
-    /// Pass a part on.
+    /// Pass a part on to the caller.
     Deliver(Part),
-    /// The answer is whole: pass its end on.
+    /// The response is complete: pass its end on to the caller.
     Finish,
-    /// Answer with an error; nothing of an answer has reached the caller.
+    /// Respond with an error; no part of a response has reached the caller.
     Refuse(Refusal),
-    /// End a begun answer with an error, marked as incomplete.
+    /// End a partly delivered response with an error that marks it as incomplete.
     Break(ErrorKind),
 }
--- a/crates/core/src/forward/attempts.rs
+++ b/crates/core/src/forward/attempts.rs
@@ -1,21 +1,21 @@
 use super::Repeat;
 
-/// Attempts of one request that ended without a run; more of them than this mean that the fault is elsewhere.
+/// Most attempts of one request that end without a run.
 const MAX_NOT_RUN: u32 = 4;
 
-/// What became of an attempt that brought no answer to pass on.
+/// Outcome of an attempt that returned no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It certainly did not run: nothing was sent, or the upstream said so.
+    /// It did not run: nothing was sent, or the upstream said so.
     NotRun,
-    /// It may have run, in part or whole.
+    /// It may have run, partly or completely.
     MayHaveRun,
 }
 
-/// How often a request may be sent, and what is known about its having run.
+/// Counts the attempts of a request and decides whether another one is allowed.
 ///
-/// A request that may not be repeated goes on only after proof that it did not run. One that may be is
-/// run at no more upstreams than its route allows.
+/// A request that is not idempotent is retried only if it is known not to have run. An idempotent one
+/// runs at no more upstreams than its route allows.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     repeat: Repeat,
@@ -25,7 +25,7 @@
 }
 
 impl Attempts {
-    /// The attempts of a request that may run at `most_runs` upstreams.
+    /// Starts counting for a request that may run at up to `most_runs` upstreams.
     pub const fn new(
         repeat: Repeat,
         most_runs: u32,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Which attempt is next, from 1 up.
+    /// Number of the next attempt, starting at 1.
     pub const fn next_number(&self) -> u32 {
         self.runs + self.not_run + 1
     }
 
-    /// Notes how an attempt ended and says whether there may be another one.
+    /// Records how an attempt ended and returns whether another one is allowed.
     pub const fn note(
         &mut self,
         end: AttemptEnd,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether an attempt that may have run could be followed by another one.
+    /// Whether another attempt would be allowed after one more that may have run.
     pub const fn may_follow_a_run(&self) -> bool {
         matches!(self.repeat, Repeat::Idempotent) && self.runs + 1 < self.most_runs
     }
--- a/crates/core/src/forward/event.rs
+++ b/crates/core/src/forward/event.rs
@@ -3,86 +3,86 @@
     crate::{error::Refusal, ids::UpstreamId},
 };
 
-/// How an upstream's answer begins.
+/// The head of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Head {
-    /// It answers; a resumable answer can be continued over another connection.
+    /// The upstream accepted the request.
     Accepted {
-        /// Whether the upstream named a stream to go on with.
+        /// Whether the upstream named a stream that can be resumed over another connection.
         resumable: bool,
     },
-    /// The named adapter instance is not loaded there; nothing ran.
+    /// The requested adapter instance is not loaded; nothing ran.
     NotLoaded,
-    /// It takes no more work; nothing ran.
+    /// The upstream accepts no more work; nothing ran.
     Busy,
-    /// It refuses the request as such; nothing ran.
+    /// The upstream rejected the request as invalid; nothing ran.
     Rejected,
-    /// It no longer has the stream that was to be resumed.
+    /// The upstream no longer has the stream to resume.
     StreamGone,
-    /// It failed; whether anything ran isn't known.
+    /// The upstream failed; the request may have run.
     Failed,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     Crossed,
 }
 
-/// What happens to a request that is being forwarded.
+/// An input of a [`super::ForwardMachine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardEvent {
     /// An upstream was chosen.
     Routed {
-        /// For which attempt.
+        /// The attempt.
         attempt: Attempt,
         /// The upstream.
         upstream: UpstreamId,
     },
     /// No upstream was chosen.
     RouteRefused {
-        /// For which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// No connection came about, and it is proved that no byte of the request left.
+    /// No connection was established, and no byte of the request was sent.
     Unreachable {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// The head of an answer arrived.
+    /// The head of a response arrived.
     Head {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// What it says.
+        /// The head.
         head: Head,
     },
-    /// A part of the answer arrived.
+    /// A part of the response arrived.
     Part {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
         /// The part.
         part: Part,
     },
-    /// The upstream said that the answer is whole.
+    /// The upstream marked the response as complete.
     End {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// How many tokens the upstream says it made.
+        /// Number of generated tokens, if the upstream reported it.
         made: Option<u64>,
     },
-    /// The connection broke, or what arrived makes no sense.
+    /// The connection was lost, or invalid data arrived.
     Lost {
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// The caller doesn't take what is ready for it.
+    /// The caller does not read the parts that are ready for it.
     CallerSlow,
-    /// The caller takes parts again.
+    /// The caller reads again.
     CallerReady,
     /// The caller has closed its connection.
     CallerGone,
-    /// Operators have withdrawn the key that the request came with.
+    /// The API key of the request has been withdrawn.
     KeyWithdrawn,
-    /// The daemon stops now and can't finish what it has.
+    /// The daemon is shutting down and can't finish the request.
     Stopping,
-    /// Time has passed.
+    /// The time returned by [`super::ForwardMachine::wake_at`] has come.
     Timer,
 }
--- a/crates/core/src/forward/machine.rs
+++ b/crates/core/src/forward/machine.rs
@@ -10,7 +10,7 @@
     },
 };
 
-/// The forwarding of one request.
+/// State machine that forwards one request, with retries and stream resumption.
 #[derive(Clone, Debug)]
 pub struct ForwardMachine {
     pub(super) plan: ForwardPlan,
@@ -21,16 +21,16 @@
     /// Whether an earlier attempt may have run.
     pub(super) may_have_run: bool,
     pub(super) passed_on: Progress,
-    /// Runs that came to nothing.
+    /// Attempts that ended without a complete response.
     pub(super) runs: u32,
-    /// Resumptions in a row without progress.
+    /// Consecutive resumptions without progress.
     pub(super) failures: u32,
     pub(super) heard_at: Millis,
     pub(super) caller_slow: bool,
 }
 
 impl ForwardMachine {
-    /// A machine and its first action.
+    /// Creates a machine and returns it with its first action.
     pub fn new(
         plan: ForwardPlan,
         now: Millis,
@@ -57,12 +57,12 @@
         (machine, route)
     }
 
-    /// Whether nothing more happens.
+    /// Whether forwarding has ended.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Tokens passed on so far.
+    /// Number of tokens delivered so far.
     pub const fn offset(&self) -> u64 {
         self.passed_on.offset()
     }
@@ -72,7 +72,7 @@
         self.may_have_run || self.state.is_out()
     }
 
-    /// When [`Event::Timer`] is wanted at the latest.
+    /// When [`Event::Timer`] is due; `None` if forwarding has ended.
     pub fn wake_at(&self) -> Option<Millis> {
         let gap = match self.state {
             State::Done => return None,
@@ -84,7 +84,7 @@
         Some(gap.map_or(self.plan.deadline, |gap| gap.min(self.plan.deadline)))
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the actions to perform.
     pub fn handle(
         &mut self,
         event: Event,
@@ -120,7 +120,7 @@
             Event::KeyWithdrawn => self.withdrawn(),
             Event::Stopping => self.stopping(),
             Event::Timer => self.timer(now),
-            // Late words of an earlier attempt.
+            // Late events of an earlier attempt.
             _ => Vec::new(),
         }
     }
@@ -152,8 +152,8 @@
         self.state = State::Sent;
         self.resumable = false;
         self.heard_at = now;
-        // A pooled connection may be dead without anybody knowing. The first attempt of a request
-        // that can be repeated takes that risk, a later one doesn't.
+        // A pooled connection may already be closed by the peer, so only the first attempt of an
+        // idempotent request uses one.
         let fresh = self.plan.repeat == Repeat::Once || self.runs > 0;
         vec![Action::Send {
             attempt: self.attempt,
@@ -235,7 +235,7 @@
         now: Millis,
     ) -> Vec<Action> {
         match made {
-            // Tokens are missing on the way; the engine still has them.
+            // Tokens were lost in transit; the engine still has them.
             Some(made) if made > self.offset() => self.lost(now),
             Some(made) if made < self.offset() => self.fail(ErrorKind::UpstreamInvalid),
             _ => {
@@ -252,7 +252,7 @@
         self.refuse(Refusal::new(kind))
     }
 
-    /// Ends the request with an error that tells the truth about what ran.
+    /// Ends the request with an error, which claims "not run" only if nothing can have run.
     fn refuse(
         &mut self,
         refusal: Refusal,
@@ -277,13 +277,13 @@
         actions
     }
 
-    /// Ends; what may have run stays known.
+    /// Enters the final state and keeps whether the request may have run.
     fn close(&mut self) {
         self.may_have_run = self.may_have_run();
         self.state = State::Done;
     }
 
-    /// Whether anything of an answer has reached the caller.
+    /// Whether any part of a response has reached the caller.
     const fn has_begun(&self) -> bool {
         matches!(self.plan.delivery, Delivery::Streamed) && self.passed_on.has_begun()
     }
--- a/crates/core/src/forward/mod.rs
+++ b/crates/core/src/forward/mod.rs
@@ -1,22 +1,18 @@
-//! Forwarding one request: attempts, resumption, and what the caller may be told at the end.
+//! Forwarding of one request: attempts, stream resumption and the final outcome for the caller.
 //!
-//! What can go wrong between two daemons is a short list: nothing can be sent, an answer breaks off,
-//! goes silent, arrives twice or belongs to somebody else. The machine turns each of these into one of
-//! three outcomes for the caller: the whole answer, an explicit incomplete end, or a refusal whose
-//! `not_run` is true.
+//! An upstream may be unreachable, or its response may break off, stall, arrive twice or belong to
+//! another request. The machine maps each failure to one of three outcomes: the complete response, an
+//! explicit incomplete end, or an error that says correctly whether the request may have run.
 //!
-//! Three rules carry that:
+//! - A request that is not idempotent is sent again only if no byte of it was sent before. Otherwise
+//!   the caller gets `outcome_unknown`.
+//! - Every event names its attempt. Late events of an earlier attempt are dropped, so the response
+//!   never mixes two attempts.
+//! - A response is complete only if the upstream marked it so and the token count matches. A closed
+//!   connection does not end a response.
 //!
-//! - A request that may not be repeated is sent again only after proof that no byte of it left. Where
-//!   the proof is missing the caller is told `outcome_unknown`.
-//! - Every event carries the attempt that it belongs to. What arrives late from an earlier attempt is
-//!   dropped, so two attempts can't mix in one answer.
-//! - An answer is whole only after the upstream has said so and the count of tokens agrees. A closed
-//!   connection is never an end.
-//!
-//! A request that has reached its caller in part can be resumed at the same engine and token, but not
-//! run anew: sampling makes the second answer differ from the first, and the caller would get the head
-//! of one and the tail of the other.
+//! A partly delivered response can be resumed at the same engine after the last delivered token, but
+//! the request is not run again: sampling would produce a different response.
 
 mod action;
 mod attempts;
--- a/crates/core/src/forward/part.rs
+++ b/crates/core/src/forward/part.rs
@@ -1,21 +1,21 @@
-/// What a part of an answer brings.
+/// What a part of a response contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartKind {
-    /// The opening, which holds no token.
+    /// The start of the stream, without tokens.
     Opening,
     /// Tokens.
     Tokens,
-    /// The reason for which the engine stopped.
+    /// The reason why the engine stopped.
     Finish,
-    /// The count of tokens.
+    /// The token counts.
     Usage,
 }
 
-/// One part of a streamed answer.
+/// One part of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Tokens of the answer up to and with this part.
+    /// Number of tokens of the response up to and including this part.
     pub offset: u64,
-    /// What it brings.
+    /// What it contains.
     pub kind: PartKind,
 }
--- a/crates/core/src/forward/plan.rs
+++ b/crates/core/src/forward/plan.rs
@@ -1,12 +1,12 @@
 use crate::clock::Millis;
 
-/// Which attempt of one request something belongs to, from 1 up.
+/// Number of an attempt of one request, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 pub struct Attempt(pub u32);
 
 impl Attempt {
-    /// The one that follows.
+    /// The number of the next attempt.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -17,40 +17,40 @@
 pub enum Repeat {
     /// At most once.
     Once,
-    /// Running it again does no harm.
+    /// Any number of times, since it is idempotent.
     Idempotent,
 }
 
-/// How the answer reaches the caller.
+/// How the response is delivered to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Part by part, as they come.
+    /// Part by part as it arrives.
     Streamed,
-    /// In one piece, once it is whole.
+    /// At once when it is complete.
     Whole,
 }
 
-/// What is settled about a request before it is forwarded.
+/// Parameters of the forwarding of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardPlan {
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub repeat: Repeat,
-    /// How its answer is delivered.
+    /// How its response is delivered.
     pub delivery: Delivery,
-    /// The point in time after which nobody waits for it any more.
+    /// The time at which the request fails if it has not completed.
     pub deadline: Millis,
-    /// The longest wait for the head of an answer.
+    /// Maximum wait for the head of a response.
     pub head_gap: Millis,
-    /// The longest silence within an answer.
+    /// Maximum pause between two parts of a response.
     pub part_gap: Millis,
-    /// Runs at most, and resumptions in a row without progress.
+    /// Maximum number of attempts, and of consecutive resumptions without progress.
     pub max_attempts: u32,
 }
 
 impl ForwardPlan {
-    /// Until when the head of an answer is waited for after the last sign of life.
+    /// When the wait for the head of a response times out; `None` if only the deadline applies.
     ///
-    /// A call that may not be repeated gains nothing from giving up before its deadline.
+    /// A request that can't be repeated gains nothing from a timeout before its deadline.
     pub(super) fn head_limit(
         &self,
         heard_at: Millis,
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Until when the next part is waited for.
+    /// When the wait for the next part times out; `None` if only the deadline applies.
     ///
-    /// A silent upstream can't be told from a connection that something on the way has lost track of.
+    /// A silent upstream can't be told apart from a connection that was dropped on the network path.
     pub(super) fn part_limit(
         &self,
         heard_at: Millis,
--- a/crates/core/src/forward/progress.rs
+++ b/crates/core/src/forward/progress.rs
@@ -1,9 +1,6 @@
 use super::{Part, PartKind};
 
-/// What has been passed on of an answer.
-///
-/// A resumption may repeat what came before the connection was lost. Passed on twice it would make the
-/// answer longer than the one that the engine made.
+/// The parts of a response that were delivered, used to drop parts that a resumption repeats.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Progress {
     offset: u64,
@@ -13,22 +10,22 @@
 }
 
 impl Progress {
-    /// Tokens passed on.
+    /// Number of tokens delivered.
     pub(super) const fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Whether anything was passed on that a second run would contradict.
+    /// Whether anything was delivered that a second run could contradict.
     pub(super) const fn has_content(&self) -> bool {
         self.offset > 0 || self.finished || self.counted
     }
 
-    /// Whether anything was passed on at all.
+    /// Whether anything was delivered.
     pub(super) const fn has_begun(&self) -> bool {
         self.opened || self.has_content()
     }
 
-    /// Notes a part; false where it has been passed on before.
+    /// Records a part; `false` if it was delivered before.
     pub(super) fn take(
         &mut self,
         part: Part,
--- a/crates/core/src/forward/recovery.rs
+++ b/crates/core/src/forward/recovery.rs
@@ -1,4 +1,4 @@
-//! What follows when an attempt comes to nothing: a resumption, another run, or the end.
+//! Handling of failed attempts: stream resumption, retry or failure.
 
 use {
     super::{
@@ -8,7 +8,7 @@
     crate::{clock::Millis, error::ErrorKind},
 };
 
-/// The pause before a resumption that follows a failed one; doubled with each.
+/// Base delay before a resumption that follows a failed one; doubles with each failure.
 const RESUME_PAUSE: Millis = Millis(100);
 
 impl ForwardMachine {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Goes on with the stream, at once after progress and later after a failed resumption.
+    /// Resumes the stream, immediately after progress and with a delay after a failed resumption.
     pub(super) fn resume(
         &mut self,
         now: Millis,
@@ -65,7 +65,7 @@
         vec![Action::Abandon]
     }
 
-    /// Runs the request from its start at another upstream where that is allowed.
+    /// Runs the request again from its start at another upstream if that is allowed.
     pub(super) fn run_anew(&mut self) -> Vec<Action> {
         self.may_have_run = true;
         match (self.plan.repeat, self.plan.delivery) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Chooses another upstream, or gives up with `kind` after too many attempts.
+    /// Chooses another upstream, or fails with `kind` after too many attempts.
     pub(super) fn again(
         &mut self,
         cause: RouteCause,
@@ -91,7 +91,7 @@
         if cause == RouteCause::MayHaveRun {
             actions.push(Action::Cancel);
         }
-        // A streamed answer has passed on its opening at most, which is not repeated.
+        // A streamed response has delivered at most its opening, which is not repeated.
         if self.plan.delivery == Delivery::Whole {
             actions.push(Action::Discard);
             self.passed_on = Progress::default();
--- a/crates/core/src/forward/state.rs
+++ b/crates/core/src/forward/state.rs
@@ -1,24 +1,24 @@
 use crate::clock::Millis;
 
-/// Where a request stands.
+/// State of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Waits for an upstream to be chosen.
+    /// Waiting for an upstream to be chosen.
     Routing,
-    /// Sent; waits for the head.
+    /// Sent; waiting for the head of the response.
     Sent,
-    /// Waits until a stream is resumed again.
+    /// Waiting to resume the stream.
     Pausing { until: Millis },
-    /// A resumption was sent; waits for the head.
+    /// Resumption sent; waiting for the head of the response.
     Resuming,
-    /// Parts arrive.
+    /// Receiving parts of the response.
     Answering,
-    /// Nothing more happens.
+    /// Forwarding has ended.
     Done,
 }
 
 impl State {
-    /// Whether bytes of the attempt under way may have left.
+    /// Whether bytes of the current attempt may have been sent.
     pub(super) const fn is_out(self) -> bool {
         !matches!(self, Self::Routing | Self::Done)
     }
--- a/crates/core/src/ingress/account.rs
+++ b/crates/core/src/ingress/account.rs
@@ -1,32 +1,32 @@
 use crate::rights::Limit;
 
-/// What a client account's rate and burst are counted in.
+/// The unit of a client account's rate and burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateUnit {
-    /// Tokens as the caller states them; a request that states none counts as `unstated`.
+    /// Tokens, as declared by the caller.
     Tokens {
-        /// Tokens of a request that doesn't say how many it has.
+        /// Tokens charged for a request that declares none.
         unstated: u64,
     },
-    /// Each request counts as one.
+    /// Requests.
     Requests,
 }
 
-/// A client account as the configuration has it.
+/// Configuration of a client account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountSpec {
-    /// Its name, which upstreams see.
+    /// Its name, which is passed to upstreams.
     pub name: String,
-    /// Its rank, 0 first; it goes before the route's.
+    /// Its priority, 0 is highest; overrides that of the route.
     pub priority: Option<u8>,
-    /// What it may use over the whole fleet; none where it is not limited.
+    /// Its limit over the whole fleet; `None` if it is not limited.
     pub limit: Option<Limit>,
-    /// What the limit is counted in.
+    /// The unit of the limit.
     pub unit: RateUnit,
 }
 
 impl AccountSpec {
-    /// What a request costs this account; `stated` are the tokens that its caller states.
+    /// The cost of a request, in `unit`; `stated` is the number of tokens that its caller declares.
     pub fn cost(
         &self,
         stated: Option<u64>,
--- a/crates/core/src/ingress/call_kind.rs
+++ b/crates/core/src/ingress/call_kind.rs
@@ -1,6 +1,6 @@
 use crate::forward::Repeat;
 
-/// What may be done with a request of a route when its first attempt fails.
+/// Whether requests of a route can be repeated or resumed after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// It may run more than once.
@@ -9,13 +9,13 @@
     NonIdempotent,
     /// A stream of events with increasing ids.
     Stream {
-        /// Whether another upstream can go on after a given event. Without that it may run once.
+        /// Whether another upstream can resume after a given event; otherwise it may run once.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether a second run does no harm.
+    /// Whether a request may run more than once.
     pub const fn repeat(self) -> Repeat {
         match self {
             Self::Idempotent | Self::Stream { resumable: true } => Repeat::Idempotent,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
--- a/crates/core/src/ingress/caller_limits.rs
+++ b/crates/core/src/ingress/caller_limits.rs
@@ -1,20 +1,20 @@
 use crate::clock::Millis;
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts of callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// From the first byte of a request to the end of its head.
+    /// Maximum time from the first byte of a request to the end of its head.
     pub header_timeout: Millis,
-    /// How long a connection may stand idle between two requests.
+    /// Maximum idle time of a connection between two requests.
     pub idle_timeout: Millis,
 }
 
 impl Default for CallerLimits {
-    /// What holds until a configuration says otherwise.
+    /// The limits without a configuration.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
--- a/crates/core/src/ingress/config.rs
+++ b/crates/core/src/ingress/config.rs
@@ -4,25 +4,25 @@
     std::collections::HashMap,
 };
 
-/// One configuration, whole.
+/// The complete configuration of an entry VM.
 #[derive(Clone, Debug, Default)]
 pub struct IngressConfig {
-    /// Its version; a higher one replaces a lower one and never the other way round.
+    /// Its version; a configuration replaces only one with a lower version.
     pub version: Revision,
-    /// Where requests go.
+    /// The routes.
     pub routes: RouteTable,
     /// The services, by name.
     pub services: HashMap<String, ServiceSpec>,
-    /// The client accounts; empty where requests need no key.
+    /// The client accounts; empty if requests need no API key.
     pub accounts: Vec<AccountSpec>,
-    /// The account of each key, as an index into the accounts.
+    /// The account of each API key, as an index into `accounts`.
     pub keys: HashMap<String, usize>,
-    /// What callers may send.
+    /// Limits of callers' requests and connections.
     pub limits: CallerLimits,
 }
 
 impl IngressConfig {
-    /// The account that holds `key`.
+    /// The account of an API key.
     pub fn account_of(
         &self,
         key: &str,
@@ -30,7 +30,7 @@
         self.keys.get(key).map(|&at| &self.accounts[at])
     }
 
-    /// Whether a request needs a key unless its route is public.
+    /// Whether requests to routes that are not public need an API key.
     pub const fn needs_keys(&self) -> bool {
         !self.accounts.is_empty()
     }
--- a/crates/core/src/ingress/held_model.rs
+++ b/crates/core/src/ingress/held_model.rs
@@ -1,4 +1,4 @@
-/// An adapter as an engine says that it has it.
+/// An adapter version reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeldAdapter {
     /// Its name.
@@ -16,22 +16,22 @@
     pub adapters: Vec<HeldAdapter>,
 }
 
-/// An adapter on its way to an engine.
+/// An adapter that an engine is loading.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ComingAdapter {
-    /// The base model that it belongs to.
+    /// Name of its base model.
     pub model: String,
     /// The adapter.
     pub adapter: HeldAdapter,
 }
 
-/// What an engine holds.
+/// The models and adapters of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineHoldings {
-    /// How many orders it has accepted since its start. Only the engine's own report tells it.
+    /// Number of orders it has accepted since its start; set only in the engine's own report.
     pub seq: Option<u64>,
-    /// The models.
+    /// Base models it holds.
     pub models: Vec<HeldModel>,
-    /// Adapters on their way, which take a place each. Only the engine's own report tells them.
+    /// Adapters being loaded, each of which uses a slot; set only in the engine's own report.
     pub coming: Vec<ComingAdapter>,
 }
--- a/crates/core/src/ingress/mod.rs
+++ b/crates/core/src/ingress/mod.rs
@@ -1,7 +1,7 @@
-//! What an entry VM serves: routes to services, client accounts with their keys, and the upstreams.
+//! Configuration of an entry VM: routes to services, client accounts with their keys, and upstreams.
 //!
-//! These are plain values. They are filled from what the platform says and read by the entry daemon and
-//! the scheduler; nothing here waits, calls or remembers.
+//! These are plain data types without I/O. They are filled from the platform's data and read by the
+//! entry daemon and the scheduler.
 
 mod account;
 mod call_kind;
--- a/crates/core/src/ingress/prompt.rs
+++ b/crates/core/src/ingress/prompt.rs
@@ -1,23 +1,23 @@
-/// A part of a prompt; requests that begin with the same parts share them in an engine's cache.
+/// A part of a prompt; requests that begin with the same parts share an engine's KV cache for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptPart {
-    /// What names the part.
+    /// Identifies the part's content.
     pub id: u64,
-    /// Its tokens.
+    /// Its number of tokens.
     pub tokens: u32,
 }
 
-/// How large a generation is, as its caller states it.
+/// The size of a generation, as declared by its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PromptSize {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Tokens of the answer at most.
+    /// Maximum number of output tokens.
     pub output: u32,
 }
 
 impl PromptSize {
-    /// Tokens that the generation takes up in an engine's memory at its end.
+    /// Number of tokens that the generation occupies in an engine's memory at its end.
     pub const fn total(self) -> u64 {
         self.prompt as u64 + self.output as u64
     }
--- a/crates/core/src/ingress/route.rs
+++ b/crates/core/src/ingress/route.rs
@@ -1,43 +1,43 @@
 use {super::CallKind, crate::clock::Millis};
 
-/// A service with its part of a route's requests.
+/// A service with its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service's name.
     pub service: String,
-    /// Its part, against the sum of the route's weights.
+    /// Its weight relative to the sum of the route's weights.
     pub weight: u64,
 }
 
-/// Where requests of one host and path go, and what may be done with them.
+/// A route for the requests to one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IngressRoute {
     /// Its name, for logs and metrics.
     pub name: String,
-    /// The host that it belongs to, in lower case and without a port.
+    /// The host, in lower case and without a port.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests can be repeated or resumed.
     pub kind: CallKind,
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Millis,
-    /// Within this an answer, or the first event of a stream, is on time.
+    /// Latency objective for a response or the first event of a stream.
     pub objective: Millis,
-    /// The longest pause between two events of a stream that is on time.
+    /// Objective for the pause between two events of a stream.
     pub gap_objective: Option<Millis>,
-    /// Its rank, 0 first.
+    /// Its priority, 0 is highest.
     pub priority: u8,
-    /// Upstreams that one request may be sent to at most.
+    /// Maximum number of upstreams that one request is sent to.
     pub attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
     /// The services that share its requests.
     pub services: Vec<WeightedService>,
 }
 
 impl IngressRoute {
-    /// The service for the request whose hash is `hash`: the same one each time it is asked.
+    /// The service for a request, chosen by its hash according to the weights.
     pub fn service_for(
         &self,
         hash: u64,
--- a/crates/core/src/ingress/route_table.rs
+++ b/crates/core/src/ingress/route_table.rs
@@ -1,16 +1,15 @@
 use {super::IngressRoute, std::collections::HashMap, std::sync::Arc};
 
-/// The routes, found by host and the longest prefix of the path.
+/// Looks up routes by host and longest path prefix.
 ///
-/// A prefix ends with a slash, so only as many look-ups are needed as the path has slashes, however
-/// many routes there are.
+/// Prefixes end with a slash, so a lookup takes at most one hash lookup per slash in the path.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, HashMap<String, Arc<IngressRoute>>>,
 }
 
 impl RouteTable {
-    /// A table of `routes`; of two with the same host and prefix the later one holds.
+    /// Creates a table of `routes`; of two with the same host and prefix the later one is kept.
     pub fn new(routes: impl IntoIterator<Item = IngressRoute>) -> Self {
         let mut table = Self::default();
         for route in routes {
@@ -20,7 +19,7 @@
         table
     }
 
-    /// The route of a request, given its `Host` header and its target.
+    /// Finds the route of a request by its `Host` header and its target.
     pub fn find(
         &self,
         host: &str,
@@ -43,7 +42,7 @@
         self.hosts.values().map(HashMap::len).sum()
     }
 
-    /// Whether there is none.
+    /// Whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
--- a/crates/core/src/ingress/service_spec.rs
+++ b/crates/core/src/ingress/service_spec.rs
@@ -1,30 +1,30 @@
 use crate::clock::Millis;
 
-/// A base model that engines of a service may hold.
+/// A base model that engines of a service can run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
     /// Its name.
     pub name: String,
-    /// Memory of an engine that its weights take, in megabytes.
+    /// Engine memory used by its weights, in megabytes.
     pub weights_mb: f64,
-    /// Memory that one adapter takes, in megabytes.
+    /// Engine memory used by one adapter, in megabytes.
     pub adapter_mb: f64,
-    /// How long a load from the weight store takes.
+    /// Time to load it from the weight store.
     pub load: Millis,
 }
 
-/// What the engines of a service can hold.
+/// Capacity of the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that one engine runs at a time.
+    /// Maximum number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens of running requests that one engine's memory holds.
+    /// Tokens that fit in one engine's KV cache.
     pub kv_tokens: u64,
-    /// Memory of an engine for weights and adapters together, in megabytes.
+    /// Engine memory for model weights and adapters, in megabytes.
     pub weights_mb: f64,
-    /// Adapters that one engine holds at most, those on their way included.
+    /// Maximum number of adapters per engine, including those being loaded.
     pub adapter_slots: u32,
-    /// Loads of base models from the weight store a second, over all engines.
+    /// Maximum rate of base model loads from the weight store over all engines, per second.
     pub loads_per_s: f64,
     /// The base models.
     pub models: Vec<ModelSpec>,
@@ -35,8 +35,8 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: String,
-    /// Connections that one of its upstreams accepts from all callers together.
+    /// Maximum number of connections that one of its upstreams accepts in total.
     pub max_connections: Option<u32>,
-    /// What its engines hold; none for a plain service.
+    /// Capacity of its engines; `None` for a service without engines.
     pub engine: Option<EngineSpec>,
 }
--- a/crates/core/src/ingress/upstream_entry.rs
+++ b/crates/core/src/ingress/upstream_entry.rs
@@ -3,35 +3,35 @@
 /// Whether an upstream takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It is about to go and gets no new work.
+    /// It is draining and gets no new work.
     Leaving {
-        /// When it is gone, whatever runs on it; none where it waits for that.
+        /// Time until it stops regardless of running requests; `None` if it waits for them.
         remaining: Option<Millis>,
     },
 }
 
-/// An upstream as it registers itself.
+/// The registration of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// The id of this run of it.
+    /// The id under which it registered.
     pub id: String,
-    /// The service that it belongs to.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens. After its end the address may be another upstream's.
+    /// Its listen address; may be reused by another upstream after this one has stopped.
     pub address: SocketAddr,
-    /// The data centre that it stands in.
+    /// Its data centre.
     pub data_centre: String,
-    /// Requests that it runs at a time.
+    /// Maximum number of requests it runs concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// How much longer it is slow after its start.
+    /// Remaining time of its warm-up after the start, during which it is slow.
     pub cold: Millis,
-    /// When it started, in milliseconds of the Unix clock. A later one under the same id is a restart,
-    /// after which it holds and knows nothing of before.
+    /// When it started, in Unix milliseconds. A later value under the same id means that it has restarted
+    /// and lost its state.
     pub started_unix_ms: Option<u64>,
-    /// What it holds, if it is an engine.
+    /// Its models and adapters, if it is an engine.
     pub holdings: Option<EngineHoldings>,
 }
--- a/crates/core/src/membership/epoch_machine.rs
+++ b/crates/core/src/membership/epoch_machine.rs
@@ -12,24 +12,24 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Moves the epoch on; each controller runs one over what it reads from the store.
+/// Opens and finalises epochs; each controller runs one on what it reads from the store.
 ///
-/// All writes of the epoch record compare the revision that was read, so any number of controllers
-/// may run it at once, and a write whose reply was lost is settled by the next read. It keeps
-/// nothing but how long it has seen things that way; a restart costs only that wait.
+/// Every write of the epoch record compares the revision that was read, so controllers can run it
+/// concurrently, and a write without a reply is resolved by the next read. Its only state is how long
+/// conditions have held, so a restart only adds that wait.
 #[derive(Clone, Debug)]
 pub struct EpochMachine {
     me: VmId,
     settings: MembershipSettings,
     vms: VmWatch,
-    /// The revision of the epoch record seen last, and since when.
+    /// The last seen revision of the epoch record and when it was first seen.
     record_since: Option<(u64, Millis)>,
-    /// Since when a change has been due.
+    /// When a change became due.
     due_since: Option<Millis>,
 }
 
 impl EpochMachine {
-    /// A machine that has seen nothing yet.
+    /// Creates a machine for the controller on the VM `me`.
     pub fn new(
         me: VmId,
         settings: MembershipSettings,
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Takes in what was read and returns what to write.
+    /// Returns the writes that follow from what was read.
     ///
-    /// Call it again after each write, whatever came of it, with what is read then.
+    /// Call it again after each write, successful or not, with a new read.
     pub fn step(
         &mut self,
         view: &StoreView,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The first record waits for the VMs that start together, so that one alone doesn't get all.
+    /// Writes the first record after a delay, so that VMs that start together share the rights.
     fn first_epoch(
         &mut self,
         view: &StoreView,
@@ -173,8 +173,10 @@
         now.since(since)
     }
 
-    /// Whether a due change is for this controller to make: its place among the live ones says how long
-    /// it leaves that to the others, so that a hundred don't write the same at once.
+    /// Whether this controller makes a due change now.
+    ///
+    /// Controllers wait longer by their position among the live VMs, so that they rarely write the same
+    /// change concurrently.
     fn is_my_turn(
         &mut self,
         view: &StoreView,
@@ -196,7 +198,7 @@
     }
 }
 
-/// The record with its missing rights granted, once every member has reported.
+/// The finalised record with missing rights granted; `None` until every member has reported.
 fn finalise(
     record: &EpochRecord,
     view: &StoreView,
@@ -246,10 +248,10 @@
         .filter(|report| report.epoch == record.epoch && record.is_member(report.holder))
 }
 
-/// Live daemons that don't belong to the epoch yet; a run that a later one has replaced never does.
+/// Live daemons that are not members yet, except runs that a later one has replaced.
 ///
 /// Their VM must be on the platform's list. The list lags: a new VM that joined before it was listed
-/// and was paused past its lease would look just like one that is gone.
+/// and was paused past its lease could not be told apart from a deleted one.
 fn joining<'a>(
     record: &'a EpochRecord,
     view: &'a StoreView,
@@ -282,7 +284,7 @@
         .filter(|holder| view.released.iter().all(|last| last.holder != *holder))
 }
 
-/// Budgets whose whole has never been granted.
+/// Budgets that have never been granted.
 fn new_budgets<'a>(
     record: &'a EpochRecord,
     view: &'a StoreView,
@@ -310,7 +312,7 @@
         .collect()
 }
 
-/// Tokens given back by holders that leave with this change, and those still unused from before.
+/// Tokens released by holders that leave with this change, plus those not granted again before.
 fn freed(
     record: &EpochRecord,
     view: &StoreView,
@@ -328,9 +330,9 @@
     freed
 }
 
-/// Deletes the last words that nobody reads any more.
+/// Deletes final releases that are no longer needed.
 ///
-/// One whose daemon still looks alive stays: without it the daemon would be taken for a new one.
+/// The release of a daemon that still appears live is kept; without it the daemon would join again.
 fn clean_up(
     record: &EpochRecord,
     view: &StoreView,
--- a/crates/core/src/membership/epoch_record.rs
+++ b/crates/core/src/membership/epoch_record.rs
@@ -7,37 +7,37 @@
     std::collections::BTreeMap,
 };
 
-/// What an epoch adds to one holder.
+/// The rights that an epoch grants to one holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HolderGrants {
     /// The holder.
     pub holder: Holder,
-    /// Its grants, one for each account.
+    /// The granted rights, one per account.
     pub rights: Vec<Right>,
 }
 
-/// The record of the current epoch, as it stands in the store.
+/// The record of the current epoch in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EpochRecord {
-    /// Its number.
+    /// The epoch's number.
     pub epoch: Epoch,
-    /// All holders that may hold rights, in order.
+    /// All holders that may hold rights, sorted.
     pub members: Vec<Holder>,
-    /// Whether reports of holdings are still being gathered.
+    /// Whether reports of holdings are still being collected.
     pub closing: bool,
-    /// What this epoch adds. While it is closing: accounts that nobody has ever held.
+    /// Rights that this epoch grants; while `closing`, only those of accounts never held before.
     pub grants: Vec<HolderGrants>,
-    /// Accounts whose whole has been granted once, and to which daemons; all others are new.
+    /// Accounts that have been granted, with the role of their holders; all others are new.
     pub issued: BTreeMap<AccountId, Role>,
-    /// Tokens that stopped holders gave back and that no finalised epoch has granted yet.
+    /// Tokens released by stopped holders that no finalised epoch has granted again.
     pub freed: BTreeMap<AccountId, u64>,
 }
 
 impl EpochRecord {
-    /// Whether a holder belongs to the epoch.
+    /// Whether a holder is a member of the epoch.
     pub fn is_member(
         &self,
         holder: Holder,
@@ -45,7 +45,7 @@
         self.members.binary_search(&holder).is_ok()
     }
 
-    /// What the epoch adds to a holder so far.
+    /// The rights that the epoch grants to a holder so far.
     pub fn grants_for(
         &self,
         holder: Holder,
--- a/crates/core/src/membership/keys.rs
+++ b/crates/core/src/membership/keys.rs
@@ -6,7 +6,7 @@
 /// Prefix of the keys of all reports of holdings.
 pub const HOLDINGS_PREFIX: &str = "/jasmine/holdings/";
 
-/// Prefix of the keys of the last words of holders that have stopped.
+/// Prefix of the keys of the final releases of stopped holders.
 pub const RELEASED_PREFIX: &str = "/jasmine/released/";
 
 /// Prefix of the keys of the reports for one epoch; keys sort by epoch.
@@ -22,7 +22,7 @@
     format!("{}{}", holdings_prefix(epoch), holder_part(holder))
 }
 
-/// Key of the last word of a holder that has stopped.
+/// Key of the final release of a stopped holder.
 pub fn released_key(holder: Holder) -> String {
     format!("{RELEASED_PREFIX}{}", holder_part(holder))
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,26 +1,25 @@
-//! Membership of the holders of rights, as epochs agreed through the platform's store.
+//! Membership of the holders of rate-limit rights, agreed in epochs through the platform's store.
 //!
-//! The store's epoch record names the holders of rights. A change of membership opens a new epoch.
-//! Each holder that enters it reports what it holds at that moment; transfers between different
-//! epochs are refused, so the reports are one consistent cut. Once all have reported, what is
-//! missing to the whole was lost with dead holders and lost transfers, and is granted anew by the
-//! finalised record.
+//! The epoch record in the store lists the holders. A change of membership opens a new epoch. Each
+//! holder that enters it reports its rights at that moment. Transfers between different epochs are
+//! refused, so the reports form a consistent snapshot. Once all members have reported, rights that
+//! nobody reported were lost with dead holders or in transfers, and the finalised record grants them
+//! again.
 //!
-//! Only holders with a proof of death are left out of an epoch, and only when it is opened: one
-//! that died in the middle may have given away what it had not reported, so the epoch it died in is
-//! never finalised; the next one is. Proofs of death:
+//! Only holders known to be dead are left out of an epoch, and only when it is opened. A holder that
+//! dies during an epoch may have transferred rights it had not reported, so that epoch is never
+//! finalised and the next one is opened. A holder is dead if
 //!
-//! - it gave its rights back at shutdown,
-//! - a newer incarnation of the same daemon runs on the same VM,
-//! - its VM has no live lease and has been gone from the platform's list for longer than its lag.
+//! - it released its rights at shutdown,
+//! - a newer incarnation of the same daemon runs on the same VM, or
+//! - its VM has no live lease and has been missing from the platform's list for longer than the list
+//!   lags.
 //!
-//! Silence alone proves nothing: a frozen VM that is still listed keeps its share, and until it
-//! reports or is gone nothing can be reissued. Taking a lapsed lease for a proof would bring rights
-//! back sooner; tried, 302 of 2,000 generated orders of the tests failed, the first with a third more
-//! than the whole in force.
+//! A lapsed lease alone is not enough: a paused VM may resume and use its rights, so granting them
+//! again would exceed the limit. Until a listed VM reports or is gone, nothing is granted again.
 //!
-//! An account that nobody has ever held needs no reports: its whole, with a full burst, is granted by
-//! the record that opens the epoch, also while a frozen VM keeps that epoch from being finalised.
+//! An account that was never granted needs no reports: the record that opens the epoch grants all its
+//! rights with a full burst, even if a paused VM keeps the epoch from being finalised.
 
 mod epoch_action;
 mod epoch_machine;
--- a/crates/core/src/membership/reissue.rs
+++ b/crates/core/src/membership/reissue.rs
@@ -7,14 +7,14 @@
     std::collections::BTreeMap,
 };
 
-/// Grants of one epoch, gathered by holder.
+/// Grants of one epoch, grouped by holder.
 #[derive(Debug, Default)]
 pub struct Grants {
     by_holder: BTreeMap<Holder, Vec<Right>>,
 }
 
 impl Grants {
-    /// Starts from what a record grants already.
+    /// Starts from the grants of a record.
     pub fn of(record: &EpochRecord) -> Self {
         let by_holder = record
             .grants
@@ -24,7 +24,7 @@
         Self { by_holder }
     }
 
-    /// Divides a right evenly among a few members.
+    /// Divides a right evenly among up to `grantees` members.
     pub fn divide(
         &mut self,
         right: &Right,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The grants as the record has them.
+    /// Converts the grants to their form in the record.
     pub fn into_records(self) -> Vec<HolderGrants> {
         self.by_holder
             .into_iter()
@@ -55,7 +55,7 @@
     }
 }
 
-/// The whole of a budget that nobody has ever held: with a full burst.
+/// All rights of a budget that was never granted, with a full burst.
 pub fn whole(budget: &Budget) -> Right {
     Right {
         account: budget.account,
@@ -65,10 +65,10 @@
     }
 }
 
-/// What the reports leave of the whole.
+/// The rights of an account that no holder reported.
 ///
-/// Its tokens are only those that stopped holders gave back: a dead holder may have used all of its
-/// own just before. Who gets them cuts them down to its room.
+/// Its tokens are only those that stopped holders released, since a dead holder may have used its
+/// own. The receiver caps them at its burst capacity.
 pub fn missing(
     account: AccountId,
     reports: &[HoldingsRecord],
@@ -92,7 +92,7 @@
     }
 }
 
-/// The account's first homes among the members; the same ones at every controller.
+/// The members ranked first for the account; every controller chooses the same ones.
 fn choose(
     account: AccountId,
     members: &[Holder],
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -1,18 +1,18 @@
 use crate::clock::Millis;
 
-/// When the epoch changes.
+/// Timing of epoch changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// For how long a VM must be gone from the platform's list before that counts.
+    /// How long a VM must be missing from the platform's list before it counts as gone.
     pub list_lag: Millis,
-    /// The least time between two epochs, so that changes that come together share one.
+    /// Minimum time between two epochs, so that concurrent changes share one.
     pub settle: Millis,
-    /// After how long without a change an epoch is opened all the same, to bring back rights that
-    /// were lost in transfers.
+    /// Time after which an epoch is opened without a membership change, to recover rights lost in
+    /// transfers.
     pub refresh: Millis,
-    /// How much longer each controller waits than the one before it, so that they rarely race.
+    /// Extra delay of each controller over the one before it, so that they rarely race.
     pub stagger: Millis,
-    /// Holders that a missing right is divided among.
+    /// Maximum number of holders among which a missing right is divided.
     pub grantees: usize,
 }
 
--- a/crates/core/src/membership/store_view.rs
+++ b/crates/core/src/membership/store_view.rs
@@ -14,14 +14,14 @@
 pub struct LiveVm {
     /// The VM.
     pub vm: VmId,
-    /// Its gateway's run, if its controller knows one.
+    /// Incarnation of its gateway, if its controller knows one.
     pub gateway: Option<Incarnation>,
-    /// Its controller's run.
+    /// Incarnation of its controller.
     pub controller: Option<Incarnation>,
 }
 
 impl LiveVm {
-    /// The run of one of its daemons.
+    /// The incarnation of one of its daemons.
     pub const fn incarnation(
         &self,
         role: Role,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A value of the store with the revision at which it was written.
+/// A value from the store with the revision at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
     /// The value.
@@ -42,7 +42,7 @@
     pub mod_revision: u64,
 }
 
-/// What a holder had when it entered an epoch.
+/// A holder's report of its rights on entering an epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -51,47 +51,47 @@
     pub epoch: Epoch,
     /// The holder.
     pub holder: Holder,
-    /// What it had.
+    /// Its rights.
     pub rights: Vec<Right>,
 }
 
-/// The last word of a holder that has stopped: it admits and gives nothing any more.
+/// The final release of a stopped holder, which neither uses nor transfers rights any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReleasedRecord {
     /// The holder.
     pub holder: Holder,
-    /// What it had left.
+    /// Its remaining rights.
     pub rights: Vec<Right>,
 }
 
-/// Something whose rate is divided: a client account, or the weight store.
+/// A rate limit that is divided among holders: that of a client account or of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// The account's number.
+    /// The account's id.
     pub account: AccountId,
-    /// Which daemons hold it.
+    /// The role of the daemons that hold it.
     pub role: Role,
     /// Its limit.
     pub limit: Limit,
 }
 
-/// What a controller has read; any part may be old.
+/// What a controller has read from the store and the platform; any part may be stale.
 #[derive(Clone, Debug, Default)]
 pub struct StoreView {
-    /// When the oldest part of it was asked for.
+    /// When the oldest part was requested.
     pub read_at: Millis,
     /// VMs with a live lease.
     pub live: Vec<LiveVm>,
-    /// The platform's VM list; none when it could not be read.
+    /// The platform's VM list; `None` if it could not be read.
     pub listed: Option<BTreeSet<VmId>>,
-    /// The epoch record; none when the store has none.
+    /// The epoch record; `None` if the store has none.
     pub epoch: Option<Versioned<EpochRecord>>,
     /// Reports for that epoch.
     pub holdings: Vec<HoldingsRecord>,
-    /// Last words of holders that have stopped.
+    /// Final releases of stopped holders.
     pub released: Vec<ReleasedRecord>,
-    /// All budgets of the configuration in force here.
+    /// All budgets of the active configuration.
     pub budgets: Vec<Budget>,
 }
--- a/crates/core/src/membership/vm_watch.rs
+++ b/crates/core/src/membership/vm_watch.rs
@@ -4,18 +4,18 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// For how long each VM has been without a lease and gone from the platform's list.
+/// Tracks since when each VM has had no lease and been missing from the platform's list.
 ///
-/// Time counts from read to read: a controller that can't read sees the same old view for as long as
-/// it lasts, and that says nothing. Both must hold all the time: the list lags, so a VM that is not listed yet may be new, and a
-/// lease lapses while its holder is merely paused.
+/// Time is measured between reads, since a controller that can't read sees the same stale view. Both
+/// conditions must hold throughout: the list lags, so an unlisted VM may be new, and a lease also
+/// lapses while its holder is paused.
 #[derive(Clone, Debug, Default)]
 pub struct VmWatch {
     gone_since: BTreeMap<VmId, Millis>,
 }
 
 impl VmWatch {
-    /// Notes what was read about the VMs of members.
+    /// Updates the state from a read; `members` are the VMs to track.
     pub fn note(
         &mut self,
         members: &BTreeSet<VmId>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether a VM has been gone for longer than the list lags.
+    /// Whether a VM has been gone for at least `list_lag`.
     pub fn is_gone(
         &self,
         vm: VmId,
--- a/crates/core/src/ownership/account_waits.rs
+++ b/crates/core/src/ownership/account_waits.rs
@@ -3,10 +3,10 @@
     std::collections::BTreeMap,
 };
 
-/// Past load stalls count half after this time.
+/// Half-life of recorded waits.
 const HALF_LIFE: Millis = Millis::from_secs(30);
 
-/// How long each client account has waited for loads lately.
+/// Recent load waits of each client account.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AccountWaits {
     waits: BTreeMap<AccountId, Waits>,
@@ -19,7 +19,7 @@
 }
 
 impl AccountWaits {
-    /// Notes that a request of `account` has waited `waited` for a load.
+    /// Records that a request of `account` has waited `waited` for a load.
     pub(super) fn note(
         &mut self,
         account: AccountId,
@@ -31,14 +31,14 @@
         waits.count.add(1.0, now, HALF_LIFE);
     }
 
-    /// The mean wait of `account`, in milliseconds; zero when it has not waited lately.
+    /// The mean recent wait of `account`, in milliseconds; zero without recent waits.
     pub(super) fn mean_ms(
         &self,
         account: AccountId,
         now: Millis,
     ) -> f64 {
         self.waits.get(&account).map_or(0.0, |waits| {
-            // One more wait of no time: an account's first short wait is no trend.
+            // Counts one extra zero wait, so that a single wait does not dominate the mean.
             waits.total_ms.get(now, HALF_LIFE) / (waits.count.get(now, HALF_LIFE) + 1.0)
         })
     }
--- a/crates/core/src/ownership/action.rs
+++ b/crates/core/src/ownership/action.rs
@@ -4,7 +4,7 @@
     placement::Instance,
 };
 
-/// The answer to a gateway's question.
+/// The reply to a gateway's acquire request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireOutcome {
     /// The gateway may route to this instance until it is recalled.
@@ -14,29 +14,29 @@
         /// The fencing token of the owner that grants it.
         owner: Fence,
     },
-    /// The load is under way; ask again.
+    /// The load is in progress; the gateway should request again.
     Loading,
-    /// No slot can be freed for it; try another engine, and this one again after the time.
+    /// No slot can be freed; try another engine, and this one again after this delay.
     Full(Millis),
-    /// Its load has failed; the next attempt is due after this time.
+    /// The load has failed; the next attempt is due after this delay.
     LoadFailed(Millis),
-    /// This controller may not decide for that engine.
+    /// This controller does not own the engine.
     NotOwner,
 }
 
-/// What an [`super::OwnerMachine`] wants done.
+/// An action requested by an [`super::OwnerMachine`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerAction {
-    /// Tell the engine to load.
+    /// Order the engine to load an instance.
     OrderLoad {
-        /// What.
+        /// The instance.
         instance: Instance,
         /// The order's fencing token.
         fence: Fence,
     },
-    /// Tell the engine to unload.
+    /// Order the engine to unload an instance.
     OrderUnload {
-        /// What.
+        /// The instance.
         instance: Instance,
         /// The order's fencing token.
         fence: Fence,
@@ -45,23 +45,23 @@
     RaiseFence {
         /// The engine.
         upstream: UpstreamId,
-        /// The token.
+        /// The fencing token.
         fence: Fence,
     },
-    /// Take a newer fencing token for the engine: some names may not be used again under this one.
+    /// Obtain a newer fencing token for the engine, since a name under this one can't be reused.
     RenewFence(UpstreamId),
-    /// Ask the weight store's rights for this many more loads.
+    /// Request budget for this many more loads from the weight store's rate limit.
     AskBudget(u32),
-    /// Answer a gateway's question.
+    /// Reply to a gateway's acquire request.
     Reply {
         /// The gateway.
         to: Holder,
-        /// Its question's number.
+        /// Id of the request.
         ask: u64,
-        /// The answer.
+        /// The reply.
         outcome: AcquireOutcome,
     },
-    /// Ask a gateway to drop an instance; also in [`super::OwnerMachine::recalls`].
+    /// Ask a gateway to release an instance; also in [`super::OwnerMachine::recalls`].
     Recall {
         /// The gateway.
         holder: Holder,
--- a/crates/core/src/ownership/assign.rs
+++ b/crates/core/src/ownership/assign.rs
@@ -8,14 +8,14 @@
 pub struct Candidate {
     /// Its VM.
     pub vm: VmId,
-    /// The data centre the VM stands in.
+    /// The VM's data centre.
     pub data_centre: DataCentreId,
 }
 
-/// The controller that should own an engine; `None` when none is live.
+/// The controller that should own an engine; `None` if no controller is live.
 ///
-/// Controllers in the engine's own data centre go first, so that its orders and reports stay there
-/// and the loss of a link between data centres changes no owner.
+/// Controllers in the engine's data centre are preferred, so that its orders and reports stay local
+/// and the loss of a link between data centres does not change owners.
 pub fn assign(
     upstream: UpstreamId,
     data_centre: DataCentreId,
--- a/crates/core/src/ownership/engine_copy.rs
+++ b/crates/core/src/ownership/engine_copy.rs
@@ -6,35 +6,34 @@
     std::collections::BTreeMap,
 };
 
-/// What the owner knows of one instance on one engine.
+/// State of one copy on an engine, as its owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyState {
     /// The load has been ordered.
     Loading,
-    /// It is loaded and may be granted.
+    /// Loaded; can be granted.
     Resident,
-    /// It is to be unloaded as soon as every holder has dropped it.
+    /// Will be unloaded once every holder has released it.
     Recalling,
     /// The unload has been ordered.
     Unloading,
-    /// It may be there, but a late order may take it away at any time: it is granted to nobody.
+    /// May be loaded, but a delayed order may unload it at any time; never granted.
     Doubtful,
-    /// It is not there, but gateways have not yet dropped their grants.
+    /// Not loaded any more, but gateways still hold grants.
     Gone,
 }
 
-/// One instance on one engine.
+/// One copy of an adapter version on an engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineCopy {
-    /// What is known of it.
     pub(super) state: CopyState,
-    /// Since when.
+    /// When it entered `state`.
     pub(super) since: Millis,
-    /// The gateways that may route to it, each with the question its grant answered.
+    /// The gateways that may route to it, each with the id of the last request granted.
     pub(super) grants: BTreeMap<Holder, u64>,
-    /// When a gateway last asked for it or gave it back.
+    /// When a gateway last acquired or released it.
     pub(super) used: Millis,
-    /// The client account that asked for it last.
+    /// The client account that requested it last.
     pub(super) account: Option<AccountId>,
 }
 
@@ -61,7 +60,7 @@
         self.since = now;
     }
 
-    /// Whether an order for it has been given and not answered.
+    /// Whether an order for it is pending.
     pub(super) fn has_order_out(&self) -> bool {
         matches!(self.state, CopyState::Loading | CopyState::Unloading)
     }
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -4,57 +4,57 @@
     placement::Instance,
 };
 
-/// An engine that this controller has come to own.
+/// Ownership of an engine by this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ownership {
     /// The engine.
     pub upstream: UpstreamId,
-    /// The fencing token taken with it; higher than any former owner's.
+    /// The fencing token; higher than that of any former owner.
     pub fence: Fence,
-    /// Whether the engine refuses orders with an older token.
+    /// Whether the engine supports fencing, that is, can refuse orders with an older token.
     pub checks_fencing: bool,
-    /// Adapters it holds at a time.
+    /// Number of adapter slots.
     pub slots: u32,
 }
 
-/// What a gateway says of itself with each poll; its word as a witness.
+/// A poll by a gateway, with the fencing tokens it has seen and the grants it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// The gateway.
     pub from: Holder,
-    /// The highest fencing token it has seen of each engine.
+    /// The highest fencing token it has seen for each engine.
     pub seen: Vec<(UpstreamId, Fence)>,
-    /// The instances it routes to or still has work on.
+    /// The instances it holds grants for.
     pub held: Vec<Instance>,
 }
 
-/// A gateway's question for an adapter version on an engine.
+/// A gateway's request to acquire an adapter version on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
     /// The gateway.
     pub from: Holder,
-    /// The question's number, growing with each that this gateway asks.
+    /// Request id; increases with each request of this gateway.
     pub ask: u64,
     /// The engine.
     pub upstream: UpstreamId,
-    /// What is wanted.
+    /// The requested adapter version.
     pub adapter: AdapterVersion,
-    /// For whose request.
+    /// The client account whose request needs it.
     pub account: AccountId,
-    /// How long the answer may be held back while the load is under way.
+    /// How long the reply may be delayed while the load is in progress.
     pub wait: Millis,
 }
 
-/// A gateway's word that it has dropped instances.
+/// A gateway's confirmation that it has released its grants for instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
     /// The gateway.
     pub from: Holder,
-    /// The highest fencing token the gateway has seen of the engine; a word goes to no older owner.
+    /// The highest fencing token the gateway has seen for the engine; older owners ignore it.
     pub fence: Fence,
-    /// The word covers what was granted for questions up to this number.
+    /// Covers grants made for requests with an id up to this one.
     pub ask: u64,
-    /// What it has dropped.
+    /// The released instances.
     pub instances: Vec<Instance>,
 }
 
@@ -69,61 +69,61 @@
     NoFreeSlot,
     /// The engine has seen a newer owner.
     StaleFence,
-    /// No answer came; it may be loaded now or later.
+    /// No response; the load may have taken effect or may do so later.
     Unknown,
 }
 
 /// How an unload ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnloadResult {
-    /// The instance is gone, or was not there.
+    /// The instance is not loaded any more, or was not loaded.
     Gone,
     /// The engine has seen a newer owner.
     StaleFence,
-    /// No answer came; it may still take effect at any time.
+    /// No response; the unload may still take effect at any time.
     Unknown,
 }
 
-/// An engine's own report, which lags.
+/// An engine's report of what it has loaded; it lags behind the engine's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The engine.
     pub upstream: UpstreamId,
     /// Changes when the engine restarts.
     pub boot: u64,
-    /// Adapters it holds at a time.
+    /// Number of adapter slots.
     pub slots: u32,
-    /// What it says is loaded.
+    /// The instances it reports as loaded.
     pub instances: Vec<Instance>,
 }
 
-/// What an [`super::OwnerMachine`] is told.
+/// An input of an [`super::OwnerMachine`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerEvent {
-    /// The platform has confirmed this controller's lease until this time of its own clock.
+    /// This controller's lease is confirmed until this time of its own clock.
     LeaseExtended(Millis),
-    /// An engine has come to this controller, or its fencing token has been renewed.
+    /// This controller has gained ownership of an engine, or its fencing token was renewed.
     Gained(Ownership),
-    /// An engine is no longer this controller's.
+    /// This controller has lost ownership of an engine.
     Lost(UpstreamId),
-    /// The VMs whose gateways may hold grants: all that are not proven to have stopped.
+    /// The VMs whose gateways may hold grants: all that are not known to have stopped.
     Members(Vec<VmId>),
     /// A gateway has polled.
     Polled(Poll),
-    /// A gateway wants an adapter version.
+    /// A gateway requests an adapter version.
     Acquire(Ask),
-    /// A gateway has dropped instances.
+    /// A gateway has released instances.
     Released(Release),
-    /// The engine has taken (`true`) or refused the fencing token.
+    /// The engine has accepted (`true`) or refused the fencing token.
     FenceRaised(UpstreamId, Fence, bool),
     /// A load has ended.
     LoadEnded(Instance, LoadResult),
     /// An unload has ended.
     UnloadEnded(Instance, UnloadResult),
-    /// An engine has reported.
+    /// An engine has sent a report.
     Reported(Report),
-    /// This many loads may begin.
+    /// Budget for this many more loads was granted.
     BudgetGranted(u32),
-    /// Time has passed.
+    /// Timer tick.
     Tick,
 }
--- a/crates/core/src/ownership/evidence.rs
+++ b/crates/core/src/ownership/evidence.rs
@@ -8,15 +8,15 @@
     crate::{clock::Millis, ids::Holder, placement::Instance},
 };
 
-/// Demand below this is not worth remembering.
+/// Decayed demand below this is dropped.
 const FORGOTTEN: f64 = 0.01;
 
-/// What gateways and the engine itself tell of its copies.
+/// Updates of copies from gateway polls and engine reports.
 impl OwnedEngine {
-    /// Takes a gateway's word that it holds an instance.
+    /// Records that a gateway holds a grant for an instance.
     ///
-    /// `seen`: the gateway has seen the present token and gives no word to a former owner any more.
-    /// Only then is an instance of a former owner beyond the reach of its late orders.
+    /// `seen`: the gateway has seen the current token and sends no releases to a former owner. Only
+    /// then can a delayed order of a former owner no longer unload the instance.
     pub(super) fn note_held(
         &mut self,
         from: Holder,
@@ -36,7 +36,7 @@
             return;
         };
         match copy.state {
-            // Ordered away with all words given: this poll was sent before the last of them.
+            // The unload was ordered after all releases, so this poll predates the last one.
             CopyState::Unloading => return,
             CopyState::Doubtful if seen && is_former && !burnt => {
                 copy.enter(CopyState::Resident, now);
@@ -46,7 +46,7 @@
         copy.grants.entry(from).or_insert(0);
     }
 
-    /// Compares a report with what should be on the engine.
+    /// Updates the copies from a report of the engine.
     pub(super) fn note_report(
         &mut self,
         report: &Report,
@@ -68,10 +68,10 @@
         self.forget_missing(report, settings, now);
     }
 
-    /// The engine has restarted: whatever was loaded is not there any more.
+    /// Marks all copies as gone after a restart of the engine.
     ///
-    /// An order that is still out keeps its copy: an unload that arrives after the restart would
-    /// hit the same name loaded again.
+    /// Copies with a pending order are kept: an unload that arrives after the restart would remove a
+    /// copy loaded again under the same name.
     fn forget_all(
         &mut self,
         now: Millis,
@@ -95,7 +95,7 @@
         if key.1 > self.own.fence || self.unloaded.contains_key(&key) {
             return;
         }
-        // Where older orders are refused by now, nothing can take the instance away any more.
+        // If the engine refuses older tokens, no former owner can unload the instance.
         let state = if self.raised && key.1 < self.own.fence {
             CopyState::Resident
         } else {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// An instance that reports leave out for longer than they lag is not there.
+    /// Marks copies as gone that have been missing from reports for longer than the report lag.
     fn forget_missing(
         &mut self,
         report: &Report,
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -1,16 +1,17 @@
-//! Who gives orders to which engine, and which orders: loads, unloads, grants and recalls.
+//! Engine ownership: loading and unloading adapters, and granting and recalling their use.
 //!
-//! Each engine has one owner, a controller that holds it under a lease and a fencing token. Not all
-//! engines check the token, and an owner can be frozen between deciding on an order and sending it.
-//! What keeps a late order from doing harm is therefore not the engine but three rules:
+//! Each engine has one owner, a controller that holds a lease and a fencing token for it. Not every
+//! engine checks the token, and an owner can be paused between deciding on an order and sending it.
+//! Three rules therefore keep delayed orders from unloading an adapter that is in use:
 //!
-//! * a gateway routes to an instance only under a grant, and an unload needs the word of every
-//!   gateway that holds one;
-//! * a gateway gives its word only to the highest fencing token it has seen, so that a former owner
-//!   can't collect words once its successor has been heard of;
-//! * a new owner goes on with an instance of a former owner only if a gateway that has seen the new
-//!   token still holds a grant for it: then the former owner can't have had all words. Everything
-//!   else is in doubt and loaded anew under a name with the new token.
+//! * A gateway routes to an instance only under a grant, and an instance is unloaded only after every
+//!   gateway with a grant has released it.
+//! * A gateway sends releases only to the owner with the highest fencing token it has seen, so a
+//!   former owner can't collect all releases once gateways know its successor.
+//! * A new owner keeps an instance of a former owner only if a gateway that has seen the new token
+//!   still holds a grant for it, because then the former owner can't have collected all releases.
+//!   The state of every other instance is uncertain, and its adapter is loaded again under a name
+//!   that includes the new token.
 
 mod account_waits;
 mod action;
--- a/crates/core/src/ownership/orders.rs
+++ b/crates/core/src/ownership/orders.rs
@@ -15,14 +15,14 @@
     std::collections::BTreeMap,
 };
 
-/// A load is still wanted for this long after the last question for it was answered "loading".
+/// How long a queued load is kept after the last request for it.
 const INTEREST: Millis = Millis::from_secs(2);
 
-/// Loads that an owner asks budget for at a time; more would be kept from the other owners.
+/// Most loads per budget request, so that one owner does not starve the others.
 const MAX_ASKED: u32 = 16;
 
 impl OwnerMachine {
-    /// Answers questions that have been held back long enough, and drops what nobody waits for.
+    /// Replies to requests whose wait has timed out, and drops loads that nobody requests any more.
     pub(super) fn expire(
         &mut self,
         now: Millis,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Gives every order that is due and allowed.
+    /// Emits every order that is due, provided that orders are allowed.
     pub(super) fn order(
         &mut self,
         now: Millis,
@@ -55,7 +55,7 @@
         if self.has_lease(now) {
             self.void_replaced(now);
         }
-        // A process that was frozen past its lease must not act on what it decided before.
+        // A process that was paused past its lease must not act on stale decisions.
         if !self.orders_allowed(now) {
             return;
         }
@@ -69,7 +69,7 @@
         self.ask_budget(now, out);
     }
 
-    /// Gives budget to the loads that are most due.
+    /// Spends the budget on the most urgent loads.
     fn spend_budget(
         &mut self,
         now: Millis,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Loads that wait for their turn, the most urgent first.
+    /// Queued loads that can start, most urgent first.
     fn queued_by_rank(
         &self,
         now: Millis,
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// The wait of the worst-served account that this load is for.
+    /// Urgency of a load, in milliseconds: the longest wait of the accounts that need it.
     fn rank(
         &self,
         wanted: &Wanted,
@@ -131,13 +131,13 @@
         now: Millis,
         out: &mut Vec<OwnerAction>,
     ) {
-        // The question or its answer may be lost: without this, no load would ever begin again.
+        // The request or its reply may be lost; without a retry no load would start again.
         if now.since(self.budget_asked_at) >= self.settings.budget_retry {
             self.budget_asked = 0;
         }
         let needed = self.queued_by_rank(now).len() as u32;
         let missing = needed.saturating_sub(self.budget).min(MAX_ASKED);
-        // One question at a time: each that is answered takes from what other owners may load.
+        // One request at a time: every granted load reduces what other owners may load.
         if missing > 0 && self.budget_asked == 0 {
             self.budget_asked = missing;
             self.budget_asked_at = now;
@@ -147,7 +147,7 @@
 }
 
 impl OwnedEngine {
-    /// Whether a load may begin as soon as there is budget for it.
+    /// Whether a load can start as soon as there is budget for it.
     fn is_due(
         &self,
         adapter: AdapterVersion,
@@ -164,7 +164,7 @@
             && matches!(state, None | Some(CopyState::Gone | CopyState::Doubtful))
     }
 
-    /// Begins a load: into a free slot, or by making room; `false` when there is no room to make.
+    /// Starts a load in a free slot or evicts a copy for it; `false` if no copy can be evicted.
     fn start(
         &mut self,
         adapter: AdapterVersion,
@@ -191,7 +191,7 @@
         true
     }
 
-    /// Finds room for loads with budget whose victim has been given up.
+    /// Evicts another copy if a load still needs a slot after its victim's recall was cancelled.
     fn vacate(
         &mut self,
         witnesses: &BTreeMap<VmId, Witness>,
@@ -232,7 +232,7 @@
         self.unload_released(now, out);
     }
 
-    /// Orders away what is recalled and what every holder has dropped.
+    /// Orders the unload of recalled copies that all holders have released.
     fn unload_released(
         &mut self,
         now: Millis,
@@ -269,7 +269,7 @@
             .collect();
         for adapter in waiting {
             let key = self.key(adapter);
-            // A load under a name whose unload is still out would be undone when that arrives.
+            // A pending unload of the same name would remove the newly loaded copy.
             let has_room = match self.copies.get(&key).map(|copy| copy.state) {
                 None | Some(CopyState::Gone) => self.has_free_slot(),
                 Some(CopyState::Doubtful) => !self.burnt.contains(&key),
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Takes back recalls that a holder does not answer, so that another victim is chosen.
+    /// Cancels recalls that a holder does not answer, so that another victim is chosen.
     fn give_up_stuck_recalls(
         &mut self,
         witnesses: &BTreeMap<VmId, Witness>,
--- a/crates/core/src/ownership/owned_engine.rs
+++ b/crates/core/src/ownership/owned_engine.rs
@@ -14,35 +14,35 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// Names one copy on an engine.
+/// Identifies one copy on an engine.
 pub(super) type CopyKey = (AdapterVersion, Fence);
 
-/// Failed loads of an adapter version on an engine.
+/// Retry backoff of an adapter version after failed loads.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Backoff {
     pub(super) until: Millis,
     pub(super) pause: Millis,
 }
 
-/// One engine of this controller.
+/// State of one engine that this controller owns.
 #[derive(Clone, Debug)]
 pub(super) struct OwnedEngine {
     pub(super) own: Ownership,
     pub(super) gained: Millis,
-    /// Whether the engine refuses older tokens by now.
+    /// Whether the engine has confirmed that it refuses older fencing tokens.
     pub(super) raised: bool,
     pub(super) boot: Option<u64>,
-    /// VMs whose gateway has not yet said, knowing the present token, what it holds.
+    /// VMs whose gateway has not yet reported its grants under the current fencing token.
     pub(super) unheard: BTreeSet<VmId>,
     pub(super) copies: BTreeMap<CopyKey, EngineCopy>,
     pub(super) wanted: BTreeMap<AdapterVersion, Wanted>,
     pub(super) backoffs: BTreeMap<AdapterVersion, Backoff>,
     pub(super) demand: HashMap<AdapterVersion, Decayed>,
-    /// Unloads whose fate is unknown: these names may not be loaded again.
+    /// Copies with an unload of unknown outcome; their names must not be loaded again.
     pub(super) burnt: BTreeSet<CopyKey>,
-    /// What has been unloaded lately; a lagging report may still name it.
+    /// Recently unloaded copies and when; a lagging report may still list them.
     pub(super) unloaded: BTreeMap<CopyKey, Millis>,
-    /// No load before this time: the engine holds more than is known here.
+    /// No load starts before this time: the engine reported no free slot.
     pub(super) paused_until: Millis,
 }
 
@@ -72,7 +72,7 @@
         self.own.upstream
     }
 
-    /// The name under which the adapter would be loaded now.
+    /// The key of a copy that would be loaded under the current fencing token.
     pub(super) fn key(
         &self,
         adapter: AdapterVersion,
@@ -101,7 +101,7 @@
             .is_some_and(|copy| copy.state == state)
     }
 
-    /// The newest copy of the adapter in that state.
+    /// The newest copy of the adapter in the given state.
     pub(super) fn find(
         &self,
         adapter: AdapterVersion,
@@ -126,27 +126,27 @@
         used.count() as u32
     }
 
-    /// Slots that are free and that no load with budget is already waiting for.
+    /// Whether the engine has a slot that no copy uses.
     pub(super) fn has_free_slot(&self) -> bool {
         self.used_slots() < self.own.slots
     }
 
-    /// Copies on their way out, each of which makes room for one load.
+    /// Number of copies being recalled or unloaded, each of which frees one slot.
     pub(super) fn vacating(&self) -> usize {
         let on_the_way =
             |copy: &&EngineCopy| matches!(copy.state, CopyState::Recalling | CopyState::Unloading);
         self.copies.values().filter(on_the_way).count()
     }
 
-    /// Loads with budget that have no slot yet.
+    /// Number of loads that have budget and no slot.
     pub(super) fn needing_slot(&self) -> usize {
         let needy = |wanted: &&Wanted| wanted.stage == Stage::NeedsSlot;
         self.wanted.values().filter(needy).count()
     }
 
-    /// Whether all words about this copy are known, so that it may be unloaded once they are given.
+    /// Whether all holders of this copy are known, so that it can be unloaded once they release it.
     ///
-    /// A copy of a former owner may be held by a gateway that has not said so yet.
+    /// A copy of a former owner may be held by a gateway that has not reported yet.
     pub(super) fn words_known(
         &self,
         key: CopyKey,
@@ -154,7 +154,7 @@
         key.1 == self.own.fence || self.unheard.is_empty()
     }
 
-    /// Whether the adapter may be there already, so that loading it now could be for nothing.
+    /// Whether gateways may still report copies that are already loaded.
     pub(super) fn is_gathering(
         &self,
         settings: &OwnerSettings,
@@ -202,8 +202,9 @@
             .map_or(0.0, |sum| sum.get(now, settings.demand_half_life))
     }
 
-    /// Whether a question tells of demand that has not been counted: not when a gateway that waits
-    /// for a load asks again, or what waited longest would seem to be used most.
+    /// Whether a request is demand that was not counted yet.
+    ///
+    /// Retries by a gateway that waits for a load don't count, so that slow loads don't inflate demand.
     pub(super) fn is_new_demand(
         &self,
         ask: &Ask,
@@ -226,7 +227,7 @@
             .add(amount, now, settings.demand_half_life);
     }
 
-    /// Slots that each client account present on this engine may count on.
+    /// Fair share of slots for each client account on this engine.
     pub(super) fn fair_slots(&self) -> u32 {
         let mut accounts: Vec<AccountId> = self
             .copies
@@ -247,10 +248,10 @@
         self.copies.values().filter(theirs).count() as u32
     }
 
-    /// Whether the holders of this copy should drop it.
+    /// Whether the holders of this copy must release it.
     ///
-    /// A copy in doubt may yet turn out to have a witness, so its holders keep it until all gateways
-    /// have been heard.
+    /// Holders keep an uncertain copy until all gateways have reported, since one of them may confirm
+    /// that it is loaded.
     pub(super) fn is_recalled(
         &self,
         key: CopyKey,
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Drops what `is_over` says of grants; copies that are gone and dropped by all are forgotten.
+    /// Removes the grants that `is_over` selects, and copies that are gone and have no grants.
     pub(super) fn drop_grants<F>(
         &mut self,
         now: Millis,
@@ -283,7 +284,7 @@
             .retain(|_, copy| copy.takes_slot() || !copy.grants.is_empty());
     }
 
-    /// Notes that the copy is not on the engine any more.
+    /// Marks the copy as gone from the engine; it is removed once it has no grants.
     pub(super) fn forget(
         &mut self,
         key: CopyKey,
--- a/crates/core/src/ownership/owner_machine.rs
+++ b/crates/core/src/ownership/owner_machine.rs
@@ -16,14 +16,14 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// A gateway as this controller knows it.
+/// The last known run of a gateway and when it was last heard from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Witness {
     pub(super) incarnation: Incarnation,
     pub(super) heard: Millis,
 }
 
-/// The engines that one controller owns: who holds what, and what is loaded next.
+/// State machine of the engines that one controller owns: their copies, grants and pending loads.
 #[derive(Clone, Debug)]
 pub struct OwnerMachine {
     pub(super) settings: OwnerSettings,
@@ -31,18 +31,18 @@
     pub(super) engines: BTreeMap<UpstreamId, OwnedEngine>,
     pub(super) members: BTreeSet<VmId>,
     pub(super) witnesses: BTreeMap<VmId, Witness>,
-    /// VMs whose gateway has been replaced, or that are gone, since grants were last voided.
+    /// VMs whose gateway has restarted or left since grants were last revoked.
     pub(super) replaced: BTreeSet<VmId>,
     pub(super) waits: AccountWaits,
-    /// Loads that may begin.
+    /// Loads that may start now.
     pub(super) budget: u32,
-    /// Loads that have been asked for and not yet granted.
+    /// Loads that were requested from the budget and not yet granted.
     pub(super) budget_asked: u32,
     pub(super) budget_asked_at: Millis,
 }
 
 impl OwnerMachine {
-    /// A controller that owns nothing yet.
+    /// Creates a machine that owns no engine.
     pub fn new(settings: OwnerSettings) -> Self {
         Self {
             settings,
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Takes one event and says what is to be done about it.
+    /// Handles one event and returns the actions to perform.
     ///
-    /// `now` must be read right before the call: orders are checked against the lease with it. An
-    /// order that is not sent at once is to be checked again with [`Self::may_order`].
+    /// `now` must be read right before the call, because orders are checked against the lease with it.
+    /// An order that is not sent immediately must be checked again with [`Self::may_order`].
     pub fn handle(
         &mut self,
         event: OwnerEvent,
@@ -97,7 +97,7 @@
         out
     }
 
-    /// Whether an order for this engine under this token may still be sent.
+    /// Whether an order for this engine with this fencing token may still be sent.
     pub fn may_order(
         &self,
         upstream: UpstreamId,
@@ -108,7 +108,7 @@
         owned.is_some_and(|engine| engine.own.fence == fence) && self.orders_allowed(now)
     }
 
-    /// The token under which this controller owns the engine.
+    /// The fencing token under which this controller owns the engine.
     pub fn fence(
         &self,
         upstream: UpstreamId,
@@ -116,7 +116,7 @@
         self.engines.get(&upstream).map(|engine| engine.own.fence)
     }
 
-    /// What this gateway should drop; goes into each answer to its polls.
+    /// Instances that this gateway must release; included in every poll response.
     pub fn recalls(
         &self,
         holder: Holder,
@@ -135,7 +135,7 @@
             .collect()
     }
 
-    /// The instances on an engine that gateways may ask for, for their view of it.
+    /// Instances on an engine that gateways can acquire.
     pub fn resident(
         &self,
         upstream: UpstreamId,
@@ -173,7 +173,7 @@
     ) {
         match self.engines.get_mut(&own.upstream) {
             Some(engine) if engine.own.fence >= own.fence => return,
-            // A renewed token: nobody else has owned the engine in between, so all is as it was.
+            // A renewed token: no other controller owned the engine in between, so its state is valid.
             Some(engine) => {
                 engine.own = own;
                 engine.raised = false;
@@ -210,14 +210,14 @@
     ) {
         let members: BTreeSet<VmId> = vms.iter().copied().collect();
         for engine in self.engines.values_mut() {
-            // A VM that was not known when the engine was gained may hold grants of a former owner.
+            // A VM that was unknown when ownership was gained may hold grants from a former owner.
             engine.unheard.extend(members.difference(&self.members));
         }
         self.replaced.extend(self.members.difference(&members));
         self.members = members;
     }
 
-    /// Notes that a gateway is alive; `false` when it is not, or not yet, one to deal with.
+    /// Records that a gateway is alive; `false` if it is not a member or its run was replaced.
     fn hear(
         &mut self,
         from: Holder,
@@ -242,10 +242,10 @@
         true
     }
 
-    /// Voids the grants of gateways' processes that have been replaced or have stopped for good.
+    /// Revokes the grants of gateway processes that were replaced or are no longer members.
     ///
-    /// Only under a valid lease: a former owner must not conclude anything from a gateway's end,
-    /// since the process that ended may have been the witness of its successor.
+    /// Requires a valid lease: a former owner must not take a gateway's end for a release, since its
+    /// successor may be keeping an instance because of that gateway's grant.
     pub(super) fn void_replaced(
         &mut self,
         now: Millis,
@@ -265,7 +265,7 @@
                     engine.unheard.remove(&vm);
                 }
                 engine.drop_grants(now, |_, holder, _| is_over(holder));
-                // A grant to a process that is gone would never be given back.
+                // A grant to a stopped process would never be released.
                 for wanted in engine.wanted.values_mut() {
                     wanted.waiters.retain(|waiter| !is_over(&waiter.from));
                 }
@@ -358,7 +358,7 @@
     ) {
         self.hear(release.from, now);
         for engine in self.engines.values_mut() {
-            // A word for another token is not for this owner, however it got here.
+            // A release with another token is meant for another owner.
             if engine.own.fence != release.fence {
                 continue;
             }
--- a/crates/core/src/ownership/results.rs
+++ b/crates/core/src/ownership/results.rs
@@ -14,7 +14,7 @@
     },
 };
 
-/// What came of orders, and what engines report.
+/// Handling of order results and engine reports.
 impl OwnerMachine {
     pub(super) fn note_fence(
         &mut self,
@@ -124,8 +124,8 @@
             }
             UnloadResult::StaleFence => self.lose(instance.upstream, out),
             UnloadResult::Unknown => {
-                // The order may still be under way. Loading the same name again would give it
-                // something to hurt; a copy loaded under a newer token has another name.
+                // The unload may still take effect, so the same name must not be loaded again.
+                // A copy loaded under a newer token has another name.
                 engine.burnt.insert(key);
                 if let Some(copy) = engine.copies.get_mut(&key) {
                     copy.enter(CopyState::Doubtful, now);
--- a/crates/core/src/ownership/settings.rs
+++ b/crates/core/src/ownership/settings.rs
@@ -1,31 +1,30 @@
 use crate::clock::Millis;
 
-/// Times and bounds of an [`super::OwnerMachine`].
+/// Timeouts and limits of an [`super::OwnerMachine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerSettings {
-    /// Orders stop this long before the lease ends: what an order needs to reach the engine.
+    /// Orders stop this long before the lease ends, to leave time for them to reach the engine.
     pub lease_margin: Millis,
-    /// Whether orders go on after the lease has ended, as in a long outage of the store, when no lease
-    /// can be renewed. What protects work is then the gateways' words alone: nothing is concluded
-    /// from a gateway's end while there is no lease.
+    /// Whether orders continue after the lease has ended, for example in a long store outage. Running
+    /// requests are then protected by releases alone: without a lease, a gateway's end revokes nothing.
     pub orders_past_lease: bool,
-    /// A gateway that has not been heard of for this long is passed over when a victim is chosen.
+    /// Copies held by a gateway that has been silent for this long are not evicted.
     pub silent_after: Millis,
-    /// A recall that is not answered in this time makes room for another victim.
+    /// A recall not completed within this time is cancelled, and another victim is chosen.
     pub recall_patience: Millis,
-    /// How long a new owner waits for witnesses before it loads what may be there already.
+    /// How long a new owner waits for gateways to report loaded copies before it starts loads.
     pub gather_patience: Millis,
-    /// An instance is not evicted for this long after its load.
+    /// Minimum time between the load of a copy and its eviction.
     pub min_residence: Millis,
-    /// How far an engine's report may lag behind.
+    /// Maximum lag of an engine's report.
     pub report_lag: Millis,
-    /// The pause after a first failed load; it doubles with each further one.
+    /// Delay after the first failed load; doubles with each further failure.
     pub first_backoff: Millis,
-    /// The longest pause after failed loads.
+    /// Maximum delay after failed loads.
     pub max_backoff: Millis,
-    /// A question for load budget that was not answered is asked again after this time.
+    /// An unanswered request for load budget is repeated after this time.
     pub budget_retry: Millis,
-    /// In this time an adapter's past demand counts half.
+    /// Half-life of an adapter's demand.
     pub demand_half_life: Millis,
 }
 
--- a/crates/core/src/ownership/victim.rs
+++ b/crates/core/src/ownership/victim.rs
@@ -12,17 +12,19 @@
     std::collections::BTreeMap,
 };
 
-/// An instance that has been idle for `t` seconds counts as wanted at most this many times divided
-/// by `t`: what was popular a minute ago and is not asked for any more must not hold its slot against
-/// what is asked for now.
+/// Caps the demand of a copy idle for `t` seconds at `IDLE_CAP / t`, so that past demand does not
+/// keep unused copies loaded.
 const IDLE_CAP: f64 = 60.0;
 
-/// What each gateway that holds a grant adds to the cost of losing an instance.
+/// Eviction cost added for each gateway that holds a grant.
 const HELD_BONUS: f64 = 0.5;
 
-/// Which copy makes room for another.
+/// Choice of the copy to evict.
 impl OwnedEngine {
-    /// The copy whose loss costs least, for a newcomer.
+    /// The copy with the least eviction cost that may be evicted for `newcomer`.
+    ///
+    /// A copy of another account that is within its fair share is evicted only if the newcomer's
+    /// account is below its own.
     pub(super) fn victim(
         &self,
         newcomer: AdapterVersion,
@@ -70,10 +72,10 @@
         }
     }
 
-    /// Whether a newer version of the adapter is here or wanted here.
+    /// Whether a newer version of the adapter is loaded or requested on this engine.
     ///
-    /// In a rollout the demand moves from one to the other at once; the old version's past demand
-    /// would keep its slot for minutes, while the new versions of other adapters wait.
+    /// In a rollout all demand moves to the new version, so the old version's past demand must not
+    /// keep its slot.
     fn is_superseded(
         &self,
         key: CopyKey,
--- a/crates/core/src/ownership/wanted.rs
+++ b/crates/core/src/ownership/wanted.rs
@@ -7,7 +7,7 @@
     std::collections::BTreeSet,
 };
 
-/// A gateway whose question is held back.
+/// An acquire request whose reply waits for the load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
     pub(super) from: Holder,
@@ -17,29 +17,29 @@
     pub(super) until: Millis,
 }
 
-/// How far the load of a wanted adapter has come.
+/// Progress of a requested load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// It waits for its turn.
+    /// Waits for budget.
     Queued,
-    /// It has its budget and waits for a slot.
+    /// Has budget and waits for a slot.
     NeedsSlot,
     /// The load has been ordered.
     Loading,
 }
 
-/// An adapter version that somebody wants on an engine.
+/// An adapter version that gateways have requested on an engine.
 #[derive(Clone, Debug)]
 pub(super) struct Wanted {
     pub(super) stage: Stage,
-    /// Since when it has been wanted without a break.
+    /// When it was first requested.
     pub(super) since: Millis,
-    /// When somebody last asked.
+    /// When it was last requested.
     pub(super) asked: Millis,
-    /// For which client account somebody last asked.
+    /// The client account of the last request.
     pub(super) account: AccountId,
     pub(super) waiters: Vec<Waiter>,
-    /// The gateways that have asked since it has been wanted.
+    /// VMs whose gateway has requested it.
     pub(super) askers: BTreeSet<VmId>,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Adds a question; one that is already waiting stays as it is.
+    /// Adds a waiting request unless it is already present.
     pub(super) fn join(
         &mut self,
         waiter: Waiter,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Grants `copy` to everybody who waits, and empties the list.
+    /// Grants `copy` to all waiting requests, and removes and returns them.
     pub(super) fn grant(
         &mut self,
         copy: &mut EngineCopy,
--- a/crates/core/src/routing/adapter_entry.rs
+++ b/crates/core/src/routing/adapter_entry.rs
@@ -6,7 +6,7 @@
     std::collections::BTreeSet,
 };
 
-/// A question that is under way.
+/// An acquire request without a reply yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pending {
     pub(super) upstream: UpstreamId,
@@ -14,7 +14,7 @@
     pub(super) since: Millis,
 }
 
-/// Why an engine is not to be asked for an adapter for a while.
+/// Why an engine is avoided for an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
     Full,
@@ -22,7 +22,7 @@
     NotLoaded,
 }
 
-/// An engine that is not to be asked for an adapter for a while.
+/// An engine that is temporarily not asked for an adapter.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Avoid {
     pub(super) upstream: UpstreamId,
@@ -30,21 +30,21 @@
     pub(super) reason: Reason,
 }
 
-/// One adapter version as this gateway sees it.
+/// What this gateway knows about one adapter version.
 #[derive(Clone, Debug)]
 pub(super) struct AdapterEntry {
     pub(super) model: ModelId,
     /// The client account that used it last.
     pub(super) account: AccountId,
-    /// Engines that have it, by their owners' word.
+    /// Engines that have it loaded, according to their owners.
     pub(super) resident: BTreeSet<UpstreamId>,
     /// Engines on which this gateway holds a grant for it.
     pub(super) held: BTreeSet<UpstreamId>,
     pub(super) pending: Vec<Pending>,
     pub(super) avoid: Vec<Avoid>,
-    /// The engine whose owner has said that the load is under way.
+    /// The engine whose owner last replied that the load is in progress.
     pub(super) loading_on: Option<UpstreamId>,
-    /// Engines in the order of preference, for one state of the list of upstreams.
+    /// Engines in order of preference.
     pub(super) preferred: Vec<UpstreamId>,
     pub(super) preferred_for: u64,
 }
@@ -74,7 +74,7 @@
             .any(|avoid| avoid.upstream == upstream && now < avoid.until)
     }
 
-    /// The time until the first engine that was avoided may be asked again.
+    /// The time until the first avoided engine may be asked again.
     pub(super) fn avoid_left(
         &self,
         now: Millis,
@@ -86,7 +86,7 @@
             .min()
     }
 
-    /// Engines on which its load has failed lately.
+    /// Number of engines on which its load failed recently.
     pub(super) fn failures(
         &self,
         now: Millis,
@@ -97,7 +97,7 @@
             .count()
     }
 
-    /// Whether nothing is worth remembering of it.
+    /// Whether the entry holds no state that is still needed.
     pub(super) fn is_idle(
         &self,
         now: Millis,
--- a/crates/core/src/routing/breaker.rs
+++ b/crates/core/src/routing/breaker.rs
@@ -1,8 +1,8 @@
 use {super::RouterSettings, crate::clock::Millis};
 
-/// Keeps work from an upstream that fails.
+/// Circuit breaker for a failing upstream.
 ///
-/// Without it, an engine that refuses connections looks idle and draws all requests to itself.
+/// Without it, an engine that refuses connections looks idle and attracts all requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Breaker {
     failures: u32,
@@ -12,7 +12,7 @@
 }
 
 impl Breaker {
-    /// Whether the upstream may get a request; after a pause one goes first, alone.
+    /// Whether the upstream may get a request; after an open period a single probe goes first.
     pub(super) fn is_closed(
         &self,
         now: Millis,
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -12,15 +12,16 @@
     },
 };
 
-/// Engines that a gateway considers for a cold adapter, in the order of preference.
+/// Number of engines that a gateway considers for an adapter that is not loaded.
 const PREFERRED: usize = 8;
 
-/// An adapter whose load has failed on this many engines is refused for a while.
+/// Requests are refused temporarily after the adapter's load has failed on this many engines.
 const FAILED_ENGINES: usize = 2;
 
 impl Router {
-    /// Decides where a request goes. `prefix` is a hash of the start of its prompt, for engines
-    /// that have it cached.
+    /// Decides where a request goes.
+    ///
+    /// `prefix` is a hash of the start of its prompt, used to prefer engines that may have it cached.
     pub fn route(
         &mut self,
         target: Target,
@@ -45,10 +46,10 @@
         }
     }
 
-    /// Decides where a request goes that has just failed at `avoid`.
+    /// Decides where a request that has just failed at `avoid` is retried.
     ///
-    /// An upstream that refuses connections looks idle until its breaker trips, and a request that is tried again
-    /// would use up its attempts there. Where there is no other it goes to the same.
+    /// A failing upstream looks idle until its breaker trips, so a retry goes to another one unless
+    /// there is none.
     pub fn route_elsewhere(
         &mut self,
         avoid: UpstreamId,
@@ -113,7 +114,7 @@
         self.acquire_somewhere(adapter, now)
     }
 
-    /// The newest instance of the adapter on that engine that may be routed to.
+    /// The newest instance of the adapter on an engine that this gateway may route to.
     pub(super) fn grant_on(
         &self,
         upstream: UpstreamId,
@@ -132,7 +133,7 @@
             })
     }
 
-    /// The usable upstream with the least cost; among equals the one that may have the prefix.
+    /// The usable upstream with the least cost; ties go to the one that may have the prefix cached.
     fn best(
         &self,
         upstreams: &[UpstreamId],
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The engine to ask for an adapter: one that has it, or else the most preferred one.
+    /// The engine to ask for an adapter: one that has or loads it, or else the most preferred one.
     pub(super) fn where_to_acquire(
         &mut self,
         adapter: AdapterVersion,
@@ -211,8 +212,8 @@
             .iter()
             .filter(may_ask)
             .min_by(|a, b| cost(a).total_cmp(&cost(b)));
-        // Where the load is under way first: chasing what a lagging view calls resident can go
-        // round and round, each load throwing out what somebody else is just asking for.
+        // The engine that loads it goes first: the lagging view may list a copy that is gone, and
+        // following it can cause repeated loads that evict each other's adapters.
         entry
             .loading_on
             .as_ref()
@@ -222,7 +223,7 @@
             .copied()
     }
 
-    /// Works out the order of preference once for each list of upstreams.
+    /// Updates the order of preference if the list of upstreams has changed.
     fn rank_engines(
         &mut self,
         adapter: AdapterVersion,
@@ -238,7 +239,7 @@
         entry.preferred_for = self.list;
     }
 
-    /// Numbers a question and notes that it is under way.
+    /// Allocates a request id and records the acquire request as pending.
     pub(super) fn ask_for(
         &mut self,
         adapter: AdapterVersion,
@@ -258,7 +259,7 @@
         ask
     }
 
-    /// What to say when no engine may be asked now.
+    /// The result if no engine may be asked now.
     fn nowhere(
         &self,
         adapter: AdapterVersion,
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -15,20 +15,20 @@
     pub(super) recalled: bool,
 }
 
-/// One upstream as this gateway sees it.
+/// What this gateway knows about one upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) spec: UpstreamSpec,
-    /// The highest fencing token seen.
+    /// The highest fencing token seen for it.
     pub(super) seen: Fence,
     pub(super) view: Option<EngineView>,
-    /// Own requests in flight.
+    /// This gateway's requests in flight.
     pub(super) own: u32,
-    /// Own requests in flight when the view came in.
+    /// This gateway's requests in flight when the view arrived.
     pub(super) own_at_view: u32,
     pub(super) breaker: Breaker,
     pub(super) held: BTreeMap<(AdapterVersion, Fence), Held>,
-    /// No questions before this time: its owner is changing.
+    /// No acquire requests before this time, since its owner is changing.
     pub(super) ask_again: Millis,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub(super) fn is_usable(
         &self,
         now: Millis,
@@ -55,7 +55,7 @@
         healthy && !self.spec.leaving && self.breaker.is_closed(now)
     }
 
-    /// Requests it has, as far as can be told: the report, corrected by what was sent since.
+    /// Estimated number of its requests: the reported number plus those sent since.
     pub(super) fn load(&self) -> u32 {
         let reported = self
             .view
@@ -66,7 +66,7 @@
             .max(self.own)
     }
 
-    /// The load in batches.
+    /// The load as a multiple of the batch size.
     pub(super) fn fill(&self) -> f64 {
         let batch = match self.spec.kind {
             SpecKind::Engine { max_batch, .. } => max_batch.max(1),
@@ -75,7 +75,7 @@
         f64::from(self.load()) / f64::from(batch)
     }
 
-    /// The expected wait, in batches, with what the way to another data centre adds.
+    /// The expected wait in batches, including the cost of another data centre.
     pub(super) fn cost(
         &self,
         settings: &RouterSettings,
--- a/crates/core/src/routing/engine_view.rs
+++ b/crates/core/src/routing/engine_view.rs
@@ -3,7 +3,7 @@
     placement::Instance,
 };
 
-/// What an engine's owner last told of it; it lags.
+/// The state of an engine as last reported by its owner; it lags.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
     /// The engine.
@@ -14,12 +14,12 @@
     pub running: u32,
     /// Requests in the engine's own queue.
     pub waiting: u32,
-    /// Adapter slots without an adapter.
+    /// Free adapter slots.
     pub free_slots: u32,
-    /// Whether the engine answers its owner.
+    /// Whether the engine responds to its owner.
     pub healthy: bool,
     /// Changes when the engine restarts.
     pub boot: u64,
-    /// The instances that its owner would grant.
+    /// The instances that its owner can grant.
     pub resident: Vec<Instance>,
 }
--- a/crates/core/src/routing/grants.rs
+++ b/crates/core/src/routing/grants.rs
@@ -12,14 +12,14 @@
     },
 };
 
-/// How long an engine whose owner is changing is left alone.
+/// Delay before an engine whose owner is changing is asked again.
 const OWNER_CHANGE: Millis = Millis(200);
 
 impl Router {
-    /// Takes the answer to a question; waiting requests are to be routed again.
+    /// Handles the reply to an acquire request; waiting requests must be routed again.
     ///
-    /// An answer to a question that is not under way any more is dropped: the gateway may have given
-    /// its word for that instance since.
+    /// A reply to a request that is no longer pending is dropped, since the gateway may have released
+    /// the instance in the meantime.
     pub fn acquired(
         &mut self,
         upstream: UpstreamId,
@@ -49,7 +49,7 @@
                 engine.held.entry((adapter, instance.fence)).or_insert(held);
                 entry.held.insert(upstream);
             }
-            // From a former owner, whose orders nobody witnesses any more.
+            // A grant from a former owner is not valid any more.
             AcquireOutcome::Granted { .. } | AcquireOutcome::Loading => {}
             AcquireOutcome::Full(after) => entry.avoid.push(Avoid {
                 upstream,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Drops an instance that its owner wants back: at once, or when its last request has ended.
+    /// Releases an instance that its owner recalls, immediately or when its last request has ended.
     pub fn recall(
         &mut self,
         instance: Instance,
@@ -82,10 +82,10 @@
         out
     }
 
-    /// Gives the word that an instance has been dropped.
+    /// Drops the grant for an instance and tells its owner.
     ///
-    /// Questions under way for it are void from here on: their answers may have been given before
-    /// the word, and the owner takes the word as covering them.
+    /// Pending acquire requests for the engine are cancelled: they may already have been granted, and
+    /// the owner treats the release as covering those grants.
     pub(super) fn release(
         &mut self,
         instance: Instance,
@@ -115,7 +115,7 @@
         });
     }
 
-    /// Drops everything on an engine that has restarted.
+    /// Releases all grants on an engine that has restarted.
     pub(super) fn drop_all(
         &mut self,
         upstream: UpstreamId,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Gives back grants that are not used, and asks for more copies of busy adapters.
+    /// Releases idle grants and requests more copies of busy adapters.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Asks for one more copy where all copies are busy.
+    /// Requests one more copy if all copies are busy.
     fn spread(
         &mut self,
         adapter: AdapterVersion,
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Where a gateway sends each request: the resident copy with the least expected wait.
+//! Request routing of a gateway: each request goes to the copy with the least expected wait.
 //!
-//! A [`Router`] knows the engines' lagging reports, its own work in flight and the grants it holds.
-//! It sends work of an adapter only to an instance it holds a grant for, asks the engine's owner
-//! where it holds none, and gives its word when an owner recalls one.
+//! A [`Router`] combines the engines' lagging reports with its own requests in flight. It sends
+//! requests for an adapter only to instances that it holds a grant for, acquires a grant from the
+//! engine's owner if it has none, and releases grants that an owner recalls.
 
 mod adapter_entry;
 mod breaker;
--- a/crates/core/src/routing/route.rs
+++ b/crates/core/src/routing/route.rs
@@ -5,72 +5,72 @@
     placement::Instance,
 };
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// A base model without an adapter.
     Base(ModelId),
     /// One version of an adapter on its base model.
     Adapter(ModelId, AdapterVersion),
-    /// A plain service.
+    /// A service without a model engine.
     Service(ServiceId),
 }
 
-/// Where a request goes.
+/// The routing decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// Send it there; it counts as in flight until [`super::Router::finished`].
+    /// Send it to the upstream; it counts as in flight until [`super::Router::finished`].
     Send {
         /// The upstream.
         upstream: UpstreamId,
-        /// The instance to name to an engine; none for a base model or a service.
+        /// The adapter instance to use; `None` for a base model or a service.
         instance: Option<Instance>,
     },
-    /// Ask the engine's owner for the adapter, then route again when the answer is in.
+    /// Request the adapter from the engine's owner and route again on the reply.
     Acquire {
         /// The engine.
         upstream: UpstreamId,
-        /// The question's number.
+        /// Id of the acquire request.
         ask: u64,
     },
-    /// Nothing can be done for it now; route again when something changes, at the latest after this.
+    /// Route again when something changes, at the latest after this delay.
     Wait(Millis),
-    /// It can't be served.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// How a request that was sent has ended.
+/// How a sent request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// The upstream has answered.
+    /// The upstream has responded.
     Done,
-    /// The upstream could not be reached or broke off.
+    /// The upstream was unreachable or the connection was lost.
     Failed,
-    /// The engine doesn't have the instance; nothing ran.
+    /// The engine does not have the instance loaded; nothing ran.
     NotLoaded,
 }
 
-/// What a [`super::Router`] wants done apart from routing a request.
+/// An action requested by a [`super::Router`] in addition to routing decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterAction {
-    /// Tell the owner under this token that the instance has been dropped.
+    /// Tell the engine's owner that the grant for an instance was released.
     Release {
         /// The instance.
         instance: Instance,
-        /// The highest token seen of the engine: the word goes to no older owner.
+        /// The highest fencing token seen for the engine; older owners ignore the release.
         fence: Fence,
-        /// The word covers grants for questions up to this number.
+        /// Covers grants for acquire requests with an id up to this one.
         ask: u64,
     },
-    /// Ask the engine's owner for one more copy of a busy adapter.
+    /// Request one more copy of a busy adapter from an engine's owner.
     Acquire {
         /// The engine.
         upstream: UpstreamId,
-        /// What is wanted.
+        /// The adapter version.
         adapter: AdapterVersion,
-        /// For whose requests.
+        /// The client account that used it last.
         account: AccountId,
-        /// The question's number.
+        /// Id of the acquire request.
         ask: u64,
     },
 }
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -12,28 +12,28 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// The routing of one gateway.
+/// Routing state of one gateway.
 #[derive(Clone, Debug)]
 pub struct Router {
     pub(super) settings: RouterSettings,
     pub(super) engines: BTreeMap<UpstreamId, Engine>,
     pub(super) by_model: BTreeMap<ModelId, Vec<UpstreamId>>,
-    /// Engines of each base model that may get new adapters.
+    /// Adapter slots of the engines of each base model.
     pub(super) slots: BTreeMap<ModelId, Vec<EngineSlot>>,
     pub(super) by_service: BTreeMap<ServiceId, Vec<UpstreamId>>,
     pub(super) adapters: HashMap<AdapterVersion, AdapterEntry>,
-    /// Adapters on which this gateway holds a grant or has a question under way.
+    /// Adapters for which this gateway holds a grant or has a pending acquire request.
     pub(super) active: BTreeSet<AdapterVersion>,
-    /// Grows with each change of the list of upstreams.
+    /// Incremented with each change of the list of upstreams.
     pub(super) list: u64,
-    /// The number of the last question.
+    /// Id of the last acquire request.
     pub(super) ask: u64,
-    /// The upstream at which the request that is being routed has just failed.
+    /// The upstream to avoid because the request being routed has just failed there.
     pub(super) avoid: Option<UpstreamId>,
 }
 
 impl Router {
-    /// A router that knows no upstream yet.
+    /// Creates a router without upstreams.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
             settings,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes the list of upstreams of a new configuration; what is known of them is kept.
+    /// Replaces the list of upstreams; the state of those that remain is kept.
     pub fn set_upstreams(
         &mut self,
         specs: &[UpstreamSpec],
@@ -81,7 +81,7 @@
                 }
             }
         }
-        // An upstream that was deleted while it has work of this gateway is kept until that ends.
+        // A removed upstream is kept as long as it has requests of this gateway.
         for (upstream, mut engine) in before {
             engine.spec.leaving = true;
             if engine.own > 0 {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Notes the fencing token of an engine's owner, from wherever it was heard.
+    /// Records a fencing token of an engine's owner.
     pub fn see_fence(
         &mut self,
         upstream: UpstreamId,
@@ -114,9 +114,7 @@
         }
     }
 
-    /// Takes what an engine's owner tells of it.
-    ///
-    /// What a former owner tells is dropped: its grants and residents are not to be relied on.
+    /// Updates an engine's state from its owner's view; views of former owners are ignored.
     pub fn observe(
         &mut self,
         view: EngineView,
@@ -162,7 +160,7 @@
         out
     }
 
-    /// Takes an owner's word that an engine is as it last told: its load then is its load now.
+    /// Records that an engine's owner has confirmed the last view as current.
     pub fn unchanged(
         &mut self,
         upstream: UpstreamId,
@@ -172,7 +170,7 @@
         }
     }
 
-    /// Whether this engine is in the configuration and nothing has been told of it.
+    /// Whether this engine is configured and no view of it has arrived.
     pub fn lacks_view(
         &self,
         upstream: UpstreamId,
@@ -181,7 +179,7 @@
         engine.is_some_and(|engine| engine.view.is_none())
     }
 
-    /// Notes that a request has ended.
+    /// Records that a sent request has ended.
     pub fn finished(
         &mut self,
         upstream: UpstreamId,
@@ -203,7 +201,7 @@
         };
         let entry = self.adapters.get_mut(&instance.adapter);
         if let Some(entry) = entry.filter(|_| finish == Finish::NotLoaded) {
-            // Its owner does not know yet that it is gone and would grant it again at once.
+            // The owner does not know yet that the instance is gone and would grant it again.
             entry.avoid.push(Avoid {
                 upstream,
                 until: now + self.settings.not_loaded_pause,
@@ -221,7 +219,7 @@
         out
     }
 
-    /// The highest fencing token seen of an engine.
+    /// The highest fencing token seen for an engine.
     pub fn seen_of(
         &self,
         upstream: UpstreamId,
@@ -229,7 +227,7 @@
         self.engines.get(&upstream).map(|engine| engine.seen)
     }
 
-    /// The highest fencing token seen of each engine.
+    /// The highest fencing token seen for each engine.
     pub fn seen(&self) -> Vec<(UpstreamId, Fence)> {
         self.engines
             .iter()
@@ -237,8 +235,7 @@
             .collect()
     }
 
-    /// The instances this gateway routes to or has work on; those of an owner's engines go with
-    /// each poll of it.
+    /// The instances that this gateway holds grants for; each owner is polled with those on its engines.
     pub fn held(&self) -> Vec<Instance> {
         self.engines
             .iter()
@@ -252,7 +249,7 @@
             .collect()
     }
 
-    /// Own requests in flight at an upstream.
+    /// This gateway's requests in flight at an upstream.
     pub fn in_flight(
         &self,
         upstream: UpstreamId,
--- a/crates/core/src/routing/settings.rs
+++ b/crates/core/src/routing/settings.rs
@@ -1,36 +1,36 @@
 use crate::{clock::Millis, ids::DataCentreId};
 
-/// Where a gateway stands, and the times and bounds of its [`super::Router`].
+/// Data centre, timeouts and limits of a [`super::Router`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouterSettings {
     /// The gateway's own data centre.
     pub data_centre: DataCentreId,
-    /// Requests an engine may have, in batches: more wait in the gateway's fair queue instead.
+    /// Maximum load of an engine, in batches; more requests wait in the gateway's fair queue.
     pub max_fill: f64,
-    /// From this fill of all copies on, one more copy is asked for.
+    /// Load of all copies, in batches, from which one more copy is requested.
     pub spread_fill: f64,
-    /// What another data centre costs, in batches.
+    /// Cost added for an upstream in another data centre, in batches.
     pub far_cost: f64,
-    /// Engines whose cost differs by no more than this, in batches, count as equally good.
+    /// Maximum cost difference between upstreams that count as equal, in batches.
     pub tie: f64,
-    /// A grant that has not been used for this long is given back.
+    /// A grant is released after it has been unused for this long.
     pub idle_release: Millis,
-    /// A question that was not answered in this time is forgotten.
+    /// An acquire request without a reply expires after this time.
     pub ask_timeout: Millis,
-    /// A waiting request is routed again after this time at the latest.
+    /// Maximum delay until a waiting request is routed again.
     pub recheck: Millis,
-    /// How long an engine is not asked for an adapter that it turned out not to have.
+    /// How long an engine that reported an adapter as not loaded is not asked for it.
     pub not_loaded_pause: Millis,
-    /// Failures in a row after which an upstream gets nothing for a while.
+    /// Consecutive failures that open the circuit breaker of an upstream.
     pub trip_after: u32,
-    /// How long it gets nothing the first time; this doubles each time.
+    /// How long the breaker stays open the first time; doubles each time.
     pub first_pause: Millis,
-    /// The longest it gets nothing.
+    /// Maximum time that the breaker stays open.
     pub max_pause: Millis,
 }
 
 impl RouterSettings {
-    /// The defaults for a gateway in this data centre.
+    /// The defaults for a gateway in `data_centre`.
     pub fn new(data_centre: DataCentreId) -> Self {
         Self {
             data_centre,
--- a/crates/core/src/routing/upstream_spec.rs
+++ b/crates/core/src/routing/upstream_spec.rs
@@ -1,33 +1,33 @@
 use crate::ids::{DataCentreId, ModelId, ServiceId, UpstreamId};
 
-/// What an upstream is, as far as routing is concerned.
+/// The kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpecKind {
     /// A model engine.
     Engine {
         /// The base model it runs.
         model: ModelId,
-        /// Adapters that it holds at a time.
+        /// Number of adapter slots.
         slots: u32,
-        /// Requests that it batches at a time.
+        /// Maximum number of requests in a batch.
         max_batch: u32,
     },
-    /// A server of a plain service.
+    /// A server of a service without a model.
     Server {
         /// The service.
         service: ServiceId,
     },
 }
 
-/// An upstream as the configuration describes it.
+/// Configuration of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamSpec {
-    /// Its number.
+    /// Its id.
     pub upstream: UpstreamId,
-    /// The data centre it stands in.
+    /// Its data centre.
     pub data_centre: DataCentreId,
-    /// What it is.
+    /// Whether it is an engine or a server.
     pub kind: SpecKind,
-    /// Whether it finishes what it has and gets nothing new.
+    /// Whether it is draining: it finishes its requests and gets no new ones.
     pub leaving: bool,
 }
