--- a/crates/core/src/feed/recent_changes.rs
+++ b/crates/core/src/feed/recent_changes.rs
@@ -1,7 +1,7 @@
 use {crate::clock::Millis, std::collections::HashMap};
 
 /// How long a change is kept; longer than the longest interval between two polls of a VM.
-const KEPT: Millis = Millis(10_000);
+const CHANGE_RETENTION: Millis = Millis(10_000);
 
 /// Maximum number of minor changes in one response, which bounds its size.
 pub const MAX_MINOR: usize = 64;
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Kept<T> {
+struct KnownChange<T> {
     last: Change<T>,
     /// Revision of the key's last major change, which must be delivered without delay; 0 if none.
     major_revision: u64,
@@ -35,7 +35,7 @@
 /// The last change of each recently changed key.
 #[derive(Clone, Debug)]
 pub struct RecentChanges<T> {
-    of_key: HashMap<String, Kept<T>>,
+    of_key: HashMap<String, KnownChange<T>>,
     /// All major changes after this revision are known.
     complete_after: u64,
     revision: u64,
@@ -82,12 +82,12 @@
             Some(before) => before.major_revision,
             None => 0,
         };
-        let kept = Kept {
+        let known = KnownChange {
             last: change,
             major_revision,
             at: now,
         };
-        self.of_key.insert(key.to_owned(), kept);
+        self.of_key.insert(key.to_owned(), known);
         true
     }
 
@@ -99,12 +99,12 @@
     ) {
         self.revision = self.revision.max(revision);
         let complete_after = &mut self.complete_after;
-        self.of_key.retain(|_, kept| {
-            let stays = now.since(kept.at) < KEPT;
-            if !stays {
-                *complete_after = (*complete_after).max(kept.major_revision);
+        self.of_key.retain(|_, known| {
+            let is_recent = now.since(known.at) < CHANGE_RETENTION;
+            if !is_recent {
+                *complete_after = (*complete_after).max(known.major_revision);
             }
-            stays
+            is_recent
         });
     }
 
@@ -133,16 +133,21 @@
         if after < self.complete_after {
             return Since::Gone;
         }
-        let is_major = |kept: &Kept<T>| kept.major_revision > after;
-        let is_minor = |kept: &Kept<T>| minor_after.is_some_and(|minor| kept.last.revision > minor);
-        let is_new = |kept: &&Kept<T>| is_major(kept) || is_minor(kept);
-        let mut new: Vec<&Kept<T>> = self.of_key.values().filter(is_new).collect();
-        new.sort_unstable_by_key(|kept| kept.last.revision);
+        let is_major = |known: &KnownChange<T>| known.major_revision > after;
+        let is_minor =
+            |known: &KnownChange<T>| minor_after.is_some_and(|minor| known.last.revision > minor);
+        let is_new = |known: &&KnownChange<T>| is_major(known) || is_minor(known);
+        let mut new: Vec<&KnownChange<T>> = self.of_key.values().filter(is_new).collect();
+        new.sort_unstable_by_key(|known| known.last.revision);
         let mut minor = 0;
-        new.retain(|kept| {
-            minor += usize::from(!is_major(kept));
-            is_major(kept) || minor <= MAX_MINOR
+        new.retain(|known| {
+            minor += usize::from(!is_major(known));
+            is_major(known) || minor <= MAX_MINOR
         });
-        Since::Changes(new.into_iter().map(|kept| kept.last.what.clone()).collect())
+        Since::Changes(
+            new.into_iter()
+                .map(|known| known.last.what.clone())
+                .collect(),
+        )
     }
 }
--- a/crates/core/src/feed/source_choice.rs
+++ b/crates/core/src/feed/source_choice.rs
@@ -1,17 +1,17 @@
 use {super::VmRank, crate::clock::Millis, std::collections::BTreeMap};
 
 /// Number of VMs tried before the store; bounds the delay of a change if they fail.
-const TRIED: usize = 3;
+const MAX_TRIED_VMS: usize = 3;
 /// How long a VM is skipped after it was unreachable or had lost the store.
-const FAILED: Millis = Millis(3_000);
+const VM_FAILED_DELAY: Millis = Millis(3_000);
 /// How long a VM is skipped that does not serve changes yet.
-const NOT_YET: Millis = Millis(800);
+const VM_NOT_SERVING_DELAY: Millis = Millis(800);
 /// How long the scheduling VM skips a VM that is about to read the store.
-const BEGINS: Millis = Millis(150);
+const VM_STARTING_DELAY: Millis = Millis(150);
 /// How long the store is skipped after a failure.
-const STORE_FAILED: Millis = Millis(2_000);
+const STORE_FAILED_DELAY: Millis = Millis(2_000);
 /// Delay before the scheduling VM retries the store if no other VM has changes.
-const STORE_AGAIN: Millis = Millis(600);
+const STORE_RETRY_DELAY: Millis = Millis(600);
 
 /// Where to read changes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,9 +73,9 @@
         order.sort_unstable();
         let serves = |&rank: &VmRank| match rank {
             me if me == self.me => store_is_good,
-            other => self.is_vm_good(other, now),
+            other => self.is_vm_available(other, now),
         };
-        match order.into_iter().take(TRIED).find(serves) {
+        match order.into_iter().take(MAX_TRIED_VMS).find(serves) {
             Some(rank) if rank != self.me => Source::Vm(rank),
             _ => Source::Store,
         }
@@ -107,10 +107,10 @@
         }
         let serves = others
             .into_iter()
-            .find(|&rank| self.is_vm_good(rank, now))
+            .find(|&rank| self.is_vm_available(rank, now))
             .map(Source::Vm);
-        let failed_at = self.store_failed_until.since(STORE_FAILED);
-        let is_due = now.since(failed_at) >= STORE_AGAIN;
+        let failed_at = self.store_failed_until.since(STORE_FAILED_DELAY);
+        let is_due = now.since(failed_at) >= STORE_RETRY_DELAY;
         serves.or_else(|| is_due.then_some(Source::Store))
     }
 
@@ -121,11 +121,11 @@
         why: SourceFailure,
         now: Millis,
     ) {
-        let pause = match why {
-            SourceFailure::Unreachable | SourceFailure::Stale => FAILED,
-            SourceFailure::NotReading | SourceFailure::HistoryGone => NOT_YET,
+        let delay = match why {
+            SourceFailure::Unreachable | SourceFailure::Stale => VM_FAILED_DELAY,
+            SourceFailure::NotReading | SourceFailure::HistoryGone => VM_NOT_SERVING_DELAY,
         };
-        self.pass_over(vm, pause, now);
+        self.skip_for(vm, delay, now);
     }
 
     /// Records that a VM does not serve yet; the scheduling VM retries it soon.
@@ -134,20 +134,20 @@
         vm: VmRank,
         now: Millis,
     ) {
-        self.pass_over(vm, BEGINS, now);
+        self.skip_for(vm, VM_STARTING_DELAY, now);
     }
 
-    fn pass_over(
+    fn skip_for(
         &mut self,
         vm: VmRank,
-        pause: Millis,
+        delay: Millis,
         now: Millis,
     ) {
         self.failed_until.retain(|_, until| now < *until);
-        self.failed_until.insert(vm, now + pause);
+        self.failed_until.insert(vm, now + delay);
     }
 
-    fn is_vm_good(
+    fn is_vm_available(
         &self,
         vm: VmRank,
         now: Millis,
@@ -160,7 +160,7 @@
         &mut self,
         now: Millis,
     ) {
-        self.store_failed_until = now + STORE_FAILED;
+        self.store_failed_until = now + STORE_FAILED_DELAY;
     }
 
     /// Records that the store responded.
--- a/crates/core/src/forward/attempts.rs
+++ b/crates/core/src/forward/attempts.rs
@@ -19,20 +19,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     repeat: Repeat,
-    most_runs: u32,
+    max_runs: u32,
     runs: u32,
     not_run: u32,
 }
 
 impl Attempts {
-    /// Starts counting for a request that may run at up to `most_runs` upstreams.
+    /// Starts counting for a request that may run at up to `max_runs` upstreams.
     pub const fn new(
         repeat: Repeat,
-        most_runs: u32,
+        max_runs: u32,
     ) -> Self {
         Self {
             repeat,
-            most_runs,
+            max_runs,
             runs: 0,
             not_run: 0,
         }
@@ -51,18 +51,18 @@
         match end {
             AttemptEnd::NotRun => {
                 self.not_run += 1;
-                self.not_run < MAX_NOT_RUN && self.may_run()
+                self.not_run < MAX_NOT_RUN && self.can_run()
             }
             AttemptEnd::MayHaveRun => {
                 self.runs += 1;
-                self.may_run()
+                self.can_run()
             }
         }
     }
 
     /// Whether another attempt would be allowed after one more that may have run.
     pub const fn may_follow_a_run(&self) -> bool {
-        matches!(self.repeat, Repeat::Idempotent) && self.runs + 1 < self.most_runs
+        matches!(self.repeat, Repeat::Idempotent) && self.runs + 1 < self.max_runs
     }
 
     /// Whether an upstream may have run the request.
@@ -70,10 +70,10 @@
         self.runs > 0
     }
 
-    const fn may_run(&self) -> bool {
+    const fn can_run(&self) -> bool {
         match self.repeat {
             Repeat::Once => self.runs == 0,
-            Repeat::Idempotent => self.runs < self.most_runs,
+            Repeat::Idempotent => self.runs < self.max_runs,
         }
     }
 }
--- a/crates/core/src/forward/machine.rs
+++ b/crates/core/src/forward/machine.rs
@@ -17,16 +17,16 @@
     pub(super) state: State,
     pub(super) attempt: Attempt,
     pub(super) upstream: Option<UpstreamId>,
-    pub(super) resumable: bool,
+    pub(super) is_resumable: bool,
     /// Whether an earlier attempt may have run.
     pub(super) may_have_run: bool,
-    pub(super) passed_on: Progress,
+    pub(super) delivered: Progress,
     /// Attempts that ended without a complete response.
-    pub(super) runs: u32,
+    pub(super) failed_attempts: u32,
     /// Consecutive resumptions without progress.
-    pub(super) failures: u32,
-    pub(super) heard_at: Millis,
-    pub(super) caller_slow: bool,
+    pub(super) failed_resumptions: u32,
+    pub(super) last_activity: Millis,
+    pub(super) is_caller_slow: bool,
 }
 
 impl ForwardMachine {
@@ -41,13 +41,13 @@
             state: State::Routing,
             attempt,
             upstream: None,
-            resumable: false,
+            is_resumable: false,
             may_have_run: false,
-            passed_on: Progress::default(),
-            runs: 0,
-            failures: 0,
-            heard_at: now,
-            caller_slow: false,
+            delivered: Progress::default(),
+            failed_attempts: 0,
+            failed_resumptions: 0,
+            last_activity: now,
+            is_caller_slow: false,
         };
         let route = Action::Route {
             attempt,
@@ -64,21 +64,21 @@
 
     /// Number of tokens delivered so far.
     pub const fn offset(&self) -> u64 {
-        self.passed_on.offset()
+        self.delivered.offset()
     }
 
     /// Whether an upstream may have run the request.
     pub fn may_have_run(&self) -> bool {
-        self.may_have_run || self.state.is_out()
+        self.may_have_run || self.state.is_in_flight()
     }
 
     /// When [`Event::Timer`] is due; `None` if forwarding has ended.
     pub fn wake_at(&self) -> Option<Millis> {
         let gap = match self.state {
             State::Done => return None,
-            State::Pausing { until } => Some(until),
+            State::WaitingToResume { until } => Some(until),
             State::Sent | State::Resuming => self.head_limit(),
-            State::Answering => self.part_limit(),
+            State::Receiving => self.part_limit(),
             State::Routing => None,
         };
         Some(gap.map_or(self.plan.deadline, |gap| gap.min(self.plan.deadline)))
@@ -92,40 +92,44 @@
     ) -> Vec<Action> {
         match event {
             _ if self.state == State::Done => Vec::new(),
-            Event::Routed { attempt, upstream } if self.waits_for(attempt, State::Routing) => {
-                self.sent(upstream, now)
+            Event::Routed { attempt, upstream } if self.is_waiting_for(attempt, State::Routing) => {
+                self.handle_routed(upstream, now)
             }
-            Event::RouteRefused { attempt, refusal } if self.waits_for(attempt, State::Routing) => {
+            Event::RouteRefused { attempt, refusal }
+                if self.is_waiting_for(attempt, State::Routing) =>
+            {
                 self.refuse(refusal)
             }
-            Event::Unreachable { attempt } if attempt == self.attempt => self.unreachable(now),
-            Event::Head { attempt, head } if attempt == self.attempt => self.head(head, now),
-            Event::Part { attempt, part } if self.waits_for(attempt, State::Answering) => {
-                self.part(part, now)
+            Event::Unreachable { attempt } if attempt == self.attempt => {
+                self.handle_unreachable(now)
             }
-            Event::End { attempt, made } if self.waits_for(attempt, State::Answering) => {
-                self.end(made, now)
+            Event::Head { attempt, head } if attempt == self.attempt => self.handle_head(head, now),
+            Event::Part { attempt, part } if self.is_waiting_for(attempt, State::Receiving) => {
+                self.handle_part(part, now)
             }
-            Event::Lost { attempt } if attempt == self.attempt => self.lost(now),
+            Event::End { attempt, made } if self.is_waiting_for(attempt, State::Receiving) => {
+                self.handle_end(made, now)
+            }
+            Event::Lost { attempt } if attempt == self.attempt => self.handle_connection_lost(now),
             Event::CallerSlow => {
-                self.caller_slow = true;
+                self.is_caller_slow = true;
                 Vec::new()
             }
             Event::CallerReady => {
-                self.caller_slow = false;
-                self.heard_at = now;
+                self.is_caller_slow = false;
+                self.last_activity = now;
                 Vec::new()
             }
-            Event::CallerGone => self.stop(),
-            Event::KeyWithdrawn => self.withdrawn(),
-            Event::Stopping => self.stopping(),
-            Event::Timer => self.timer(now),
+            Event::CallerGone => self.handle_caller_gone(),
+            Event::KeyWithdrawn => self.handle_key_withdrawn(),
+            Event::Stopping => self.handle_shutdown(),
+            Event::Timer => self.handle_timer(now),
             // Late events of an earlier attempt.
             _ => Vec::new(),
         }
     }
 
-    fn waits_for(
+    fn is_waiting_for(
         &self,
         attempt: Attempt,
         state: State,
@@ -134,67 +138,67 @@
     }
 
     fn head_limit(&self) -> Option<Millis> {
-        self.plan.head_limit(self.heard_at)
+        self.plan.head_limit(self.last_activity)
     }
 
     fn part_limit(&self) -> Option<Millis> {
         self.plan
-            .part_limit(self.heard_at)
-            .filter(|_| !self.caller_slow)
+            .part_limit(self.last_activity)
+            .filter(|_| !self.is_caller_slow)
     }
 
-    fn sent(
+    fn handle_routed(
         &mut self,
         upstream: UpstreamId,
         now: Millis,
     ) -> Vec<Action> {
         self.upstream = Some(upstream);
         self.state = State::Sent;
-        self.resumable = false;
-        self.heard_at = now;
+        self.is_resumable = false;
+        self.last_activity = now;
         // A pooled connection may already be closed by the peer, so only the first attempt of an
         // idempotent request uses one.
-        let fresh = self.plan.repeat == Repeat::Once || self.runs > 0;
+        let fresh = self.plan.repeat == Repeat::Once || self.failed_attempts > 0;
         vec![Action::Send {
             attempt: self.attempt,
             fresh,
         }]
     }
 
-    fn unreachable(
+    fn handle_unreachable(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
         match self.state {
             State::Sent => {
                 self.state = State::Routing;
-                self.again(RouteCause::NotRun, ErrorKind::UpstreamUnreachable)
+                self.route_again(RouteCause::NotRun, ErrorKind::UpstreamUnreachable)
             }
             State::Resuming => self.resume_later(now),
             _ => Vec::new(),
         }
     }
 
-    fn head(
+    fn handle_head(
         &mut self,
         head: Head,
         now: Millis,
     ) -> Vec<Action> {
         match (self.state, head) {
             (State::Sent, Head::Accepted { resumable }) => {
-                self.state = State::Answering;
-                self.resumable = resumable;
-                self.heard_at = now;
+                self.state = State::Receiving;
+                self.is_resumable = resumable;
+                self.last_activity = now;
                 Vec::new()
             }
             (State::Resuming, Head::Accepted { .. }) => {
-                self.state = State::Answering;
-                self.heard_at = now;
+                self.state = State::Receiving;
+                self.last_activity = now;
                 Vec::new()
             }
             (State::Sent, Head::NotLoaded | Head::Busy) => {
                 self.state = State::Routing;
-                self.again(RouteCause::NotRun, ErrorKind::NoUpstream)
+                self.route_again(RouteCause::NotRun, ErrorKind::NoUpstream)
             }
             (State::Sent, Head::Rejected) => {
                 self.state = State::Routing;
@@ -203,24 +207,24 @@
             (State::Sent, Head::Crossed) if self.plan.repeat == Repeat::Once => {
                 self.refuse(Refusal::new(ErrorKind::UpstreamInvalid))
             }
-            (State::Sent, Head::StreamGone | Head::Failed | Head::Crossed) => self.run_anew(),
+            (State::Sent, Head::StreamGone | Head::Failed | Head::Crossed) => self.run_again(),
             (State::Resuming, Head::Crossed | Head::Busy | Head::Failed) => self.resume_later(now),
             (State::Resuming, Head::StreamGone | Head::NotLoaded | Head::Rejected) => {
-                self.run_anew()
+                self.run_again()
             }
             _ => Vec::new(),
         }
     }
 
-    fn part(
+    fn handle_part(
         &mut self,
         part: Part,
         now: Millis,
     ) -> Vec<Action> {
-        self.heard_at = now;
-        let is_new = self.passed_on.take(part);
+        self.last_activity = now;
+        let is_new = self.delivered.record(part);
         if is_new && part.kind == PartKind::Tokens {
-            self.failures = 0;
+            self.failed_resumptions = 0;
         }
         if is_new {
             vec![Action::Deliver(part)]
@@ -229,17 +233,17 @@
         }
     }
 
-    fn end(
+    fn handle_end(
         &mut self,
         made: Option<u64>,
         now: Millis,
     ) -> Vec<Action> {
         match made {
             // Tokens were lost in transit; the engine still has them.
-            Some(made) if made > self.offset() => self.lost(now),
+            Some(made) if made > self.offset() => self.handle_connection_lost(now),
             Some(made) if made < self.offset() => self.fail(ErrorKind::UpstreamInvalid),
             _ => {
-                self.close();
+                self.finish();
                 vec![Action::Finish]
             }
         }
@@ -257,7 +261,7 @@
         &mut self,
         refusal: Refusal,
     ) -> Vec<Action> {
-        let is_out = self.state.is_out();
+        let is_in_flight = self.state.is_in_flight();
         let claims_not_run = refusal.kind.answer().execution == Execution::NotRun;
         let refusal = if claims_not_run && self.may_have_run() {
             Refusal::new(ErrorKind::UpstreamLost)
@@ -265,7 +269,7 @@
             refusal
         };
         let mut actions = vec![Action::Abandon];
-        if is_out {
+        if is_in_flight {
             actions.push(Action::Cancel);
         }
         actions.push(if self.has_begun() {
@@ -273,32 +277,32 @@
         } else {
             Action::Refuse(refusal)
         });
-        self.close();
+        self.finish();
         actions
     }
 
     /// Enters the final state and keeps whether the request may have run.
-    fn close(&mut self) {
+    fn finish(&mut self) {
         self.may_have_run = self.may_have_run();
         self.state = State::Done;
     }
 
     /// Whether any part of a response has reached the caller.
     const fn has_begun(&self) -> bool {
-        matches!(self.plan.delivery, Delivery::Streamed) && self.passed_on.has_begun()
+        matches!(self.plan.delivery, Delivery::Streamed) && self.delivered.has_begun()
     }
 
-    fn stop(&mut self) -> Vec<Action> {
-        let is_out = self.state.is_out();
-        self.close();
-        if is_out {
+    fn handle_caller_gone(&mut self) -> Vec<Action> {
+        let is_in_flight = self.state.is_in_flight();
+        self.finish();
+        if is_in_flight {
             vec![Action::Abandon, Action::Cancel]
         } else {
             vec![Action::Abandon]
         }
     }
 
-    fn withdrawn(&mut self) -> Vec<Action> {
+    fn handle_key_withdrawn(&mut self) -> Vec<Action> {
         if self.may_have_run() {
             self.fail(ErrorKind::KeyWithdrawnMidway)
         } else {
@@ -306,7 +310,7 @@
         }
     }
 
-    fn stopping(&mut self) -> Vec<Action> {
+    fn handle_shutdown(&mut self) -> Vec<Action> {
         if self.has_begun() {
             self.fail(ErrorKind::AnswerCut)
         } else {
@@ -314,7 +318,7 @@
         }
     }
 
-    fn timer(
+    fn handle_timer(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
@@ -324,9 +328,11 @@
                 self.fail(ErrorKind::DeadlineExceeded)
             }
             _ if now >= self.plan.deadline => self.fail(ErrorKind::CannotMeetDeadline),
-            State::Pausing { until } if now >= until => self.send_resumption(now),
-            State::Sent | State::Resuming if due(self.head_limit()) => self.lost(now),
-            State::Answering if due(self.part_limit()) => self.lost(now),
+            State::WaitingToResume { until } if now >= until => self.send_resumption(now),
+            State::Sent | State::Resuming if due(self.head_limit()) => {
+                self.handle_connection_lost(now)
+            }
+            State::Receiving if due(self.part_limit()) => self.handle_connection_lost(now),
             _ => Vec::new(),
         }
     }
--- a/crates/core/src/forward/plan.rs
+++ b/crates/core/src/forward/plan.rs
@@ -53,11 +53,11 @@
     /// A request that can't be repeated gains nothing from a timeout before its deadline.
     pub(super) fn head_limit(
         &self,
-        heard_at: Millis,
+        last_activity: Millis,
     ) -> Option<Millis> {
         match self.repeat {
             Repeat::Once => None,
-            Repeat::Idempotent => Some(heard_at + self.head_gap),
+            Repeat::Idempotent => Some(last_activity + self.head_gap),
         }
     }
 
@@ -66,11 +66,11 @@
     /// A silent upstream can't be told apart from a connection that was dropped on the network path.
     pub(super) fn part_limit(
         &self,
-        heard_at: Millis,
+        last_activity: Millis,
     ) -> Option<Millis> {
         match self.repeat {
             Repeat::Once => None,
-            Repeat::Idempotent => Some(heard_at + self.part_gap),
+            Repeat::Idempotent => Some(last_activity + self.part_gap),
         }
     }
 }
--- a/crates/core/src/forward/progress.rs
+++ b/crates/core/src/forward/progress.rs
@@ -26,7 +26,7 @@
     }
 
     /// Records a part; `false` if it was delivered before.
-    pub(super) fn take(
+    pub(super) fn record(
         &mut self,
         part: Part,
     ) -> bool {
--- a/crates/core/src/forward/recovery.rs
+++ b/crates/core/src/forward/recovery.rs
@@ -9,16 +9,16 @@
 };
 
 /// Base delay before a resumption that follows a failed one; doubles with each failure.
-const RESUME_PAUSE: Millis = Millis(100);
+const RESUME_DELAY: Millis = Millis(100);
 
 impl ForwardMachine {
-    pub(super) fn lost(
+    pub(super) fn handle_connection_lost(
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
         match self.state {
-            State::Answering | State::Resuming if self.resumable => self.resume(now),
-            State::Sent | State::Answering | State::Resuming => self.run_anew(),
+            State::Receiving | State::Resuming if self.is_resumable => self.resume(now),
+            State::Sent | State::Receiving | State::Resuming => self.run_again(),
             _ => Vec::new(),
         }
     }
@@ -28,9 +28,9 @@
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
-        match self.failures {
+        match self.failed_resumptions {
             0 => {
-                self.failures = 1;
+                self.failed_resumptions = 1;
                 self.send_resumption(now)
             }
             _ => self.resume_later(now),
@@ -43,7 +43,7 @@
     ) -> Vec<Action> {
         self.attempt = self.attempt.next();
         self.state = State::Resuming;
-        self.heard_at = now;
+        self.last_activity = now;
         let resume = Action::Resume {
             attempt: self.attempt,
             offset: self.offset(),
@@ -55,36 +55,38 @@
         &mut self,
         now: Millis,
     ) -> Vec<Action> {
-        self.failures += 1;
-        if self.failures > self.plan.max_attempts {
-            return self.run_anew();
+        self.failed_resumptions += 1;
+        if self.failed_resumptions > self.plan.max_attempts {
+            return self.run_again();
         }
-        let pause = Millis(RESUME_PAUSE.0 << self.failures.min(8));
+        let delay = Millis(RESUME_DELAY.0 << self.failed_resumptions.min(8));
         self.attempt = self.attempt.next();
-        self.state = State::Pausing { until: now + pause };
+        self.state = State::WaitingToResume { until: now + delay };
         vec![Action::Abandon]
     }
 
     /// Runs the request again from its start at another upstream if that is allowed.
-    pub(super) fn run_anew(&mut self) -> Vec<Action> {
+    pub(super) fn run_again(&mut self) -> Vec<Action> {
         self.may_have_run = true;
         match (self.plan.repeat, self.plan.delivery) {
             (Repeat::Once, _) => self.fail(ErrorKind::UpstreamLost),
-            (Repeat::Idempotent, Delivery::Streamed) if self.passed_on.has_content() => {
+            (Repeat::Idempotent, Delivery::Streamed) if self.delivered.has_content() => {
                 self.fail(ErrorKind::AnswerCut)
             }
-            (Repeat::Idempotent, _) => self.again(RouteCause::MayHaveRun, ErrorKind::UpstreamLost),
+            (Repeat::Idempotent, _) => {
+                self.route_again(RouteCause::MayHaveRun, ErrorKind::UpstreamLost)
+            }
         }
     }
 
     /// Chooses another upstream, or fails with `kind` after too many attempts.
-    pub(super) fn again(
+    pub(super) fn route_again(
         &mut self,
         cause: RouteCause,
         kind: ErrorKind,
     ) -> Vec<Action> {
-        self.runs += 1;
-        if self.runs >= self.plan.max_attempts {
+        self.failed_attempts += 1;
+        if self.failed_attempts >= self.plan.max_attempts {
             return self.fail(kind);
         }
         let mut actions = vec![Action::Abandon];
@@ -94,9 +96,9 @@
         // A streamed response has delivered at most its opening, which is not repeated.
         if self.plan.delivery == Delivery::Whole {
             actions.push(Action::Discard);
-            self.passed_on = Progress::default();
+            self.delivered = Progress::default();
         }
-        self.failures = 0;
+        self.failed_resumptions = 0;
         self.attempt = self.attempt.next();
         self.state = State::Routing;
         actions.push(Action::Route {
--- a/crates/core/src/forward/state.rs
+++ b/crates/core/src/forward/state.rs
@@ -8,18 +8,18 @@
     /// Sent; waiting for the head of the response.
     Sent,
     /// Waiting to resume the stream.
-    Pausing { until: Millis },
+    WaitingToResume { until: Millis },
     /// Resumption sent; waiting for the head of the response.
     Resuming,
     /// Receiving parts of the response.
-    Answering,
+    Receiving,
     /// Forwarding has ended.
     Done,
 }
 
 impl State {
     /// Whether bytes of the current attempt may have been sent.
-    pub(super) const fn is_out(self) -> bool {
+    pub(super) const fn is_in_flight(self) -> bool {
         !matches!(self, Self::Routing | Self::Done)
     }
 }
--- a/crates/core/src/membership/epoch_machine.rs
+++ b/crates/core/src/membership/epoch_machine.rs
@@ -2,7 +2,7 @@
     super::{
         Budget, EpochAction, EpochRecord, HoldingsRecord, MembershipSettings, ReleasedRecord,
         StoreView, Versioned,
-        reissue::{Grants, missing, whole},
+        reissue::{Grants, full_right, missing_right},
         vm_watch::VmWatch,
     },
     crate::{
@@ -52,11 +52,11 @@
         now: Millis,
     ) -> Vec<EpochAction> {
         let Some(current) = &view.epoch else {
-            return self.first_epoch(view, now);
+            return self.open_first_epoch(view, now);
         };
         let record = &current.value;
         let vms: BTreeSet<VmId> = record.members.iter().map(|member| member.vm).collect();
-        self.vms.note(&vms, view);
+        self.vms.update(&vms, view);
         let record_age = self.record_age(current.mod_revision, now);
         let dead: BTreeSet<Holder> = record
             .members
@@ -64,11 +64,11 @@
             .copied()
             .filter(|&member| self.is_dead(member, view))
             .collect();
-        let finalised = finalise(record, view, &dead, self.settings.grantees);
+        let finalised = finalise(record, view, &dead, self.settings.max_grantees);
         let due = !dead.is_empty()
             || record_age >= self.settings.refresh
             || joining(record, view).next().is_some()
-            || new_budgets(record, view).any(|budget| has_role(record, budget.role));
+            || new_budgets(record, view).any(|budget| has_member_with(record, budget.role));
         if finalised.is_none() && !due {
             self.due_since = None;
             return clean_up(record, view);
@@ -81,7 +81,7 @@
                 write(current, next),
                 EpochAction::DeleteHoldingsBefore(record.epoch),
             ],
-            None if record_age >= self.settings.settle => {
+            None if record_age >= self.settings.min_epoch_interval => {
                 vec![write(current, self.next_epoch(record, view, &dead))]
             }
             None => Vec::new(),
@@ -89,14 +89,14 @@
     }
 
     /// Writes the first record after a delay, so that VMs that start together share the rights.
-    fn first_epoch(
+    fn open_first_epoch(
         &mut self,
         view: &StoreView,
         now: Millis,
     ) -> Vec<EpochAction> {
         let record = self.next_epoch(&EpochRecord::default(), view, &BTreeSet::new());
         let due_since = *self.due_since.get_or_insert(now);
-        if record.members.is_empty() || now.since(due_since) < self.settings.settle {
+        if record.members.is_empty() || now.since(due_since) < self.settings.min_epoch_interval {
             return Vec::new();
         }
         vec![EpochAction::WriteEpoch {
@@ -130,11 +130,11 @@
         };
         let mut grants = Grants::default();
         for budget in new_budgets(record, view) {
-            let holders = of_role(&next.members, budget.role);
+            let holders = members_with(&next.members, budget.role);
             if holders.is_empty() {
                 continue;
             }
-            grants.divide(&whole(budget), &holders, self.settings.grantees);
+            grants.grant_divided(&full_right(budget), &holders, self.settings.max_grantees);
             next.issued.insert(budget.account, budget.role);
         }
         next.grants = grants.into_records();
@@ -184,7 +184,7 @@
     ) -> bool {
         let due_since = *self.due_since.get_or_insert(now);
         let place = view.live.iter().filter(|live| live.vm < self.me).count() as u64;
-        now.since(due_since).0 >= place.saturating_mul(self.settings.stagger.0)
+        now.since(due_since).0 >= place.saturating_mul(self.settings.stagger_delay.0)
     }
 }
 
@@ -203,7 +203,7 @@
     record: &EpochRecord,
     view: &StoreView,
     dead: &BTreeSet<Holder>,
-    grantees: usize,
+    max_grantees: usize,
 ) -> Option<EpochRecord> {
     let reported: BTreeSet<Holder> = reports(record, view).map(|report| report.holder).collect();
     let all_reported = record
@@ -224,7 +224,7 @@
     let reports: Vec<HoldingsRecord> = reports(record, view).cloned().collect();
     let mut grants = Grants::of(record);
     for (&account, &role) in &record.issued {
-        let holders: Vec<Holder> = of_role(&record.members, role)
+        let holders: Vec<Holder> = members_with(&record.members, role)
             .into_iter()
             .filter(|holder| !dead.contains(holder))
             .collect();
@@ -232,7 +232,11 @@
             continue;
         }
         let freed = record.freed.get(&account).copied().unwrap_or(0);
-        grants.divide(&missing(account, &reports, freed), &holders, grantees);
+        grants.grant_divided(
+            &missing_right(account, &reports, freed),
+            &holders,
+            max_grantees,
+        );
     }
     next.grants = grants.into_records();
     next.freed = BTreeMap::new();
@@ -294,14 +298,14 @@
         .filter(|budget| !record.issued.contains_key(&budget.account))
 }
 
-fn has_role(
+fn has_member_with(
     record: &EpochRecord,
     role: Role,
 ) -> bool {
     record.members.iter().any(|member| member.role == role)
 }
 
-fn of_role(
+fn members_with(
     members: &[Holder],
     role: Role,
 ) -> Vec<Holder> {
--- a/crates/core/src/membership/reissue.rs
+++ b/crates/core/src/membership/reissue.rs
@@ -24,14 +24,14 @@
         Self { by_holder }
     }
 
-    /// Divides a right evenly among up to `grantees` members.
-    pub fn divide(
+    /// Divides a right evenly among up to `max_grantees` members.
+    pub fn grant_divided(
         &mut self,
         right: &Right,
         members: &[Holder],
-        grantees: usize,
+        max_grantees: usize,
     ) {
-        let chosen = choose(right.account, members, grantees);
+        let chosen = choose_grantees(right.account, members, max_grantees);
         let n = chosen.len() as u64;
         for holder in chosen {
             let part = Right {
@@ -56,7 +56,7 @@
 }
 
 /// All rights of a budget that was never granted, with a full burst.
-pub fn whole(budget: &Budget) -> Right {
+pub fn full_right(budget: &Budget) -> Right {
     Right {
         account: budget.account,
         rate_share: SHARE_WHOLE,
@@ -69,7 +69,7 @@
 ///
 /// Its tokens are only those that stopped holders released, since a dead holder may have used its
 /// own. The receiver caps them at its burst capacity.
-pub fn missing(
+pub fn missing_right(
     account: AccountId,
     reports: &[HoldingsRecord],
     freed: u64,
@@ -93,16 +93,16 @@
 }
 
 /// The members ranked first for the account; every controller chooses the same ones.
-fn choose(
+fn choose_grantees(
     account: AccountId,
     members: &[Holder],
-    grantees: usize,
+    max_grantees: usize,
 ) -> Vec<Holder> {
     let mut ranked: Vec<(u64, Holder)> = members
         .iter()
         .map(|&holder| (home_rank(account, holder), holder))
         .collect();
     ranked.sort_unstable();
-    ranked.truncate(grantees.max(1));
+    ranked.truncate(max_grantees.max(1));
     ranked.into_iter().map(|(_, holder)| holder).collect()
 }
--- a/crates/core/src/membership/vm_watch.rs
+++ b/crates/core/src/membership/vm_watch.rs
@@ -16,7 +16,7 @@
 
 impl VmWatch {
     /// Updates the state from a read; `members` are the VMs to track.
-    pub fn note(
+    pub fn update(
         &mut self,
         members: &BTreeSet<VmId>,
         view: &StoreView,
--- a/crates/core/src/ownership/account_waits.rs
+++ b/crates/core/src/ownership/account_waits.rs
@@ -4,7 +4,7 @@
 };
 
 /// Half-life of recorded waits.
-const HALF_LIFE: Millis = Millis::from_secs(30);
+const WAIT_HALF_LIFE: Millis = Millis::from_secs(30);
 
 /// Recent load waits of each client account.
 #[derive(Clone, Debug, Default)]
@@ -20,15 +20,15 @@
 
 impl AccountWaits {
     /// Records that a request of `account` has waited `waited` for a load.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         account: AccountId,
         waited: Millis,
         now: Millis,
     ) {
         let waits = self.waits.entry(account).or_default();
-        waits.total_ms.add(waited.0 as f64, now, HALF_LIFE);
-        waits.count.add(1.0, now, HALF_LIFE);
+        waits.total_ms.add(waited.0 as f64, now, WAIT_HALF_LIFE);
+        waits.count.add(1.0, now, WAIT_HALF_LIFE);
     }
 
     /// The mean recent wait of `account`, in milliseconds; zero without recent waits.
@@ -39,7 +39,7 @@
     ) -> f64 {
         self.waits.get(&account).map_or(0.0, |waits| {
             // Counts one extra zero wait, so that a single wait does not dominate the mean.
-            waits.total_ms.get(now, HALF_LIFE) / (waits.count.get(now, HALF_LIFE) + 1.0)
+            waits.total_ms.get(now, WAIT_HALF_LIFE) / (waits.count.get(now, WAIT_HALF_LIFE) + 1.0)
         })
     }
 }
--- a/crates/core/src/ownership/assign.rs
+++ b/crates/core/src/ownership/assign.rs
@@ -21,11 +21,11 @@
     data_centre: DataCentreId,
     live: &[Candidate],
 ) -> Option<VmId> {
-    let near = live
+    let has_local = live
         .iter()
         .any(|candidate| candidate.data_centre == data_centre);
     live.iter()
-        .filter(|candidate| !near || candidate.data_centre == data_centre)
+        .filter(|candidate| !has_local || candidate.data_centre == data_centre)
         .max_by(|a, b| {
             score(upstream, a.vm)
                 .total_cmp(&score(upstream, b.vm))
--- a/crates/core/src/ownership/evidence.rs
+++ b/crates/core/src/ownership/copy_updates.rs
@@ -9,7 +9,7 @@
 };
 
 /// Decayed demand below this is dropped.
-const FORGOTTEN: f64 = 0.01;
+const MIN_DEMAND: f64 = 0.01;
 
 /// Updates of copies from gateway polls and engine reports.
 impl OwnedEngine {
@@ -17,7 +17,7 @@
     ///
     /// `seen`: the gateway has seen the current token and sends no releases to a former owner. Only
     /// then can a delayed order of a former owner no longer unload the instance.
-    pub(super) fn note_held(
+    pub(super) fn record_grant(
         &mut self,
         from: Holder,
         instance: Instance,
@@ -25,21 +25,21 @@
         now: Millis,
     ) {
         let key = (instance.adapter, instance.fence);
-        let is_former = instance.fence < self.own.fence;
-        if is_former && !self.unloaded.contains_key(&key) {
+        let is_former = instance.fence < self.ownership.fence;
+        if is_former && !self.recently_unloaded.contains_key(&key) {
             self.copies
                 .entry(key)
-                .or_insert_with(|| EngineCopy::new(CopyState::Doubtful, now));
+                .or_insert_with(|| EngineCopy::new(CopyState::Uncertain, now));
         }
-        let burnt = self.burnt.contains(&key);
+        let is_blocked = self.blocked_keys.contains(&key);
         let Some(copy) = self.copies.get_mut(&key) else {
             return;
         };
         match copy.state {
             // The unload was ordered after all releases, so this poll predates the last one.
             CopyState::Unloading => return,
-            CopyState::Doubtful if seen && is_former && !burnt => {
-                copy.enter(CopyState::Resident, now);
+            CopyState::Uncertain if seen && is_former && !is_blocked => {
+                copy.set_state(CopyState::Resident, now);
             }
             _ => {}
         }
@@ -47,71 +47,71 @@
     }
 
     /// Updates the copies from a report of the engine.
-    pub(super) fn note_report(
+    pub(super) fn apply_report(
         &mut self,
         report: &Report,
         settings: &OwnerSettings,
         now: Millis,
     ) {
-        self.own.slots = report.slots;
+        self.ownership.slots = report.slots;
         if self.boot.is_some_and(|boot| boot != report.boot) {
-            self.forget_all(now);
+            self.mark_all_gone(now);
         }
         self.boot = Some(report.boot);
         self.demand
-            .retain(|_, sum| sum.get(now, settings.demand_half_life) > FORGOTTEN);
-        self.unloaded
-            .retain(|_, &mut at| now.since(at) < settings.report_lag);
+            .retain(|_, sum| sum.get(now, settings.demand_half_life) > MIN_DEMAND);
+        self.recently_unloaded
+            .retain(|_, &mut at| now.since(at) < settings.max_report_lag);
         for instance in &report.instances {
-            self.note_reported((instance.adapter, instance.fence), now);
+            self.record_reported_copy((instance.adapter, instance.fence), now);
         }
-        self.forget_missing(report, settings, now);
+        self.mark_missing_gone(report, settings, now);
     }
 
     /// Marks all copies as gone after a restart of the engine.
     ///
     /// Copies with a pending order are kept: an unload that arrives after the restart would remove a
     /// copy loaded again under the same name.
-    fn forget_all(
+    fn mark_all_gone(
         &mut self,
         now: Millis,
     ) {
         let lost: Vec<CopyKey> = self
             .copies
             .iter()
-            .filter(|(_, copy)| !copy.has_order_out())
+            .filter(|(_, copy)| !copy.has_pending_order())
             .map(|(&key, _)| key)
             .collect();
         for key in lost {
-            self.forget(key, now);
+            self.mark_gone(key, now);
         }
     }
 
-    fn note_reported(
+    fn record_reported_copy(
         &mut self,
         key: CopyKey,
         now: Millis,
     ) {
-        if key.1 > self.own.fence || self.unloaded.contains_key(&key) {
+        if key.1 > self.ownership.fence || self.recently_unloaded.contains_key(&key) {
             return;
         }
         // If the engine refuses older tokens, no former owner can unload the instance.
-        let state = if self.raised && key.1 < self.own.fence {
+        let state = if self.is_fence_raised && key.1 < self.ownership.fence {
             CopyState::Resident
         } else {
-            CopyState::Doubtful
+            CopyState::Uncertain
         };
         let copy = self
             .copies
             .entry(key)
             .or_insert_with(|| EngineCopy::new(state, now));
-        if copy.state == CopyState::Doubtful && !self.burnt.contains(&key) {
-            copy.enter(state, now);
+        if copy.state == CopyState::Uncertain && !self.blocked_keys.contains(&key) {
+            copy.set_state(state, now);
         }
     }
 
     /// Marks copies as gone that have been missing from reports for longer than the report lag.
-    fn forget_missing(
+    fn mark_missing_gone(
         &mut self,
         report: &Report,
         settings: &OwnerSettings,
@@ -121,14 +121,14 @@
             .copies
             .iter()
             .filter(|(_, copy)| {
-                matches!(copy.state, CopyState::Resident | CopyState::Doubtful)
-                    && now.since(copy.since) > settings.report_lag
+                matches!(copy.state, CopyState::Resident | CopyState::Uncertain)
+                    && now.since(copy.since) > settings.max_report_lag
             })
             .map(|(&key, _)| key)
             .filter(|&key| !report.instances.contains(&self.instance(key)))
             .collect();
         for key in missing {
-            self.forget(key, now);
+            self.mark_gone(key, now);
         }
     }
 }
--- a/crates/core/src/ownership/engine_copy.rs
+++ b/crates/core/src/ownership/engine_copy.rs
@@ -18,7 +18,7 @@
     /// The unload has been ordered.
     Unloading,
     /// May be loaded, but a delayed order may unload it at any time; never granted.
-    Doubtful,
+    Uncertain,
     /// Not loaded any more, but gateways still hold grants.
     Gone,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(super) fn enter(
+    pub(super) fn set_state(
         &mut self,
         state: CopyState,
         now: Millis,
@@ -61,11 +61,11 @@
     }
 
     /// Whether an order for it is pending.
-    pub(super) fn has_order_out(&self) -> bool {
+    pub(super) fn has_pending_order(&self) -> bool {
         matches!(self.state, CopyState::Loading | CopyState::Unloading)
     }
 
-    pub(super) fn takes_slot(&self) -> bool {
+    pub(super) fn uses_slot(&self) -> bool {
         self.state != CopyState::Gone
     }
 }
--- a/crates/core/src/ownership/victim.rs
+++ b/crates/core/src/ownership/eviction.rs
@@ -2,7 +2,7 @@
     super::{
         engine_copy::{CopyState, EngineCopy},
         owned_engine::{CopyKey, OwnedEngine},
-        owner_machine::Witness,
+        owner_machine::KnownGateway,
         settings::OwnerSettings,
     },
     crate::{
@@ -12,12 +12,12 @@
     std::collections::BTreeMap,
 };
 
-/// Caps the demand of a copy idle for `t` seconds at `IDLE_CAP / t`, so that past demand does not
+/// Caps the demand of a copy idle for `t` seconds at `IDLE_DEMAND_CAP / t`, so that past demand does not
 /// keep unused copies loaded.
-const IDLE_CAP: f64 = 60.0;
+const IDLE_DEMAND_CAP: f64 = 60.0;
 
 /// Eviction cost added for each gateway that holds a grant.
-const HELD_BONUS: f64 = 0.5;
+const HOLDER_COST: f64 = 0.5;
 
 /// Choice of the copy to evict.
 impl OwnedEngine {
@@ -25,49 +25,49 @@
     ///
     /// A copy of another account that is within its fair share is evicted only if the newcomer's
     /// account is below its own.
-    pub(super) fn victim(
+    pub(super) fn choose_victim(
         &self,
         newcomer: AdapterVersion,
-        witnesses: &BTreeMap<VmId, Witness>,
+        known_gateways: &BTreeMap<VmId, KnownGateway>,
         settings: &OwnerSettings,
         now: Millis,
     ) -> Option<CopyKey> {
-        let account = self.wanted.get(&newcomer).map(|wanted| wanted.account);
+        let account = self.pending_loads.get(&newcomer).map(|load| load.account);
         let fair = self.fair_slots();
         let candidates: Vec<CopyKey> = self
             .copies
             .iter()
-            .filter(|&(&key, copy)| self.may_go(key, copy, witnesses, settings, now))
+            .filter(|&(&key, copy)| self.can_evict(key, copy, known_gateways, settings, now))
             .map(|(&key, _)| key)
             .collect();
-        let cost = |key: &CopyKey| self.cost_of_loss(*key, settings, now);
+        let cost = |key: &CopyKey| self.eviction_cost(*key, settings, now);
         let cheapest = |keys: &mut dyn Iterator<Item = CopyKey>| {
             keys.min_by(|a, b| cost(a).total_cmp(&cost(b)))
         };
         let unprotected = |key: &CopyKey| {
             let owner = self.copies[key].account;
-            owner == account || owner.is_none() || self.slots_of(owner) > fair
+            owner == account || owner.is_none() || self.slots_used_by(owner) > fair
         };
-        let may_press_others = self.slots_of(account) < fair;
+        let can_evict_others = self.slots_used_by(account) < fair;
         cheapest(&mut candidates.iter().copied().filter(unprotected))
-            .or_else(|| may_press_others.then(|| cheapest(&mut candidates.iter().copied()))?)
+            .or_else(|| can_evict_others.then(|| cheapest(&mut candidates.iter().copied()))?)
     }
 
-    fn may_go(
+    fn can_evict(
         &self,
         key: CopyKey,
         copy: &EngineCopy,
-        witnesses: &BTreeMap<VmId, Witness>,
+        known_gateways: &BTreeMap<VmId, KnownGateway>,
         settings: &OwnerSettings,
         now: Millis,
     ) -> bool {
         match copy.state {
             CopyState::Resident => {
-                self.words_known(key)
+                self.are_holders_known(key)
                     && now.since(copy.since) >= settings.min_residence
-                    && !has_silent_holder(copy, witnesses, settings, now)
+                    && !has_silent_holder(copy, known_gateways, settings, now)
             }
-            CopyState::Doubtful => self.words_known(key) && copy.grants.is_empty(),
+            CopyState::Uncertain => self.are_holders_known(key) && copy.grants.is_empty(),
             _ => false,
         }
     }
@@ -83,10 +83,11 @@
         let newer = |version: &AdapterVersion| {
             version.adapter == key.0.adapter && version.version > key.0.version
         };
-        self.wanted.keys().any(newer) || self.copies.keys().map(|(version, _)| version).any(newer)
+        self.pending_loads.keys().any(newer)
+            || self.copies.keys().map(|(version, _)| version).any(newer)
     }
 
-    fn cost_of_loss(
+    fn eviction_cost(
         &self,
         key: CopyKey,
         settings: &OwnerSettings,
@@ -95,26 +96,26 @@
         let copy = &self.copies[&key];
         let demand = self.demand(key.0, settings, now);
         match copy.state {
-            CopyState::Doubtful => -1.0,
+            CopyState::Uncertain => -1.0,
             _ if copy.grants.is_empty() && self.is_superseded(key) => 0.0,
             _ if copy.grants.is_empty() => {
                 let idle = now.since(copy.used).as_secs_f64().max(1.0);
-                demand.min(IDLE_CAP / idle)
+                demand.min(IDLE_DEMAND_CAP / idle)
             }
-            _ => demand + HELD_BONUS * copy.grants.len() as f64,
+            _ => demand + HOLDER_COST * copy.grants.len() as f64,
         }
     }
 }
 
 pub(super) fn has_silent_holder(
     copy: &EngineCopy,
-    witnesses: &BTreeMap<VmId, Witness>,
+    known_gateways: &BTreeMap<VmId, KnownGateway>,
     settings: &OwnerSettings,
     now: Millis,
 ) -> bool {
     copy.grants.keys().any(|holder| {
-        witnesses
+        known_gateways
             .get(&holder.vm)
-            .is_none_or(|witness| now.since(witness.heard) >= settings.silent_after)
+            .is_none_or(|known| now.since(known.last_heard) >= settings.gateway_silence_timeout)
     })
 }
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -16,16 +16,16 @@
 mod account_waits;
 mod action;
 mod assign;
+mod copy_updates;
 mod engine_copy;
 mod event;
-mod evidence;
+mod eviction;
 mod orders;
 mod owned_engine;
 mod owner_machine;
+mod pending_load;
 mod results;
 mod settings;
-mod victim;
-mod wanted;
 
 pub use {
     action::{AcquireOutcome, OwnerAction},
--- a/crates/core/src/ownership/owned_engine.rs
+++ b/crates/core/src/ownership/owned_engine.rs
@@ -2,8 +2,8 @@
     super::{
         engine_copy::{CopyState, EngineCopy},
         event::{Ask, Ownership},
+        pending_load::{LoadStage, PendingLoad},
         settings::OwnerSettings,
-        wanted::{Stage, Wanted},
     },
     crate::{
         clock::Millis,
@@ -27,49 +27,49 @@
 /// State of one engine that this controller owns.
 #[derive(Clone, Debug)]
 pub(super) struct OwnedEngine {
-    pub(super) own: Ownership,
-    pub(super) gained: Millis,
+    pub(super) ownership: Ownership,
+    pub(super) gained_at: Millis,
     /// Whether the engine has confirmed that it refuses older fencing tokens.
-    pub(super) raised: bool,
+    pub(super) is_fence_raised: bool,
     pub(super) boot: Option<u64>,
     /// VMs whose gateway has not yet reported its grants under the current fencing token.
-    pub(super) unheard: BTreeSet<VmId>,
+    pub(super) unreported_vms: BTreeSet<VmId>,
     pub(super) copies: BTreeMap<CopyKey, EngineCopy>,
-    pub(super) wanted: BTreeMap<AdapterVersion, Wanted>,
+    pub(super) pending_loads: BTreeMap<AdapterVersion, PendingLoad>,
     pub(super) backoffs: BTreeMap<AdapterVersion, Backoff>,
     pub(super) demand: HashMap<AdapterVersion, Decayed>,
     /// Copies with an unload of unknown outcome; their names must not be loaded again.
-    pub(super) burnt: BTreeSet<CopyKey>,
+    pub(super) blocked_keys: BTreeSet<CopyKey>,
     /// Recently unloaded copies and when; a lagging report may still list them.
-    pub(super) unloaded: BTreeMap<CopyKey, Millis>,
+    pub(super) recently_unloaded: BTreeMap<CopyKey, Millis>,
     /// No load starts before this time: the engine reported no free slot.
-    pub(super) paused_until: Millis,
+    pub(super) loads_paused_until: Millis,
 }
 
 impl OwnedEngine {
     pub(super) fn new(
-        own: Ownership,
+        ownership: Ownership,
         members: &BTreeSet<VmId>,
         now: Millis,
     ) -> Self {
         Self {
-            own,
-            gained: now,
-            raised: false,
+            ownership,
+            gained_at: now,
+            is_fence_raised: false,
             boot: None,
-            unheard: members.clone(),
+            unreported_vms: members.clone(),
             copies: BTreeMap::new(),
-            wanted: BTreeMap::new(),
+            pending_loads: BTreeMap::new(),
             backoffs: BTreeMap::new(),
             demand: HashMap::new(),
-            burnt: BTreeSet::new(),
-            unloaded: BTreeMap::new(),
-            paused_until: Millis::ZERO,
+            blocked_keys: BTreeSet::new(),
+            recently_unloaded: BTreeMap::new(),
+            loads_paused_until: Millis::ZERO,
         }
     }
 
     pub(super) fn upstream(&self) -> UpstreamId {
-        self.own.upstream
+        self.ownership.upstream
     }
 
     /// The key of a copy that would be loaded under the current fencing token.
@@ -77,7 +77,7 @@
         &self,
         adapter: AdapterVersion,
     ) -> CopyKey {
-        (adapter, self.own.fence)
+        (adapter, self.ownership.fence)
     }
 
     pub(super) fn instance(
@@ -85,13 +85,13 @@
         key: CopyKey,
     ) -> Instance {
         Instance {
-            upstream: self.own.upstream,
+            upstream: self.ownership.upstream,
             adapter: key.0,
             fence: key.1,
         }
     }
 
-    pub(super) fn is_in(
+    pub(super) fn has_state(
         &self,
         key: CopyKey,
         state: CopyState,
@@ -122,45 +122,45 @@
     }
 
     pub(super) fn used_slots(&self) -> u32 {
-        let used = self.copies.values().filter(|copy| copy.takes_slot());
+        let used = self.copies.values().filter(|copy| copy.uses_slot());
         used.count() as u32
     }
 
     /// Whether the engine has a slot that no copy uses.
     pub(super) fn has_free_slot(&self) -> bool {
-        self.used_slots() < self.own.slots
+        self.used_slots() < self.ownership.slots
     }
 
     /// Number of copies being recalled or unloaded, each of which frees one slot.
-    pub(super) fn vacating(&self) -> usize {
-        let on_the_way =
+    pub(super) fn slots_being_freed(&self) -> usize {
+        let is_leaving =
             |copy: &&EngineCopy| matches!(copy.state, CopyState::Recalling | CopyState::Unloading);
-        self.copies.values().filter(on_the_way).count()
+        self.copies.values().filter(is_leaving).count()
     }
 
     /// Number of loads that have budget and no slot.
-    pub(super) fn needing_slot(&self) -> usize {
-        let needy = |wanted: &&Wanted| wanted.stage == Stage::NeedsSlot;
-        self.wanted.values().filter(needy).count()
+    pub(super) fn loads_needing_slot(&self) -> usize {
+        let has_no_slot = |load: &&PendingLoad| load.stage == LoadStage::NeedsSlot;
+        self.pending_loads.values().filter(has_no_slot).count()
     }
 
     /// Whether all holders of this copy are known, so that it can be unloaded once they release it.
     ///
     /// A copy of a former owner may be held by a gateway that has not reported yet.
-    pub(super) fn words_known(
+    pub(super) fn are_holders_known(
         &self,
         key: CopyKey,
     ) -> bool {
-        key.1 == self.own.fence || self.unheard.is_empty()
+        key.1 == self.ownership.fence || self.unreported_vms.is_empty()
     }
 
     /// Whether gateways may still report copies that are already loaded.
-    pub(super) fn is_gathering(
+    pub(super) fn is_awaiting_reports(
         &self,
         settings: &OwnerSettings,
         now: Millis,
     ) -> bool {
-        !self.unheard.is_empty() && now < self.gained + settings.gather_patience
+        !self.unreported_vms.is_empty() && now < self.gained_at + settings.report_timeout
     }
 
     pub(super) fn backoff_left(
@@ -174,7 +174,7 @@
             .map(|backoff| backoff.until.since(now))
     }
 
-    pub(super) fn note_failure(
+    pub(super) fn record_load_failure(
         &mut self,
         adapter: AdapterVersion,
         settings: &OwnerSettings,
@@ -183,7 +183,7 @@
         let pause = self
             .backoffs
             .get(&adapter)
-            .map_or(settings.first_backoff, |last| {
+            .map_or(settings.initial_backoff, |last| {
                 Millis(last.pause.0 * 2).min(settings.max_backoff)
             });
         let until = now + pause;
@@ -209,12 +209,12 @@
         &self,
         ask: &Ask,
     ) -> bool {
-        self.wanted
+        self.pending_loads
             .get(&ask.adapter)
-            .is_none_or(|wanted| !wanted.askers.contains(&ask.from.vm))
+            .is_none_or(|load| !load.requesters.contains(&ask.from.vm))
     }
 
-    pub(super) fn note_demand(
+    pub(super) fn record_demand(
         &mut self,
         adapter: AdapterVersion,
         amount: f64,
@@ -233,18 +233,18 @@
             .copies
             .values()
             .filter_map(|copy| copy.account)
-            .chain(self.wanted.values().map(|wanted| wanted.account))
+            .chain(self.pending_loads.values().map(|load| load.account))
             .collect();
         accounts.sort_unstable();
         accounts.dedup();
-        (self.own.slots / accounts.len().max(1) as u32).max(1)
+        (self.ownership.slots / accounts.len().max(1) as u32).max(1)
     }
 
-    pub(super) fn slots_of(
+    pub(super) fn slots_used_by(
         &self,
         account: Option<AccountId>,
     ) -> u32 {
-        let theirs = |copy: &&EngineCopy| copy.takes_slot() && copy.account == account;
+        let theirs = |copy: &&EngineCopy| copy.uses_slot() && copy.account == account;
         self.copies.values().filter(theirs).count() as u32
     }
 
@@ -259,39 +259,41 @@
     ) -> bool {
         match copy.state {
             CopyState::Recalling | CopyState::Gone => true,
-            CopyState::Doubtful => self.unheard.is_empty() || self.burnt.contains(&key),
+            CopyState::Uncertain => {
+                self.unreported_vms.is_empty() || self.blocked_keys.contains(&key)
+            }
             CopyState::Loading | CopyState::Resident | CopyState::Unloading => false,
         }
     }
 
-    /// Removes the grants that `is_over` selects, and copies that are gone and have no grants.
-    pub(super) fn drop_grants<F>(
+    /// Removes the grants that `should_revoke` selects, and copies that are gone and have no grants.
+    pub(super) fn remove_grants<F>(
         &mut self,
         now: Millis,
-        mut is_over: F,
+        mut should_revoke: F,
     ) where
         F: FnMut(CopyKey, &Holder, u64) -> bool,
     {
         for (&key, copy) in &mut self.copies {
             let before = copy.grants.len();
             copy.grants
-                .retain(|holder, &mut ask| !is_over(key, holder, ask));
+                .retain(|holder, &mut ask| !should_revoke(key, holder, ask));
             if copy.grants.len() < before {
                 copy.used = now;
             }
         }
         self.copies
-            .retain(|_, copy| copy.takes_slot() || !copy.grants.is_empty());
+            .retain(|_, copy| copy.uses_slot() || !copy.grants.is_empty());
     }
 
     /// Marks the copy as gone from the engine; it is removed once it has no grants.
-    pub(super) fn forget(
+    pub(super) fn mark_gone(
         &mut self,
         key: CopyKey,
         now: Millis,
     ) {
         if let Some(copy) = self.copies.get_mut(&key) {
-            copy.enter(CopyState::Gone, now);
+            copy.set_state(CopyState::Gone, now);
             if copy.grants.is_empty() {
                 self.copies.remove(&key);
             }
--- a/crates/core/src/ownership/owner_machine.rs
+++ b/crates/core/src/ownership/owner_machine.rs
@@ -5,8 +5,8 @@
         engine_copy::CopyState,
         event::{Ask, OwnerEvent, Ownership, Poll, Release},
         owned_engine::OwnedEngine,
+        pending_load::{PendingLoad, Waiter},
         settings::OwnerSettings,
-        wanted::{Waiter, Wanted},
     },
     crate::{
         clock::Millis,
@@ -18,9 +18,9 @@
 
 /// The last known run of a gateway and when it was last heard from.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Witness {
+pub(super) struct KnownGateway {
     pub(super) incarnation: Incarnation,
-    pub(super) heard: Millis,
+    pub(super) last_heard: Millis,
 }
 
 /// State machine of the engines that one controller owns: their copies, grants and pending loads.
@@ -30,15 +30,15 @@
     pub(super) lease_until: Millis,
     pub(super) engines: BTreeMap<UpstreamId, OwnedEngine>,
     pub(super) members: BTreeSet<VmId>,
-    pub(super) witnesses: BTreeMap<VmId, Witness>,
+    pub(super) known_gateways: BTreeMap<VmId, KnownGateway>,
     /// VMs whose gateway has restarted or left since grants were last revoked.
-    pub(super) replaced: BTreeSet<VmId>,
+    pub(super) pending_revocations: BTreeSet<VmId>,
     pub(super) waits: AccountWaits,
     /// Loads that may start now.
     pub(super) budget: u32,
     /// Loads that were requested from the budget and not yet granted.
-    pub(super) budget_asked: u32,
-    pub(super) budget_asked_at: Millis,
+    pub(super) requested_budget: u32,
+    pub(super) budget_requested_at: Millis,
 }
 
 impl OwnerMachine {
@@ -49,12 +49,12 @@
             lease_until: Millis::ZERO,
             engines: BTreeMap::new(),
             members: BTreeSet::new(),
-            witnesses: BTreeMap::new(),
-            replaced: BTreeSet::new(),
+            known_gateways: BTreeMap::new(),
+            pending_revocations: BTreeSet::new(),
             waits: AccountWaits::default(),
             budget: 0,
-            budget_asked: 0,
-            budget_asked_at: Millis::ZERO,
+            requested_budget: 0,
+            budget_requested_at: Millis::ZERO,
         }
     }
 
@@ -70,30 +70,30 @@
         let mut out = Vec::new();
         match event {
             OwnerEvent::LeaseExtended(until) => self.lease_until = until,
-            OwnerEvent::Gained(own) => self.gain(own, now, &mut out),
-            OwnerEvent::Lost(upstream) => self.lose(upstream, &mut out),
+            OwnerEvent::Gained(ownership) => self.gain_ownership(ownership, now, &mut out),
+            OwnerEvent::Lost(upstream) => self.lose_ownership(upstream, &mut out),
             OwnerEvent::Members(vms) => self.set_members(&vms),
-            OwnerEvent::Polled(poll) => self.note_poll(&poll, now),
-            OwnerEvent::Acquire(ask) => self.acquire(ask, now, &mut out),
-            OwnerEvent::Released(release) => self.release(&release, now),
-            OwnerEvent::FenceRaised(upstream, fence, raised) => {
-                self.note_fence(upstream, fence, raised, &mut out);
+            OwnerEvent::Polled(poll) => self.handle_poll(&poll, now),
+            OwnerEvent::Acquire(ask) => self.handle_acquire(ask, now, &mut out),
+            OwnerEvent::Released(release) => self.handle_release(&release, now),
+            OwnerEvent::FenceRaised(upstream, fence, accepted) => {
+                self.handle_fence_result(upstream, fence, accepted, &mut out);
             }
             OwnerEvent::LoadEnded(instance, result) => {
-                self.end_load(instance, result, now, &mut out);
+                self.handle_load_result(instance, result, now, &mut out);
             }
             OwnerEvent::UnloadEnded(instance, result) => {
-                self.end_unload(instance, result, now, &mut out);
+                self.handle_unload_result(instance, result, now, &mut out);
             }
-            OwnerEvent::Reported(report) => self.note_report(&report, now),
+            OwnerEvent::Reported(report) => self.handle_report(&report, now),
             OwnerEvent::BudgetGranted(loads) => {
                 self.budget += loads;
-                self.budget_asked = self.budget_asked.saturating_sub(loads);
+                self.requested_budget = self.requested_budget.saturating_sub(loads);
             }
             OwnerEvent::Tick => {}
         }
-        self.expire(now, &mut out);
-        self.order(now, &mut out);
+        self.expire_requests(now, &mut out);
+        self.emit_orders(now, &mut out);
         out
     }
 
@@ -105,7 +105,7 @@
         now: Millis,
     ) -> bool {
         let owned = self.engines.get(&upstream);
-        owned.is_some_and(|engine| engine.own.fence == fence) && self.orders_allowed(now)
+        owned.is_some_and(|engine| engine.ownership.fence == fence) && self.orders_allowed(now)
     }
 
     /// The fencing token under which this controller owns the engine.
@@ -113,7 +113,9 @@
         &self,
         upstream: UpstreamId,
     ) -> Option<Fence> {
-        self.engines.get(&upstream).map(|engine| engine.own.fence)
+        self.engines
+            .get(&upstream)
+            .map(|engine| engine.ownership.fence)
     }
 
     /// Instances that this gateway must release; included in every poll response.
@@ -155,7 +157,7 @@
         &self,
         now: Millis,
     ) -> bool {
-        self.settings.orders_past_lease || self.has_lease(now)
+        self.settings.can_order_past_lease || self.has_lease(now)
     }
 
     pub(super) fn has_lease(
@@ -165,33 +167,33 @@
         now + self.settings.lease_margin < self.lease_until
     }
 
-    fn gain(
+    fn gain_ownership(
         &mut self,
-        own: Ownership,
+        ownership: Ownership,
         now: Millis,
         out: &mut Vec<OwnerAction>,
     ) {
-        match self.engines.get_mut(&own.upstream) {
-            Some(engine) if engine.own.fence >= own.fence => return,
+        match self.engines.get_mut(&ownership.upstream) {
+            Some(engine) if engine.ownership.fence >= ownership.fence => return,
             // A renewed token: no other controller owned the engine in between, so its state is valid.
             Some(engine) => {
-                engine.own = own;
-                engine.raised = false;
+                engine.ownership = ownership;
+                engine.is_fence_raised = false;
             }
             None => {
-                let engine = OwnedEngine::new(own, &self.members, now);
-                self.engines.insert(own.upstream, engine);
+                let engine = OwnedEngine::new(ownership, &self.members, now);
+                self.engines.insert(ownership.upstream, engine);
             }
         }
-        if own.checks_fencing {
+        if ownership.checks_fencing {
             out.push(OwnerAction::RaiseFence {
-                upstream: own.upstream,
-                fence: own.fence,
+                upstream: ownership.upstream,
+                fence: ownership.fence,
             });
         }
     }
 
-    pub(super) fn lose(
+    pub(super) fn lose_ownership(
         &mut self,
         upstream: UpstreamId,
         out: &mut Vec<OwnerAction>,
@@ -199,8 +201,8 @@
         let Some(engine) = self.engines.remove(&upstream) else {
             return;
         };
-        for wanted in engine.wanted.into_values() {
-            reply_all(wanted.waiters, AcquireOutcome::NotOwner, out);
+        for load in engine.pending_loads.into_values() {
+            reply_all(load.waiters, AcquireOutcome::NotOwner, out);
         }
     }
 
@@ -211,14 +213,17 @@
         let members: BTreeSet<VmId> = vms.iter().copied().collect();
         for engine in self.engines.values_mut() {
             // A VM that was unknown when ownership was gained may hold grants from a former owner.
-            engine.unheard.extend(members.difference(&self.members));
+            engine
+                .unreported_vms
+                .extend(members.difference(&self.members));
         }
-        self.replaced.extend(self.members.difference(&members));
+        self.pending_revocations
+            .extend(self.members.difference(&members));
         self.members = members;
     }
 
     /// Records that a gateway is alive; `false` if it is not a member or its run was replaced.
-    fn hear(
+    fn record_contact(
         &mut self,
         from: Holder,
         now: Millis,
@@ -226,18 +231,18 @@
         if !self.members.contains(&from.vm) {
             return false;
         }
-        let witness = self.witnesses.entry(from.vm).or_insert(Witness {
+        let gateway = self.known_gateways.entry(from.vm).or_insert(KnownGateway {
             incarnation: from.incarnation,
-            heard: now,
+            last_heard: now,
         });
-        if from.incarnation < witness.incarnation {
+        if from.incarnation < gateway.incarnation {
             return false;
         }
-        witness.heard = now;
-        let restarted = from.incarnation > witness.incarnation;
-        witness.incarnation = from.incarnation;
+        gateway.last_heard = now;
+        let restarted = from.incarnation > gateway.incarnation;
+        gateway.incarnation = from.incarnation;
         if restarted {
-            self.replaced.insert(from.vm);
+            self.pending_revocations.insert(from.vm);
         }
         true
     }
@@ -246,39 +251,42 @@
     ///
     /// Requires a valid lease: a former owner must not take a gateway's end for a release, since its
     /// successor may be keeping an instance because of that gateway's grant.
-    pub(super) fn void_replaced(
+    pub(super) fn revoke_stale_grants(
         &mut self,
         now: Millis,
     ) {
-        for vm in std::mem::take(&mut self.replaced) {
+        for vm in std::mem::take(&mut self.pending_revocations) {
             let is_member = self.members.contains(&vm);
             if !is_member {
-                self.witnesses.remove(&vm);
+                self.known_gateways.remove(&vm);
             }
-            let newest = self.witnesses.get(&vm).map(|witness| witness.incarnation);
-            let is_over = |holder: &Holder| {
+            let newest = self
+                .known_gateways
+                .get(&vm)
+                .map(|gateway| gateway.incarnation);
+            let should_revoke = |holder: &Holder| {
                 let replaced = newest.is_some_and(|newest| holder.incarnation < newest);
                 holder.vm == vm && (replaced || !is_member)
             };
             for engine in self.engines.values_mut() {
                 if !is_member {
-                    engine.unheard.remove(&vm);
+                    engine.unreported_vms.remove(&vm);
                 }
-                engine.drop_grants(now, |_, holder, _| is_over(holder));
+                engine.remove_grants(now, |_, holder, _| should_revoke(holder));
                 // A grant to a stopped process would never be released.
-                for wanted in engine.wanted.values_mut() {
-                    wanted.waiters.retain(|waiter| !is_over(&waiter.from));
+                for load in engine.pending_loads.values_mut() {
+                    load.waiters.retain(|waiter| !should_revoke(&waiter.from));
                 }
             }
         }
     }
 
-    fn note_poll(
+    fn handle_poll(
         &mut self,
         poll: &Poll,
         now: Millis,
     ) {
-        if !self.hear(poll.from, now) {
+        if !self.record_contact(poll.from, now) {
             return;
         }
         for engine in self.engines.values_mut() {
@@ -286,23 +294,23 @@
             let seen = poll
                 .seen
                 .iter()
-                .any(|&(seen_of, fence)| seen_of == upstream && fence >= engine.own.fence);
+                .any(|&(seen_of, fence)| seen_of == upstream && fence >= engine.ownership.fence);
             for instance in poll.held.iter().filter(|held| held.upstream == upstream) {
-                engine.note_held(poll.from, *instance, seen, now);
+                engine.record_grant(poll.from, *instance, seen, now);
             }
             if seen {
-                engine.unheard.remove(&poll.from.vm);
+                engine.unreported_vms.remove(&poll.from.vm);
             }
         }
     }
 
-    fn acquire(
+    fn handle_acquire(
         &mut self,
         ask: Ask,
         now: Millis,
         out: &mut Vec<OwnerAction>,
     ) {
-        let known = self.hear(ask.from, now);
+        let known = self.record_contact(ask.from, now);
         let settings = self.settings;
         let Some(engine) = self.engines.get_mut(&ask.upstream) else {
             out.push(reply(ask.from, ask.ask, AcquireOutcome::NotOwner));
@@ -313,9 +321,9 @@
             return;
         }
         if engine.is_new_demand(&ask) {
-            engine.note_demand(ask.adapter, 1.0, &settings, now);
+            engine.record_demand(ask.adapter, 1.0, &settings, now);
         }
-        let owner = engine.own.fence;
+        let owner = engine.ownership.fence;
         if let Some(key) = engine.find(ask.adapter, CopyState::Resident) {
             let instance = engine.instance(key);
             let copy = engine.copies.get_mut(&key).expect("just found");
@@ -325,24 +333,24 @@
             copy.used = now;
             let outcome = AcquireOutcome::Granted { instance, owner };
             out.push(reply(ask.from, ask.ask, outcome));
-            self.waits.note(ask.account, Millis::ZERO, now);
+            self.waits.record(ask.account, Millis::ZERO, now);
             return;
         }
         if let Some(left) = engine.backoff_left(ask.adapter, now) {
             out.push(reply(ask.from, ask.ask, AcquireOutcome::LoadFailed(left)));
             return;
         }
-        if engine.burnt.contains(&engine.key(ask.adapter)) {
-            let later = AcquireOutcome::Full(settings.budget_retry);
+        if engine.blocked_keys.contains(&engine.key(ask.adapter)) {
+            let later = AcquireOutcome::Full(settings.budget_retry_delay);
             out.push(reply(ask.from, ask.ask, later));
             return;
         }
-        let wanted = engine
-            .wanted
+        let load = engine
+            .pending_loads
             .entry(ask.adapter)
-            .or_insert_with(|| Wanted::new(ask.account, now));
-        wanted.askers.insert(ask.from.vm);
-        wanted.join(Waiter {
+            .or_insert_with(|| PendingLoad::new(ask.account, now));
+        load.requesters.insert(ask.from.vm);
+        load.add_waiter(Waiter {
             from: ask.from,
             ask: ask.ask,
             account: ask.account,
@@ -351,19 +359,19 @@
         });
     }
 
-    fn release(
+    fn handle_release(
         &mut self,
         release: &Release,
         now: Millis,
     ) {
-        self.hear(release.from, now);
+        self.record_contact(release.from, now);
         for engine in self.engines.values_mut() {
             // A release with another token is meant for another owner.
-            if engine.own.fence != release.fence {
+            if engine.ownership.fence != release.fence {
                 continue;
             }
             let upstream = engine.upstream();
-            engine.drop_grants(now, |key, holder, ask| {
+            engine.remove_grants(now, |key, holder, ask| {
                 let named = release.instances.iter().any(|instance| {
                     instance.upstream == upstream && (instance.adapter, instance.fence) == key
                 });
--- a/crates/core/src/ownership/wanted.rs
+++ b/crates/core/src/ownership/pending_load.rs
@@ -19,7 +19,7 @@
 
 /// Progress of a requested load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
+pub(super) enum LoadStage {
     /// Waits for budget.
     Queued,
     /// Has budget and waits for a slot.
@@ -30,40 +30,40 @@
 
 /// An adapter version that gateways have requested on an engine.
 #[derive(Clone, Debug)]
-pub(super) struct Wanted {
-    pub(super) stage: Stage,
+pub(super) struct PendingLoad {
+    pub(super) stage: LoadStage,
     /// When it was first requested.
     pub(super) since: Millis,
     /// When it was last requested.
-    pub(super) asked: Millis,
+    pub(super) last_requested: Millis,
     /// The client account of the last request.
     pub(super) account: AccountId,
     pub(super) waiters: Vec<Waiter>,
     /// VMs whose gateway has requested it.
-    pub(super) askers: BTreeSet<VmId>,
+    pub(super) requesters: BTreeSet<VmId>,
 }
 
-impl Wanted {
+impl PendingLoad {
     pub(super) fn new(
         account: AccountId,
         now: Millis,
     ) -> Self {
         Self {
-            stage: Stage::Queued,
+            stage: LoadStage::Queued,
             since: now,
-            asked: now,
+            last_requested: now,
             account,
             waiters: Vec::new(),
-            askers: BTreeSet::new(),
+            requesters: BTreeSet::new(),
         }
     }
 
     /// Adds a waiting request unless it is already present.
-    pub(super) fn join(
+    pub(super) fn add_waiter(
         &mut self,
         waiter: Waiter,
     ) {
-        self.asked = self.asked.max(waiter.since);
+        self.last_requested = self.last_requested.max(waiter.since);
         self.account = waiter.account;
         if !self
             .waiters
@@ -75,7 +75,7 @@
     }
 
     /// Grants `copy` to all waiting requests, and removes and returns them.
-    pub(super) fn grant(
+    pub(super) fn grant_all(
         &mut self,
         copy: &mut EngineCopy,
     ) -> Vec<Waiter> {
--- a/crates/core/src/ownership/results.rs
+++ b/crates/core/src/ownership/results.rs
@@ -5,7 +5,7 @@
         event::{LoadResult, Report, UnloadResult},
         owned_engine::CopyKey,
         owner_machine::{OwnerMachine, reply_all},
-        wanted::Stage,
+        pending_load::LoadStage,
     },
     crate::{
         clock::Millis,
@@ -16,24 +16,24 @@
 
 /// Handling of order results and engine reports.
 impl OwnerMachine {
-    pub(super) fn note_fence(
+    pub(super) fn handle_fence_result(
         &mut self,
         upstream: UpstreamId,
         fence: Fence,
-        raised: bool,
+        accepted: bool,
         out: &mut Vec<OwnerAction>,
     ) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
         };
-        match (engine.own.fence == fence, raised) {
-            (true, true) => engine.raised = true,
-            (true, false) => self.lose(upstream, out),
+        match (engine.ownership.fence == fence, accepted) {
+            (true, true) => engine.is_fence_raised = true,
+            (true, false) => self.lose_ownership(upstream, out),
             (false, _) => {}
         }
     }
 
-    pub(super) fn end_load(
+    pub(super) fn handle_load_result(
         &mut self,
         instance: Instance,
         result: LoadResult,
@@ -44,7 +44,7 @@
             return;
         };
         let key = (instance.adapter, instance.fence);
-        if !engine.is_in(key, CopyState::Loading) {
+        if !engine.has_state(key, CopyState::Loading) {
             return;
         }
         match result {
@@ -53,24 +53,24 @@
                 self.grant_waiting(key, instance, now, out);
             }
             LoadResult::NoFreeSlot => {
-                engine.forget(key, now);
-                engine.paused_until = now + self.settings.first_backoff;
-                if let Some(wanted) = engine.wanted.get_mut(&instance.adapter) {
-                    wanted.stage = Stage::Queued;
+                engine.mark_gone(key, now);
+                engine.loads_paused_until = now + self.settings.initial_backoff;
+                if let Some(load) = engine.pending_loads.get_mut(&instance.adapter) {
+                    load.stage = LoadStage::Queued;
                 }
             }
-            LoadResult::StaleFence => self.lose(instance.upstream, out),
+            LoadResult::StaleFence => self.lose_ownership(instance.upstream, out),
             LoadResult::Failed | LoadResult::Unknown => {
                 match result {
                     LoadResult::Unknown => {
                         let copy = engine.copies.get_mut(&key).expect("is loading");
-                        copy.enter(CopyState::Doubtful, now);
+                        copy.set_state(CopyState::Uncertain, now);
                     }
-                    _ => engine.forget(key, now),
+                    _ => engine.mark_gone(key, now),
                 }
-                let pause = engine.note_failure(instance.adapter, &self.settings, now);
-                if let Some(wanted) = engine.wanted.remove(&instance.adapter) {
-                    reply_all(wanted.waiters, AcquireOutcome::LoadFailed(pause), out);
+                let pause = engine.record_load_failure(instance.adapter, &self.settings, now);
+                if let Some(load) = engine.pending_loads.remove(&instance.adapter) {
+                    reply_all(load.waiters, AcquireOutcome::LoadFailed(pause), out);
                 }
             }
         }
@@ -86,24 +86,24 @@
         let Some(engine) = self.engines.get_mut(&instance.upstream) else {
             return;
         };
-        let owner = engine.own.fence;
+        let owner = engine.ownership.fence;
         let Some(copy) = engine.copies.get_mut(&key) else {
             return;
         };
-        copy.enter(CopyState::Resident, now);
-        let Some(mut wanted) = engine.wanted.remove(&instance.adapter) else {
+        copy.set_state(CopyState::Resident, now);
+        let Some(mut load) = engine.pending_loads.remove(&instance.adapter) else {
             return;
         };
-        let waiters = wanted.grant(copy);
+        let waiters = load.grant_all(copy);
         for waiter in &waiters {
             self.waits
-                .note(waiter.account, now.since(waiter.since), now);
+                .record(waiter.account, now.since(waiter.since), now);
         }
         let outcome = AcquireOutcome::Granted { instance, owner };
         reply_all(waiters, outcome, out);
     }
 
-    pub(super) fn end_unload(
+    pub(super) fn handle_unload_result(
         &mut self,
         instance: Instance,
         result: UnloadResult,
@@ -114,37 +114,37 @@
             return;
         };
         let key = (instance.adapter, instance.fence);
-        if !engine.is_in(key, CopyState::Unloading) {
+        if !engine.has_state(key, CopyState::Unloading) {
             return;
         }
         match result {
             UnloadResult::Gone => {
-                engine.unloaded.insert(key, now);
-                engine.forget(key, now);
+                engine.recently_unloaded.insert(key, now);
+                engine.mark_gone(key, now);
             }
-            UnloadResult::StaleFence => self.lose(instance.upstream, out),
+            UnloadResult::StaleFence => self.lose_ownership(instance.upstream, out),
             UnloadResult::Unknown => {
                 // The unload may still take effect, so the same name must not be loaded again.
                 // A copy loaded under a newer token has another name.
-                engine.burnt.insert(key);
+                engine.blocked_keys.insert(key);
                 if let Some(copy) = engine.copies.get_mut(&key) {
-                    copy.enter(CopyState::Doubtful, now);
+                    copy.set_state(CopyState::Uncertain, now);
                 }
-                if key.1 == engine.own.fence {
+                if key.1 == engine.ownership.fence {
                     out.push(OwnerAction::RenewFence(instance.upstream));
                 }
             }
         }
     }
 
-    pub(super) fn note_report(
+    pub(super) fn handle_report(
         &mut self,
         report: &Report,
         now: Millis,
     ) {
         let settings = self.settings;
         if let Some(engine) = self.engines.get_mut(&report.upstream) {
-            engine.note_report(report, &settings, now);
+            engine.apply_report(report, &settings, now);
         }
     }
 }
--- a/crates/core/src/ownership/settings.rs
+++ b/crates/core/src/ownership/settings.rs
@@ -7,23 +7,23 @@
     pub lease_margin: Millis,
     /// Whether orders continue after the lease has ended, for example in a long store outage. Running
     /// requests are then protected by releases alone: without a lease, a gateway's end revokes nothing.
-    pub orders_past_lease: bool,
+    pub can_order_past_lease: bool,
     /// Copies held by a gateway that has been silent for this long are not evicted.
-    pub silent_after: Millis,
+    pub gateway_silence_timeout: Millis,
     /// A recall not completed within this time is cancelled, and another victim is chosen.
-    pub recall_patience: Millis,
+    pub recall_timeout: Millis,
     /// How long a new owner waits for gateways to report loaded copies before it starts loads.
-    pub gather_patience: Millis,
+    pub report_timeout: Millis,
     /// Minimum time between the load of a copy and its eviction.
     pub min_residence: Millis,
     /// Maximum lag of an engine's report.
-    pub report_lag: Millis,
+    pub max_report_lag: Millis,
     /// Delay after the first failed load; doubles with each further failure.
-    pub first_backoff: Millis,
+    pub initial_backoff: Millis,
     /// Maximum delay after failed loads.
     pub max_backoff: Millis,
     /// An unanswered request for load budget is repeated after this time.
-    pub budget_retry: Millis,
+    pub budget_retry_delay: Millis,
     /// Half-life of an adapter's demand.
     pub demand_half_life: Millis,
 }
@@ -32,15 +32,15 @@
     fn default() -> Self {
         Self {
             lease_margin: Millis(500),
-            orders_past_lease: false,
-            silent_after: Millis::from_secs(5),
-            recall_patience: Millis::from_secs(2),
-            gather_patience: Millis(1500),
+            can_order_past_lease: false,
+            gateway_silence_timeout: Millis::from_secs(5),
+            recall_timeout: Millis::from_secs(2),
+            report_timeout: Millis(1500),
             min_residence: Millis(1000),
-            report_lag: Millis::from_secs(5),
-            first_backoff: Millis(500),
+            max_report_lag: Millis::from_secs(5),
+            initial_backoff: Millis(500),
             max_backoff: Millis::from_secs(60),
-            budget_retry: Millis(1000),
+            budget_retry_delay: Millis(1000),
             demand_half_life: Millis::from_secs(60),
         }
     }
--- a/crates/core/src/routing/adapter_entry.rs
+++ b/crates/core/src/routing/adapter_entry.rs
@@ -8,7 +8,7 @@
 
 /// An acquire request without a reply yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingAcquire {
     pub(super) upstream: UpstreamId,
     pub(super) ask: u64,
     pub(super) since: Millis,
@@ -16,7 +16,7 @@
 
 /// Why an engine is avoided for an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reason {
+pub(super) enum AvoidReason {
     Full,
     LoadFailed,
     NotLoaded,
@@ -24,10 +24,10 @@
 
 /// An engine that is temporarily not asked for an adapter.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Avoid {
+pub(super) struct AvoidedEngine {
     pub(super) upstream: UpstreamId,
     pub(super) until: Millis,
-    pub(super) reason: Reason,
+    pub(super) reason: AvoidReason,
 }
 
 /// What this gateway knows about one adapter version.
@@ -40,13 +40,13 @@
     pub(super) resident: BTreeSet<UpstreamId>,
     /// Engines on which this gateway holds a grant for it.
     pub(super) held: BTreeSet<UpstreamId>,
-    pub(super) pending: Vec<Pending>,
-    pub(super) avoid: Vec<Avoid>,
+    pub(super) pending: Vec<PendingAcquire>,
+    pub(super) avoid: Vec<AvoidedEngine>,
     /// The engine whose owner last replied that the load is in progress.
     pub(super) loading_on: Option<UpstreamId>,
     /// Engines in order of preference.
     pub(super) preferred: Vec<UpstreamId>,
-    pub(super) preferred_for: u64,
+    pub(super) preferred_version: u64,
 }
 
 impl AdapterEntry {
@@ -60,7 +60,7 @@
             avoid: Vec::new(),
             loading_on: None,
             preferred: Vec::new(),
-            preferred_for: 0,
+            preferred_version: 0,
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// The time until the first avoided engine may be asked again.
-    pub(super) fn avoid_left(
+    pub(super) fn time_until_retry(
         &self,
         now: Millis,
     ) -> Option<Millis> {
@@ -87,13 +87,13 @@
     }
 
     /// Number of engines on which its load failed recently.
-    pub(super) fn failures(
+    pub(super) fn failed_loads(
         &self,
         now: Millis,
     ) -> usize {
         self.avoid
             .iter()
-            .filter(|avoid| avoid.reason == Reason::LoadFailed && now < avoid.until)
+            .filter(|avoid| avoid.reason == AvoidReason::LoadFailed && now < avoid.until)
             .count()
     }
 
@@ -105,6 +105,6 @@
         self.resident.is_empty()
             && self.held.is_empty()
             && self.pending.is_empty()
-            && self.avoid_left(now).is_none()
+            && self.time_until_retry(now).is_none()
     }
 }
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Route, Router, SpecKind, Target,
-        adapter_entry::{AdapterEntry, Pending},
+        adapter_entry::{AdapterEntry, PendingAcquire},
         engine::Engine,
     },
     crate::{
@@ -13,10 +13,10 @@
 };
 
 /// Number of engines that a gateway considers for an adapter that is not loaded.
-const PREFERRED: usize = 8;
+const MAX_PREFERRED_ENGINES: usize = 8;
 
 /// Requests are refused temporarily after the adapter's load has failed on this many engines.
-const FAILED_ENGINES: usize = 2;
+const MAX_FAILED_ENGINES: usize = 2;
 
 impl Router {
     /// Decides where a request goes.
@@ -36,12 +36,12 @@
             Target::Base(model) => {
                 let engines = self.by_model.get(&model).map_or(&[][..], Vec::as_slice);
                 let best = self.best(engines, prefix, now);
-                self.send_plain(best, !engines.is_empty(), now)
+                self.send_to_best(best, !engines.is_empty(), now)
             }
             Target::Service(service) => {
                 let servers = self.by_service.get(&service).map_or(&[][..], Vec::as_slice);
                 let best = self.best(servers, None, now);
-                self.send_plain(best, !servers.is_empty(), now)
+                self.send_to_best(best, !servers.is_empty(), now)
             }
         }
     }
@@ -64,14 +64,14 @@
         route
     }
 
-    fn send_plain(
+    fn send_to_best(
         &mut self,
         best: Option<UpstreamId>,
         exists: bool,
         now: Millis,
     ) -> Route {
         let Some(upstream) = best else {
-            let delay = exists.then_some(self.settings.first_pause);
+            let delay = exists.then_some(self.settings.min_breaker_delay);
             return Route::Refuse(Refusal {
                 kind: ErrorKind::NoUpstream,
                 retry_after: delay,
@@ -79,8 +79,8 @@
         };
         let engine = self.engines.get_mut(&upstream).expect("just chosen");
         let is_engine = matches!(engine.spec.kind, SpecKind::Engine { .. });
-        if is_engine && engine.fill() >= self.settings.max_fill {
-            return Route::Wait(self.settings.recheck);
+        if is_engine && engine.utilisation() >= self.settings.max_utilisation {
+            return Route::Wait(self.settings.max_recheck_delay);
         }
         send(engine, None, now)
     }
@@ -101,21 +101,21 @@
         let held: Vec<UpstreamId> = entry.held.iter().copied().collect();
         let routable: Vec<UpstreamId> = held
             .into_iter()
-            .filter(|upstream| self.grant_on(*upstream, adapter).is_some())
+            .filter(|upstream| self.newest_grant(*upstream, adapter).is_some())
             .collect();
         if let Some(upstream) = self.best(&routable, prefix, now) {
-            let instance = self.grant_on(upstream, adapter);
+            let instance = self.newest_grant(upstream, adapter);
             let engine = self.engines.get_mut(&upstream).expect("just chosen");
-            if engine.fill() >= self.settings.max_fill {
-                return Route::Wait(self.settings.recheck);
+            if engine.utilisation() >= self.settings.max_utilisation {
+                return Route::Wait(self.settings.max_recheck_delay);
             }
             return send(engine, instance, now);
         }
-        self.acquire_somewhere(adapter, now)
+        self.acquire_adapter(adapter, now)
     }
 
     /// The newest instance of the adapter on an engine that this gateway may route to.
-    pub(super) fn grant_on(
+    pub(super) fn newest_grant(
         &self,
         upstream: UpstreamId,
         adapter: AdapterVersion,
@@ -155,7 +155,7 @@
         let Some(prefix) = prefix else {
             return Some(least.spec.upstream);
         };
-        let bound = cost(&least) + self.settings.tie;
+        let bound = cost(&least) + self.settings.cost_tolerance;
         let affinity = |engine: &&Engine| rendezvous(prefix, u64::from(engine.spec.upstream.0), 1);
         usable()
             .filter(|engine| cost(engine) <= bound)
@@ -163,35 +163,35 @@
             .map(|engine| engine.spec.upstream)
     }
 
-    fn acquire_somewhere(
+    fn acquire_adapter(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
     ) -> Route {
-        let timeout = self.settings.ask_timeout;
+        let timeout = self.settings.acquire_timeout;
         let entry = self.adapters.get_mut(&adapter).expect("just routed");
         entry
             .pending
             .retain(|pending| now.since(pending.since) < timeout);
         entry.avoid.retain(|avoid| now < avoid.until);
         if !entry.pending.is_empty() {
-            return Route::Wait(self.settings.recheck);
+            return Route::Wait(self.settings.max_recheck_delay);
         }
-        if entry.failures(now) >= FAILED_ENGINES {
-            let left = entry.avoid_left(now).unwrap_or_default();
+        if entry.failed_loads(now) >= MAX_FAILED_ENGINES {
+            let left = entry.time_until_retry(now).unwrap_or_default();
             return Route::Refuse(Refusal::after(ErrorKind::AdapterLoadFailed, left));
         }
-        match self.where_to_acquire(adapter, now) {
+        match self.engine_to_acquire_on(adapter, now) {
             Some(upstream) => {
-                let ask = self.ask_for(adapter, upstream, now);
+                let ask = self.start_acquire(adapter, upstream, now);
                 Route::Acquire { upstream, ask }
             }
-            None => self.nowhere(adapter, now),
+            None => self.no_engine_available(adapter, now),
         }
     }
 
     /// The engine to ask for an adapter: one that has or loads it, or else the most preferred one.
-    pub(super) fn where_to_acquire(
+    pub(super) fn engine_to_acquire_on(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
@@ -204,7 +204,7 @@
                 && self
                     .engines
                     .get(upstream)
-                    .is_some_and(|engine| engine.is_usable(now) && now >= engine.ask_again)
+                    .is_some_and(|engine| engine.is_usable(now) && now >= engine.next_ask_at)
         };
         let cost = |upstream: &UpstreamId| self.engines[upstream].cost(&self.settings);
         let resident = entry
@@ -231,16 +231,16 @@
         let Some(entry) = self.adapters.get_mut(&adapter) else {
             return;
         };
-        if entry.preferred_for == self.list {
+        if entry.preferred_version == self.upstreams_version {
             return;
         }
         let slots = self.slots.get(&entry.model).map_or(&[][..], Vec::as_slice);
-        entry.preferred = preferred(adapter, slots, PREFERRED);
-        entry.preferred_for = self.list;
+        entry.preferred = preferred(adapter, slots, MAX_PREFERRED_ENGINES);
+        entry.preferred_version = self.upstreams_version;
     }
 
     /// Allocates a request id and records the acquire request as pending.
-    pub(super) fn ask_for(
+    pub(super) fn start_acquire(
         &mut self,
         adapter: AdapterVersion,
         upstream: UpstreamId,
@@ -250,7 +250,7 @@
         let ask = self.ask;
         self.active.insert(adapter);
         if let Some(entry) = self.adapters.get_mut(&adapter) {
-            entry.pending.push(Pending {
+            entry.pending.push(PendingAcquire {
                 upstream,
                 ask,
                 since: now,
@@ -260,7 +260,7 @@
     }
 
     /// The result if no engine may be asked now.
-    fn nowhere(
+    fn no_engine_available(
         &self,
         adapter: AdapterVersion,
         now: Millis,
@@ -270,17 +270,21 @@
             .preferred
             .iter()
             .any(|upstream| self.engines[upstream].is_usable(now));
-        match (any_usable, entry.failures(now) > 0, entry.avoid_left(now)) {
+        match (
+            any_usable,
+            entry.failed_loads(now) > 0,
+            entry.time_until_retry(now),
+        ) {
             (false, _, _) => Route::Refuse(Refusal::after(
                 ErrorKind::NoUpstream,
-                self.settings.first_pause,
+                self.settings.min_breaker_delay,
             )),
             (true, true, Some(left)) => {
                 Route::Refuse(Refusal::after(ErrorKind::AdapterLoadFailed, left))
             }
             (true, _, left) => {
-                let recheck = self.settings.recheck;
-                Route::Wait(left.map_or(recheck, |left| left.min(recheck)))
+                let max_recheck_delay = self.settings.max_recheck_delay;
+                Route::Wait(left.map_or(max_recheck_delay, |left| left.min(max_recheck_delay)))
             }
         }
     }
@@ -291,8 +295,8 @@
     instance: Option<Instance>,
     now: Millis,
 ) -> Route {
-    engine.own += 1;
-    engine.breaker.sent();
+    engine.own_in_flight += 1;
+    engine.breaker.record_sent();
     if let Some(instance) = instance {
         let key = (instance.adapter, instance.fence);
         if let Some(held) = engine.held.get_mut(&key) {
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineView, RouterSettings, SpecKind, UpstreamSpec, breaker::Breaker},
+    super::{EngineView, RouterSettings, SpecKind, UpstreamSpec, circuit_breaker::CircuitBreaker},
     crate::{
         clock::Millis,
         ids::{AdapterVersion, Fence},
@@ -9,7 +9,7 @@
 
 /// A grant that this gateway holds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldGrant {
     pub(super) in_flight: u32,
     pub(super) used: Millis,
     pub(super) recalled: bool,
@@ -23,13 +23,13 @@
     pub(super) seen: Fence,
     pub(super) view: Option<EngineView>,
     /// This gateway's requests in flight.
-    pub(super) own: u32,
+    pub(super) own_in_flight: u32,
     /// This gateway's requests in flight when the view arrived.
-    pub(super) own_at_view: u32,
-    pub(super) breaker: Breaker,
-    pub(super) held: BTreeMap<(AdapterVersion, Fence), Held>,
+    pub(super) own_in_flight_at_view: u32,
+    pub(super) breaker: CircuitBreaker,
+    pub(super) held: BTreeMap<(AdapterVersion, Fence), HeldGrant>,
     /// No acquire requests before this time, since its owner is changing.
-    pub(super) ask_again: Millis,
+    pub(super) next_ask_at: Millis,
 }
 
 impl Engine {
@@ -38,11 +38,11 @@
             spec,
             seen: Fence::default(),
             view: None,
-            own: 0,
-            own_at_view: 0,
-            breaker: Breaker::default(),
+            own_in_flight: 0,
+            own_in_flight_at_view: 0,
+            breaker: CircuitBreaker::default(),
             held: BTreeMap::new(),
-            ask_again: Millis::ZERO,
+            next_ask_at: Millis::ZERO,
         }
     }
 
@@ -61,13 +61,13 @@
             .view
             .as_ref()
             .map_or(0, |view| view.running + view.waiting);
-        (reported + self.own)
-            .saturating_sub(self.own_at_view)
-            .max(self.own)
+        (reported + self.own_in_flight)
+            .saturating_sub(self.own_in_flight_at_view)
+            .max(self.own_in_flight)
     }
 
     /// The load as a multiple of the batch size.
-    pub(super) fn fill(&self) -> f64 {
+    pub(super) fn utilisation(&self) -> f64 {
         let batch = match self.spec.kind {
             SpecKind::Engine { max_batch, .. } => max_batch.max(1),
             SpecKind::Server { .. } => 1,
@@ -80,7 +80,7 @@
         &self,
         settings: &RouterSettings,
     ) -> f64 {
-        let far = self.spec.data_centre != settings.data_centre;
-        self.fill() + if far { settings.far_cost } else { 0.0 }
+        let is_remote = self.spec.data_centre != settings.data_centre;
+        self.utilisation() + if is_remote { settings.remote_cost } else { 0.0 }
     }
 }
--- a/crates/core/src/routing/grants.rs
+++ b/crates/core/src/routing/grants.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         Router, RouterAction,
-        adapter_entry::{Avoid, Reason},
-        engine::Held,
+        adapter_entry::{AvoidReason, AvoidedEngine},
+        engine::HeldGrant,
     },
     crate::{
         clock::Millis,
@@ -13,7 +13,7 @@
 };
 
 /// Delay before an engine whose owner is changing is asked again.
-const OWNER_CHANGE: Millis = Millis(200);
+const OWNER_CHANGE_DELAY: Millis = Millis(200);
 
 impl Router {
     /// Handles the reply to an acquire request; waiting requests must be routed again.
@@ -41,7 +41,7 @@
         match outcome {
             AcquireOutcome::Granted { instance, owner } if owner >= engine.seen => {
                 engine.seen = owner;
-                let held = Held {
+                let held = HeldGrant {
                     in_flight: 0,
                     used: now,
                     recalled: false,
@@ -51,17 +51,17 @@
             }
             // A grant from a former owner is not valid any more.
             AcquireOutcome::Granted { .. } | AcquireOutcome::Loading => {}
-            AcquireOutcome::Full(after) => entry.avoid.push(Avoid {
+            AcquireOutcome::Full(after) => entry.avoid.push(AvoidedEngine {
                 upstream,
                 until: now + after,
-                reason: Reason::Full,
+                reason: AvoidReason::Full,
             }),
-            AcquireOutcome::LoadFailed(after) => entry.avoid.push(Avoid {
+            AcquireOutcome::LoadFailed(after) => entry.avoid.push(AvoidedEngine {
                 upstream,
                 until: now + after,
-                reason: Reason::LoadFailed,
+                reason: AvoidReason::LoadFailed,
             }),
-            AcquireOutcome::NotOwner => engine.ask_again = now + OWNER_CHANGE,
+            AcquireOutcome::NotOwner => engine.next_ask_at = now + OWNER_CHANGE_DELAY,
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Releases all grants on an engine that has restarted.
-    pub(super) fn drop_all(
+    pub(super) fn release_all(
         &mut self,
         upstream: UpstreamId,
         _now: Millis,
@@ -144,7 +144,7 @@
         let active: Vec<AdapterVersion> = self.active.iter().copied().collect();
         for adapter in active {
             self.release_idle(adapter, now, &mut out);
-            self.spread(adapter, now, &mut out);
+            self.request_extra_copy(adapter, now, &mut out);
             let entry = self.adapters.get(&adapter);
             if entry.is_none_or(|entry| entry.held.is_empty() && entry.pending.is_empty()) {
                 self.active.remove(&adapter);
@@ -165,7 +165,7 @@
         let Some(entry) = self.adapters.get(&adapter) else {
             return;
         };
-        let idle_release = self.settings.idle_release;
+        let idle_grant_timeout = self.settings.idle_grant_timeout;
         let all = (adapter, Fence::default())..=(adapter, Fence(u64::MAX));
         let idle: Vec<Instance> = entry
             .held
@@ -175,7 +175,9 @@
                 engine
                     .held
                     .range(all.clone())
-                    .filter(|(_, held)| held.in_flight == 0 && now.since(held.used) >= idle_release)
+                    .filter(|(_, held)| {
+                        held.in_flight == 0 && now.since(held.used) >= idle_grant_timeout
+                    })
                     .map(|(&(_, fence), _)| Instance {
                         upstream: engine.spec.upstream,
                         adapter,
@@ -189,7 +191,7 @@
     }
 
     /// Requests one more copy if all copies are busy.
-    fn spread(
+    fn request_extra_copy(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
@@ -204,18 +206,19 @@
             .iter()
             .filter_map(|upstream| self.engines.get(upstream))
             .filter(|engine| engine.is_usable(now))
-            .map(super::engine::Engine::fill)
+            .map(super::engine::Engine::utilisation)
             .min_by(f64::total_cmp);
-        let is_busy = least.is_some_and(|fill| fill >= self.settings.spread_fill);
+        let is_busy =
+            least.is_some_and(|utilisation| utilisation >= self.settings.extra_copy_utilisation);
         if !is_busy || !entry.pending.is_empty() {
             return;
         }
-        let Some(upstream) = self.where_to_acquire(adapter, now) else {
+        let Some(upstream) = self.engine_to_acquire_on(adapter, now) else {
             return;
         };
-        let is_better = self.engines[&upstream].fill() < self.settings.spread_fill;
-        if is_better {
-            let ask = self.ask_for(adapter, upstream, now);
+        let has_room = self.engines[&upstream].utilisation() < self.settings.extra_copy_utilisation;
+        if has_room {
+            let ask = self.start_acquire(adapter, upstream, now);
             out.push(RouterAction::Acquire {
                 upstream,
                 adapter,
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -5,8 +5,8 @@
 //! engine's owner if it has none, and releases grants that an owner recalls.
 
 mod adapter_entry;
-mod breaker;
 mod choose;
+mod circuit_breaker;
 mod engine;
 mod engine_view;
 mod grants;
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         EngineView, Finish, RouterAction, RouterSettings, SpecKind, UpstreamSpec,
-        adapter_entry::{AdapterEntry, Avoid, Reason},
+        adapter_entry::{AdapterEntry, AvoidReason, AvoidedEngine},
         engine::Engine,
     },
     crate::{
@@ -25,7 +25,7 @@
     /// Adapters for which this gateway holds a grant or has a pending acquire request.
     pub(super) active: BTreeSet<AdapterVersion>,
     /// Incremented with each change of the list of upstreams.
-    pub(super) list: u64,
+    pub(super) upstreams_version: u64,
     /// Id of the last acquire request.
     pub(super) ask: u64,
     /// The upstream to avoid because the request being routed has just failed there.
@@ -43,7 +43,7 @@
             by_service: BTreeMap::new(),
             adapters: HashMap::new(),
             active: BTreeSet::new(),
-            list: 0,
+            upstreams_version: 0,
             ask: 0,
             avoid: None,
         }
@@ -58,7 +58,7 @@
         self.by_model.clear();
         self.slots.clear();
         self.by_service.clear();
-        self.list += 1;
+        self.upstreams_version += 1;
         for &spec in specs {
             let mut engine = before
                 .remove(&spec.upstream)
@@ -84,7 +84,7 @@
         // A removed upstream is kept as long as it has requests of this gateway.
         for (upstream, mut engine) in before {
             engine.spec.leaving = true;
-            if engine.own > 0 {
+            if engine.own_in_flight > 0 {
                 self.engines.insert(upstream, engine);
             } else {
                 self.forget_engine(upstream);
@@ -104,7 +104,7 @@
     }
 
     /// Records a fencing token of an engine's owner.
-    pub fn see_fence(
+    pub fn observe_fence(
         &mut self,
         upstream: UpstreamId,
         fence: Fence,
@@ -129,7 +129,7 @@
             return out;
         }
         engine.seen = view.owner_fence;
-        engine.own_at_view = engine.own;
+        engine.own_in_flight_at_view = engine.own_in_flight;
         let last = engine.view.take();
         let restarted = last.as_ref().is_some_and(|last| last.boot != view.boot);
         let had = last.map(|last| last.resident).unwrap_or_default();
@@ -155,7 +155,7 @@
         }
         engine.view = Some(view);
         if restarted {
-            self.drop_all(upstream, now, &mut out);
+            self.release_all(upstream, now, &mut out);
         }
         out
     }
@@ -166,7 +166,7 @@
         upstream: UpstreamId,
     ) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.own_at_view = engine.own;
+            engine.own_in_flight_at_view = engine.own_in_flight;
         }
     }
 
@@ -191,10 +191,10 @@
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return out;
         };
-        engine.own = engine.own.saturating_sub(1);
+        engine.own_in_flight = engine.own_in_flight.saturating_sub(1);
         match finish {
-            Finish::Done | Finish::NotLoaded => engine.breaker.succeeded(),
-            Finish::Failed => engine.breaker.failed(&self.settings, now),
+            Finish::Done | Finish::NotLoaded => engine.breaker.record_success(),
+            Finish::Failed => engine.breaker.record_failure(&self.settings, now),
         }
         let Some(instance) = instance else {
             return out;
@@ -202,10 +202,10 @@
         let entry = self.adapters.get_mut(&instance.adapter);
         if let Some(entry) = entry.filter(|_| finish == Finish::NotLoaded) {
             // The owner does not know yet that the instance is gone and would grant it again.
-            entry.avoid.push(Avoid {
+            entry.avoid.push(AvoidedEngine {
                 upstream,
-                until: now + self.settings.not_loaded_pause,
-                reason: Reason::NotLoaded,
+                until: now + self.settings.not_loaded_delay,
+                reason: AvoidReason::NotLoaded,
             });
         }
         let key = (instance.adapter, instance.fence);
@@ -254,6 +254,8 @@
         &self,
         upstream: UpstreamId,
     ) -> u32 {
-        self.engines.get(&upstream).map_or(0, |engine| engine.own)
+        self.engines
+            .get(&upstream)
+            .map_or(0, |engine| engine.own_in_flight)
     }
 }
--- a/crates/core/src/routing/settings.rs
+++ b/crates/core/src/routing/settings.rs
@@ -6,27 +6,27 @@
     /// The gateway's own data centre.
     pub data_centre: DataCentreId,
     /// Maximum load of an engine, in batches; more requests wait in the gateway's fair queue.
-    pub max_fill: f64,
+    pub max_utilisation: f64,
     /// Load of all copies, in batches, from which one more copy is requested.
-    pub spread_fill: f64,
+    pub extra_copy_utilisation: f64,
     /// Cost added for an upstream in another data centre, in batches.
-    pub far_cost: f64,
+    pub remote_cost: f64,
     /// Maximum cost difference between upstreams that count as equal, in batches.
-    pub tie: f64,
+    pub cost_tolerance: f64,
     /// A grant is released after it has been unused for this long.
-    pub idle_release: Millis,
+    pub idle_grant_timeout: Millis,
     /// An acquire request without a reply expires after this time.
-    pub ask_timeout: Millis,
+    pub acquire_timeout: Millis,
     /// Maximum delay until a waiting request is routed again.
-    pub recheck: Millis,
+    pub max_recheck_delay: Millis,
     /// How long an engine that reported an adapter as not loaded is not asked for it.
-    pub not_loaded_pause: Millis,
+    pub not_loaded_delay: Millis,
     /// Consecutive failures that open the circuit breaker of an upstream.
-    pub trip_after: u32,
+    pub breaker_threshold: u32,
     /// How long the breaker stays open the first time; doubles each time.
-    pub first_pause: Millis,
+    pub min_breaker_delay: Millis,
     /// Maximum time that the breaker stays open.
-    pub max_pause: Millis,
+    pub max_breaker_delay: Millis,
 }
 
 impl RouterSettings {
@@ -34,17 +34,17 @@
     pub fn new(data_centre: DataCentreId) -> Self {
         Self {
             data_centre,
-            max_fill: 1.25,
-            spread_fill: 0.9,
-            far_cost: 0.05,
-            tie: 0.1,
-            idle_release: Millis::from_secs(2),
-            ask_timeout: Millis::from_secs(10),
-            recheck: Millis(250),
-            not_loaded_pause: Millis(500),
-            trip_after: 3,
-            first_pause: Millis::from_secs(1),
-            max_pause: Millis::from_secs(30),
+            max_utilisation: 1.25,
+            extra_copy_utilisation: 0.9,
+            remote_cost: 0.05,
+            cost_tolerance: 0.1,
+            idle_grant_timeout: Millis::from_secs(2),
+            acquire_timeout: Millis::from_secs(10),
+            max_recheck_delay: Millis(250),
+            not_loaded_delay: Millis(500),
+            breaker_threshold: 3,
+            min_breaker_delay: Millis::from_secs(1),
+            max_breaker_delay: Millis::from_secs(30),
         }
     }
 }
--- a/crates/core/tests/owner_orders.rs
+++ b/crates/core/tests/owner_orders.rs
@@ -38,21 +38,21 @@
 const CALM_ROUNDS: usize = 900;
 
 /// Short times, so that an order of a few hundred steps holds many loads and unloads.
-fn hasty(orders_past_lease: bool) -> (OwnerSettings, RouterSettings) {
+fn hasty(can_order_past_lease: bool) -> (OwnerSettings, RouterSettings) {
     let owner = OwnerSettings {
-        orders_past_lease,
-        silent_after: Millis(1500),
-        recall_patience: Millis(300),
-        gather_patience: Millis(200),
+        can_order_past_lease,
+        gateway_silence_timeout: Millis(1500),
+        recall_timeout: Millis(300),
+        report_timeout: Millis(200),
         min_residence: Millis(50),
-        first_backoff: Millis(100),
+        initial_backoff: Millis(100),
         max_backoff: Millis(2000),
         ..OwnerSettings::default()
     };
     let routing = RouterSettings {
-        idle_release: Millis(300),
-        ask_timeout: Millis(2000),
-        not_loaded_pause: Millis(100),
+        idle_grant_timeout: Millis(300),
+        acquire_timeout: Millis(2000),
+        not_loaded_delay: Millis(100),
         ..RouterSettings::new(DataCentreId(0))
     };
     (owner, routing)
--- a/crates/core/tests/world/gateways.rs
+++ b/crates/core/tests/world/gateways.rs
@@ -153,7 +153,7 @@
         }
         for (&upstream, &(c, fence)) in &self.owners {
             self.gateways[g].owners.insert(upstream, c);
-            self.gateways[g].router.see_fence(upstream, fence);
+            self.gateways[g].router.observe_fence(upstream, fence);
         }
         let poll = Poll {
             from: self.holder(g),
