--- a/crates/core/tests/forward/mod.rs
+++ b/crates/core/tests/forward/mod.rs
@@ -1,4 +1,4 @@
-//! A small world around one forwarded request: engines, connections, a caller.
+//! Simulation of the engines, connections and caller of one forwarded request.
 
 mod world;
 
--- a/crates/core/tests/forward/world.rs
+++ b/crates/core/tests/forward/world.rs
@@ -11,70 +11,70 @@
     },
 };
 
-/// Tokens of a whole answer.
+/// Number of tokens of a complete response.
 const TOKENS: u64 = 6;
 const DEADLINE: Millis = Millis(60_000);
-/// Of 256: how often something happens that would otherwise end most orders early.
-const NOW_AND_THEN: u8 = 64;
-/// The same, rarer.
-const SELDOM: u8 = 16;
+/// Probability, out of 256, of events that would otherwise end most sequences early.
+const OCCASIONAL: u8 = 64;
+/// Lower probability, out of 256, of events that end a sequence.
+const RARE: u8 = 16;
 
-/// Something that happens.
+/// A generated event; the argument of rare events decides whether they happen.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 pub enum Op {
-    /// The brain answers the open question for a route, seldom with a refusal.
+    /// The router replies to the pending route request, rarely with a refusal.
     Route(u8),
-    /// The newest connection gets on: head, parts, end.
+    /// The newest connection delivers its next item: head, part or end.
     Advance,
     /// The same, four times.
     AdvanceMuch,
-    /// An older connection gets on.
+    /// Any connection delivers its next item.
     AdvanceOld(u8),
     /// The same, four times.
     AdvanceOldMuch(u8),
-    /// The upstream ends its answer too early, seldom.
+    /// The upstream ends its response too early, rarely.
     EndEarly(u8),
-    /// A part that was told before is told again.
+    /// A connection repeats parts that it has delivered.
     Repeat(u8),
-    /// A connection breaks, now and then.
+    /// A connection breaks, occasionally.
     Lose(u8),
-    /// The newest connection never came about, now and then.
+    /// The newest connection can't be established, occasionally.
     Unreachable(u8),
-    /// The newest connection's answer is not the one that was asked for, now and then.
+    /// The newest connection delivers the head of a failure, occasionally.
     WrongHead(u8),
-    /// The engines restart, seldom: their streams are gone.
+    /// The engines restart and lose their streams, rarely.
     Restart(u8),
-    /// Time passes: an instant, a gap, or more.
+    /// Time advances by 0 to 1200 ms.
     Wait(u8),
-    /// The caller stops or begins to read.
+    /// The caller stops or resumes reading.
     Read { slow: bool },
-    /// The caller goes, seldom.
+    /// The caller disconnects, rarely.
     Gone(u8),
-    /// The key is withdrawn, seldom.
+    /// The API key is withdrawn, rarely.
     Withdraw(u8),
-    /// The daemon stops, seldom.
+    /// The daemon shuts down, rarely.
     Stop(u8),
 }
 
-/// One run of the request at an engine; each makes other tokens.
+/// One run of the request at an engine; each run generates different tokens.
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    alive: bool,
+    is_alive: bool,
 }
 
-/// One connection, as the machine opened it.
+/// A connection opened by the machine.
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     attempt: Attempt,
     run: Option<usize>,
-    resumes: bool,
-    headed: bool,
+    is_resumption: bool,
+    has_head: bool,
     next: u64,
-    dead: bool,
+    is_closed: bool,
 }
 
-/// What the caller has.
+/// What the caller has received.
 #[derive(Clone, Debug, PartialEq)]
 enum Caller {
     Waiting,
@@ -84,16 +84,16 @@
     Gone,
 }
 
-/// The world and its observer.
+/// Simulates one request and checks the actions of its machine.
 pub struct World {
     machine: ForwardMachine,
     plan: ForwardPlan,
     now: Millis,
-    asked: Option<Attempt>,
+    pending_route: Option<Attempt>,
     runs: Vec<Run>,
     connections: Vec<Connection>,
-    /// The run and token of each part that was passed on.
-    passed_on: Vec<(usize, u64)>,
+    /// The run and token of each delivered part.
+    delivered_tokens: Vec<(usize, u64)>,
     openings: u32,
     caller: Caller,
 }
@@ -119,10 +119,10 @@
             machine,
             plan,
             now: Millis(1),
-            asked: Some(attempt),
+            pending_route: Some(attempt),
             runs: Vec::new(),
             connections: Vec::new(),
-            passed_on: Vec::new(),
+            delivered_tokens: Vec::new(),
             openings: 0,
             caller: Caller::Waiting,
         }
@@ -135,49 +135,55 @@
         let newest = self.connections.len().wrapping_sub(1);
         let pick = |n: u8| (n as usize).checked_rem(self.connections.len());
         match op {
-            Op::Route(n) => self.route(n < SELDOM),
+            Op::Route(n) => self.route(n < RARE),
             Op::Advance => self.advance(newest),
             Op::AdvanceMuch => (0..4).for_each(|_| self.advance(newest)),
-            Op::AdvanceOld(n) => drop(pick(n).map(|place| self.advance(place))),
+            Op::AdvanceOld(n) => drop(pick(n).map(|index| self.advance(index))),
             Op::AdvanceOldMuch(n) => {
-                let places = pick(n).into_iter().flat_map(|place| [place; 4]);
-                places.for_each(|place| self.advance(place));
+                let indices = pick(n).into_iter().flat_map(|index| [index; 4]);
+                indices.for_each(|index| self.advance(index));
             }
-            Op::EndEarly(n) if n < SELDOM => self.end_early(newest),
-            Op::Repeat(n) => drop(pick(n).map(|place| self.repeat(place))),
-            Op::Lose(n) if n < NOW_AND_THEN => drop(pick(n).map(|place| self.lose(place))),
-            Op::Unreachable(n) if n < NOW_AND_THEN => self.unreachable(newest),
-            Op::WrongHead(n) if n < NOW_AND_THEN => self.wrong_head(newest, n),
-            Op::Restart(n) if n < SELDOM => self.runs.iter_mut().for_each(|run| run.alive = false),
+            Op::EndEarly(n) if n < RARE => self.end_early(newest),
+            Op::Repeat(n) => drop(pick(n).map(|index| self.repeat(index))),
+            Op::Lose(n) if n < OCCASIONAL => drop(pick(n).map(|index| self.lose(index))),
+            Op::Unreachable(n) if n < OCCASIONAL => self.unreachable(newest),
+            Op::WrongHead(n) if n < OCCASIONAL => self.wrong_head(newest, n),
+            Op::Restart(n) if n < RARE => self.runs.iter_mut().for_each(|run| run.is_alive = false),
             Op::Wait(n) => self.wait(Millis(u64::from(n % 4) * 400)),
-            Op::Read { slow: true } => self.tell(Event::CallerSlow, None),
-            Op::Read { slow: false } => self.tell(Event::CallerReady, None),
-            Op::Gone(n) if n < SELDOM / 2 => {
-                self.tell(Event::CallerGone, None);
+            Op::Read { slow: true } => self.handle_event(Event::CallerSlow, None),
+            Op::Read { slow: false } => self.handle_event(Event::CallerReady, None),
+            Op::Gone(n) if n < RARE / 2 => {
+                self.handle_event(Event::CallerGone, None);
                 if self.caller == Caller::Waiting {
                     self.caller = Caller::Gone;
                 }
             }
-            Op::Withdraw(n) if n < SELDOM / 2 => {
-                self.tell(Event::KeyWithdrawn, None);
-                assert!(self.machine.is_done(), "work goes on with a withdrawn key");
+            Op::Withdraw(n) if n < RARE / 2 => {
+                self.handle_event(Event::KeyWithdrawn, None);
+                assert!(
+                    self.machine.is_done(),
+                    "the request continues with a withdrawn key"
+                );
             }
-            Op::Stop(n) if n < SELDOM / 4 => {
-                self.tell(Event::Stopping, None);
-                assert!(self.machine.is_done(), "work goes on after the end");
+            Op::Stop(n) if n < RARE / 4 => {
+                self.handle_event(Event::Stopping, None);
+                assert!(
+                    self.machine.is_done(),
+                    "the request continues after a shutdown"
+                );
             }
             _ => {}
         }
     }
 
-    /// Lets time pass until nobody waits any more.
+    /// Advances the time to the deadline and checks that the request has ended.
     pub fn run_to_deadline(&mut self) {
         self.wait(DEADLINE);
         assert!(self.machine.is_done(), "{:?}", self.machine);
-        assert_ne!(self.caller, Caller::Waiting, "nobody has told the caller");
+        assert_ne!(self.caller, Caller::Waiting, "the caller got no outcome");
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.caller == Caller::Whole
     }
 
@@ -185,41 +191,41 @@
         &mut self,
         refused: bool,
     ) {
-        let Some(attempt) = self.asked.take() else {
+        let Some(attempt) = self.pending_route.take() else {
             return;
         };
         if refused {
             let refusal = Refusal::new(ErrorKind::NoUpstream);
-            self.tell(Event::RouteRefused { attempt, refusal }, None);
+            self.handle_event(Event::RouteRefused { attempt, refusal }, None);
         } else {
             let upstream = UpstreamId(attempt.0);
-            self.tell(Event::Routed { attempt, upstream }, None);
+            self.handle_event(Event::Routed { attempt, upstream }, None);
         }
     }
 
-    /// Lets a connection tell the next thing it has to tell.
+    /// Delivers the next item of a connection: its head, a part or the end.
     fn advance(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
-        let Some(connection) = self.connections.get_mut(place).filter(|c| !c.dead) else {
+        let Some(connection) = self.connections.get_mut(index).filter(|c| !c.is_closed) else {
             return;
         };
         let attempt = connection.attempt;
-        let alive = connection.run.is_some_and(|run| self.runs[run].alive);
-        if !connection.headed {
-            connection.headed = true;
-            // Bytes have arrived, so the request has been run.
+        let is_alive = connection.run.is_some_and(|run| self.runs[run].is_alive);
+        if !connection.has_head {
+            connection.has_head = true;
+            // The upstream has responded, so the request has run.
             if connection.run.is_none() {
-                self.runs.push(Run { alive: true });
+                self.runs.push(Run { is_alive: true });
                 connection.run = Some(self.runs.len() - 1);
             }
-            let head = match (connection.resumes, alive) {
+            let head = match (connection.is_resumption, is_alive) {
                 (true, false) => Head::StreamGone,
                 _ => Head::Accepted { resumable: true },
             };
-            connection.dead = head == Head::StreamGone;
-            self.tell(Event::Head { attempt, head }, Some(place));
+            connection.is_closed = head == Head::StreamGone;
+            self.handle_event(Event::Head { attempt, head }, Some(index));
             return;
         }
         let next = connection.next;
@@ -231,91 +237,94 @@
             n if n == TOKENS + 2 => (TOKENS, PartKind::Usage),
             _ => {
                 let made = Some(TOKENS);
-                self.tell(Event::End { attempt, made }, Some(place));
+                self.handle_event(Event::End { attempt, made }, Some(index));
                 return;
             }
         };
-        if alive {
+        if is_alive {
             let part = Part { offset, kind };
-            self.tell(Event::Part { attempt, part }, Some(place));
+            self.handle_event(Event::Part { attempt, part }, Some(index));
         } else {
-            self.lose(place);
+            self.lose(index);
         }
     }
 
     fn end_early(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
-        let connection = self.connections.get(place).filter(|c| c.headed && !c.dead);
+        let connection = self
+            .connections
+            .get(index)
+            .filter(|c| c.has_head && !c.is_closed);
         if let Some(attempt) = connection.map(|connection| connection.attempt) {
             let made = Some(TOKENS);
-            self.tell(Event::End { attempt, made }, Some(place));
+            self.handle_event(Event::End { attempt, made }, Some(index));
         }
     }
 
     fn repeat(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
-        let connection = &mut self.connections[place];
+        let connection = &mut self.connections[index];
         connection.next = connection.next.saturating_sub(2);
     }
 
     fn lose(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
-        let connection = &mut self.connections[place];
-        if connection.dead {
+        let connection = &mut self.connections[index];
+        if connection.is_closed {
             return;
         }
         let attempt = connection.attempt;
-        connection.dead = true;
-        // Whether it ran before it was lost is the engine's secret; the worst is that it did.
+        connection.is_closed = true;
+        // Assumes the worst case: the request ran before the connection was lost.
         if connection.run.is_none() {
-            self.runs.push(Run { alive: true });
+            self.runs.push(Run { is_alive: true });
         }
-        self.tell(Event::Lost { attempt }, Some(place));
+        self.handle_event(Event::Lost { attempt }, Some(index));
     }
 
     fn unreachable(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
-        let Some(connection) = self.connections.get_mut(place) else {
+        let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
         let attempt = connection.attempt;
-        let nothing_left = !connection.headed && !connection.dead;
-        if nothing_left && (connection.run.is_none() || connection.resumes) {
-            connection.dead = true;
-            self.tell(Event::Unreachable { attempt }, Some(place));
+        let nothing_left = !connection.has_head && !connection.is_closed;
+        if nothing_left && (connection.run.is_none() || connection.is_resumption) {
+            connection.is_closed = true;
+            self.handle_event(Event::Unreachable { attempt }, Some(index));
         }
     }
 
     fn wrong_head(
         &mut self,
-        place: usize,
+        index: usize,
         n: u8,
     ) {
-        let Some(connection) = self.connections.get_mut(place) else {
+        let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
-        if connection.headed || connection.dead {
+        if connection.has_head || connection.is_closed {
             return;
         }
         let attempt = connection.attempt;
         let heads = [Head::NotLoaded, Head::Busy, Head::Failed, Head::Crossed];
         let head = heads[n as usize % heads.len()];
-        connection.dead = true;
+        connection.is_closed = true;
         if matches!(head, Head::Failed | Head::Crossed) && connection.run.is_none() {
-            self.runs.push(Run { alive: true });
+            self.runs.push(Run { is_alive: true });
         }
-        self.tell(Event::Head { attempt, head }, Some(place));
+        self.handle_event(Event::Head { attempt, head }, Some(index));
     }
 
-    /// Time passes; the timer fires when the machine asked for it.
+    /// Advances the time and fires the machine's timer when it is due.
     fn wait(
         &mut self,
         time: Millis,
@@ -324,14 +333,14 @@
         let mut wakes = 0;
         while let Some(wake) = self.machine.wake_at().filter(|&wake| wake <= until) {
             wakes += 1;
-            assert!(wakes < 1_000, "the timer changes nothing");
+            assert!(wakes < 1_000, "the timer fires again without progress");
             self.now = self.now.max(wake);
-            self.tell(Event::Timer, None);
+            self.handle_event(Event::Timer, None);
         }
         self.now = until;
     }
 
-    fn tell(
+    fn handle_event(
         &mut self,
         event: Event,
         from: Option<usize>,
@@ -340,42 +349,46 @@
         let actions = self.machine.handle(event, self.now);
         assert!(!was_done || actions.is_empty(), "{actions:?} after the end");
         for action in actions {
-            self.observe(action, from);
+            self.check_action(action, from);
         }
     }
 
-    fn observe(
+    fn check_action(
         &mut self,
         action: Action,
         from: Option<usize>,
     ) {
         match action {
-            Action::Route { attempt, .. } => self.asked = Some(attempt),
-            Action::Send { attempt, fresh } => self.sent(attempt, fresh),
+            Action::Route { attempt, .. } => self.pending_route = Some(attempt),
+            Action::Send { attempt, fresh } => self.check_send(attempt, fresh),
             Action::Resume { attempt, offset } => {
                 let run = self.connections.last().and_then(|last| last.run);
-                assert!(run.is_some(), "resumes what never began");
+                assert!(run.is_some(), "resumes a stream that never began");
                 self.connections.push(Connection {
                     attempt,
                     run,
-                    resumes: true,
-                    headed: false,
+                    is_resumption: true,
+                    has_head: false,
                     next: offset + 1,
-                    dead: false,
+                    is_closed: false,
                 });
             }
             Action::Discard => {
-                assert_eq!(self.plan.delivery, Delivery::Whole, "unsaid what was said");
-                self.passed_on.clear();
+                assert_eq!(
+                    self.plan.delivery,
+                    Delivery::Whole,
+                    "discards parts that were delivered"
+                );
+                self.delivered_tokens.clear();
                 self.openings = 0;
             }
-            Action::Deliver(part) => self.delivered(part, from),
+            Action::Deliver(part) => self.check_part(part, from),
             Action::Finish => {
-                let run = self.passed_on.first().map(|&(run, _)| run);
+                let run = self.delivered_tokens.first().map(|&(run, _)| run);
                 let whole: Vec<_> = (1..=TOKENS).map(|n| (run.unwrap_or(0), n)).collect();
                 assert_eq!(
-                    self.passed_on, whole,
-                    "a cut or mixed answer passed for whole"
+                    self.delivered_tokens, whole,
+                    "an incomplete or mixed response ended as complete"
                 );
                 self.end(Caller::Whole);
             }
@@ -385,8 +398,8 @@
                     assert!(self.runs.is_empty(), "{refusal:?} after {:?}", self.runs);
                 }
                 let begun = self.plan.delivery == Delivery::Streamed
-                    && (!self.passed_on.is_empty() || self.openings > 0);
-                assert!(!begun, "a second answer after a begun one");
+                    && (!self.delivered_tokens.is_empty() || self.openings > 0);
+                assert!(!begun, "a second response after a partial one");
                 self.end(Caller::Refused(refusal));
             }
             Action::Break(kind) => {
@@ -398,7 +411,7 @@
         }
     }
 
-    fn sent(
+    fn check_send(
         &mut self,
         attempt: Attempt,
         fresh: bool,
@@ -406,40 +419,43 @@
         if self.plan.repeat == Repeat::Once {
             assert!(
                 fresh,
-                "a pooled connection for a call that may not be repeated"
+                "a pooled connection for a request that is not idempotent"
             );
             assert!(self.runs.is_empty(), "sent again after it may have run");
-            let open = self.connections.iter().filter(|c| !c.dead).count();
-            assert_eq!(open, 0, "sent twice at the same time");
+            let open = self.connections.iter().filter(|c| !c.is_closed).count();
+            assert_eq!(open, 0, "sent on two connections at the same time");
         }
         self.connections.push(Connection {
             attempt,
             run: None,
-            resumes: false,
-            headed: false,
+            is_resumption: false,
+            has_head: false,
             next: 0,
-            dead: false,
+            is_closed: false,
         });
     }
 
-    fn delivered(
+    fn check_part(
         &mut self,
         part: Part,
         from: Option<usize>,
     ) {
-        let run = from.and_then(|place| self.connections[place].run);
+        let run = from.and_then(|index| self.connections[index].run);
         let run = run.expect("a part comes from a connection with a run");
         match part.kind {
             PartKind::Opening => {
                 self.openings += 1;
-                assert_eq!(self.openings, 1, "opened twice");
+                assert_eq!(self.openings, 1, "two openings in one response");
             }
             PartKind::Tokens => {
-                let expected = self.passed_on.len() as u64 + 1;
-                assert_eq!(part.offset, expected, "a token twice or left out");
-                let first = self.passed_on.first().map_or(run, |&(first, _)| first);
-                assert_eq!(first, run, "tokens of two runs in one answer");
-                self.passed_on.push((run, part.offset));
+                let expected = self.delivered_tokens.len() as u64 + 1;
+                assert_eq!(part.offset, expected, "a token is repeated or missing");
+                let first = self
+                    .delivered_tokens
+                    .first()
+                    .map_or(run, |&(first, _)| first);
+                assert_eq!(first, run, "tokens of two runs in one response");
+                self.delivered_tokens.push((run, part.offset));
             }
             PartKind::Finish | PartKind::Usage => {}
         }
@@ -449,7 +465,7 @@
         &mut self,
         caller: Caller,
     ) {
-        assert_eq!(self.caller, Caller::Waiting, "told twice");
+        assert_eq!(self.caller, Caller::Waiting, "the caller got two outcomes");
         self.caller = caller;
     }
 }
--- a/crates/core/tests/forward_orders.rs
+++ b/crates/core/tests/forward_orders.rs
@@ -1,8 +1,8 @@
-//! Generated orders of events around one forwarded request, with the promises as properties.
+//! Generated sequences of events around one forwarded request, with its guarantees as properties.
 //!
-//! CI runs a fixed set of seeds. A long run: `JASMINE_ORDERS=1000000 cargo test --release -p jasmine-core
-//! --test forward_orders`; `JASMINE_FIRST_ORDER` sets the first seed. A failure names its seed,
-//! which then joins the list of seeds that once showed a fault.
+//! CI runs fixed seeds. For a long run use `JASMINE_ORDERS=1000000 cargo test --release -p jasmine-core
+//! --test forward_orders`; `JASMINE_FIRST_ORDER` sets the first seed. Add seeds that fail to the list
+//! below.
 
 mod forward;
 
@@ -15,12 +15,12 @@
     std::panic::{AssertUnwindSafe, catch_unwind},
 };
 
-/// Orders that CI runs, for each kind of request.
+/// Number of sequences that CI runs for each kind of request.
 const ORDERS: u64 = 5_000;
-/// Events in one order.
+/// Number of events in one sequence.
 const EVENTS: usize = 60;
-/// Seeds that once showed a fault.
-const ONCE_FAILED: [u64; 0] = [];
+/// Seeds that once failed.
+const FAILED_SEEDS: [u64; 0] = [];
 
 const KINDS: [(Repeat, Delivery); 3] = [
     (Repeat::Idempotent, Delivery::Streamed),
@@ -34,15 +34,15 @@
     let first = number("JASMINE_FIRST_ORDER").unwrap_or(0);
     let mut failed = Vec::new();
     let mut finished = 0;
-    for seed in ONCE_FAILED.into_iter().chain(first..first + orders) {
+    for seed in FAILED_SEEDS.into_iter().chain(first..first + orders) {
         for kind in KINDS {
-            match catch_unwind(AssertUnwindSafe(|| run_order(seed, kind))) {
-                Ok(whole) => finished += u64::from(whole),
+            match catch_unwind(AssertUnwindSafe(|| run_sequence(seed, kind))) {
+                Ok(is_complete) => finished += u64::from(is_complete),
                 Err(_) => failed.push((seed, kind)),
             }
         }
     }
-    println!("{} orders, {finished} whole answers", orders * 3);
+    println!("{} sequences, {finished} complete responses", orders * 3);
     assert!(
         failed.is_empty(),
         "{} failed: {:?}",
@@ -51,8 +51,8 @@
     );
 }
 
-/// Runs one order; whether the caller got a whole answer.
-fn run_order(
+/// Runs one sequence; returns whether the caller got a complete response.
+fn run_sequence(
     seed: u64,
     (repeat, delivery): (Repeat, Delivery),
 ) -> bool {
@@ -64,7 +64,7 @@
         world.apply(op);
     }
     world.run_to_deadline();
-    world.is_whole()
+    world.is_complete()
 }
 
 fn number(variable: &str) -> Option<u64> {
--- a/crates/core/tests/forward_request.rs
+++ b/crates/core/tests/forward_request.rs
@@ -1,4 +1,4 @@
-//! Scenarios of one forwarded request, told by scripts.
+//! Scripted scenarios of one forwarded request: `scripts/forward`.
 
 use {
     goldenscript::{Command, Context, Runner, run},
@@ -47,26 +47,26 @@
         format!("{action:?}\n")
     }
 
-    fn tell(
+    fn handle_event(
         &mut self,
         event: ForwardEvent,
     ) -> Result<String, Box<dyn Error>> {
-        let machine = self.machine.as_mut().ok_or("no request has begun")?;
-        Ok(shown(&machine.handle(event, self.now)))
+        let machine = self.machine.as_mut().ok_or("no request has been started")?;
+        Ok(format_actions(&machine.handle(event, self.now)))
     }
 
-    /// Lets time pass, waking the machine when it asked for it.
+    /// Advances the time and fires the machine's timer when it is due.
     fn pass(
         &mut self,
         time: Millis,
     ) -> Result<String, Box<dyn Error>> {
         let until = self.now + time;
-        let machine = self.machine.as_mut().ok_or("no request has begun")?;
+        let machine = self.machine.as_mut().ok_or("no request has been started")?;
         let mut out = String::new();
         while let Some(wake) = machine.wake_at().filter(|&wake| wake <= until) {
             self.now = self.now.max(wake);
             let actions = machine.handle(ForwardEvent::Timer, self.now);
-            write!(out, "at {}: {}", self.now, shown(&actions))?;
+            write!(out, "at {}: {}", self.now, format_actions(&actions))?;
         }
         self.now = until;
         Ok(out)
@@ -86,8 +86,8 @@
         let event = match command.name.as_str() {
             "begin" => {
                 let (repeat, delivery) = (
-                    args.next_pos().ok_or("repeat")?,
-                    args.next_pos().ok_or("delivery")?,
+                    args.next_pos().ok_or("missing argument: repeat")?,
+                    args.next_pos().ok_or("missing argument: delivery")?,
                 );
                 args.reject_next()?;
                 let repeat = match repeat {
@@ -101,7 +101,7 @@
                 return Ok(self.begin(repeat, delivery));
             }
             "pass" => {
-                let time = args.next_pos().ok_or("time")?.parse()?;
+                let time = args.next_pos().ok_or("missing argument: time")?.parse()?;
                 args.reject_next()?;
                 return self.pass(Millis(time));
             }
@@ -116,13 +116,13 @@
             "unreachable" => ForwardEvent::Unreachable { attempt },
             "head" => ForwardEvent::Head {
                 attempt,
-                head: head(args.next_pos().ok_or("head")?)?,
+                head: head(args.next_pos().ok_or("missing argument: head")?)?,
             },
             "part" => ForwardEvent::Part {
                 attempt,
                 part: Part {
                     offset: number(args.take_key("offset"))?.unwrap_or(0),
-                    kind: kind(args.next_pos().ok_or("kind")?)?,
+                    kind: kind(args.next_pos().ok_or("missing argument: kind")?)?,
                 },
             },
             "end" => ForwardEvent::End {
@@ -134,10 +134,10 @@
             "caller-ready" => ForwardEvent::CallerReady,
             "caller-gone" => ForwardEvent::CallerGone,
             "withdrawn" => ForwardEvent::KeyWithdrawn,
-            name => return Err(format!("unknown command {name}").into()),
+            name => return Err(format!("unknown command: {name}").into()),
         };
         args.reject_next()?;
-        self.tell(event)
+        self.handle_event(event)
     }
 }
 
@@ -148,11 +148,11 @@
     Ok(value.map(str::parse).transpose()?)
 }
 
-fn shown(actions: &[ForwardAction]) -> String {
+fn format_actions(actions: &[ForwardAction]) -> String {
     match actions {
         [] => "nothing\n".to_owned(),
         actions => actions.iter().fold(String::new(), |mut out, action| {
-            writeln!(out, "{action:?}").expect("a string takes all");
+            writeln!(out, "{action:?}").expect("writing to a string can't fail");
             out
         }),
     }
@@ -184,32 +184,30 @@
 
 #[test]
 fn resumed_stream() {
-    // A connection breaks or goes silent in the middle of an answer. The caller would see half of it, or
-    // wait for ever.
+    // A stream whose connection breaks or stalls must be resumed.
     script("resumed_stream");
 }
 
 #[test]
 fn lost_engine() {
-    // The engine restarts and its stream is gone. What has been streamed can't be unsaid, and a second run
-    // would go on with other words.
+    // A response must not be continued with tokens of a second run after its engine has restarted.
     script("lost_engine");
 }
 
 #[test]
 fn late_answers() {
-    // An answer that was given up arrives after all, beside the one that took its place.
+    // A late response of an abandoned attempt must not mix with that of the next attempt.
     script("late_answers");
 }
 
 #[test]
 fn once_only() {
-    // A call that may not be repeated is lost on its way. Sent again it would take effect twice.
+    // A request that is not idempotent must not be sent again after it may have run.
     script("once_only");
 }
 
 #[test]
 fn true_refusals() {
-    // A request is refused after an earlier attempt may have run. "Not run" would make its caller repeat it.
+    // A refusal must not claim "not run" if an earlier attempt may have run.
     script("true_refusals");
 }
--- a/crates/core/tests/ingress_routes.rs
+++ b/crates/core/tests/ingress_routes.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request gets.
+//! Choice of the route and service of a request, and limits on its attempts.
 
 use jasmine_core::{
     clock::Millis,
@@ -52,7 +52,7 @@
     assert_eq!(
         found("/x?/a/b/").as_deref(),
         Some("root"),
-        "the query is no path"
+        "the query is not part of the path"
     );
     assert!(table.find("b.example", "/a/").is_none());
     assert_eq!(table.len(), 3);
@@ -74,13 +74,16 @@
 
 #[test]
 fn what_may_not_be_repeated_runs_once() {
-    // A call that may not be repeated goes on only as long as nothing of it has run for certain.
+    // A request that is not idempotent must not be retried once it may have run.
     let mut once = Attempts::new(Repeat::Once, 1);
     assert!(once.note(AttemptEnd::NotRun));
     assert!(once.note(AttemptEnd::NotRun));
     assert!(!once.note(AttemptEnd::MayHaveRun));
     assert!(once.may_have_run());
-    assert!(!once.note(AttemptEnd::NotRun), "also after it may have run");
+    assert!(
+        !once.note(AttemptEnd::NotRun),
+        "no retry after it may have run"
+    );
 }
 
 #[test]
@@ -94,5 +97,5 @@
     let tries = (0..10)
         .take_while(|_| refused.note(AttemptEnd::NotRun))
         .count();
-    assert_eq!(tries, 3, "then the fault is elsewhere");
+    assert_eq!(tries, 3, "attempts without a run are limited");
 }
--- a/crates/core/tests/owner_orders.rs
+++ b/crates/core/tests/owner_orders.rs
@@ -1,11 +1,10 @@
-//! Generated orders of events against owners, gateways and engines.
+//! Generated sequences of events and faults against owners, gateways and engines.
 //!
-//! Messages are lost, doubled, delayed and reordered; processes freeze, thaw and restart; leases
-//! lapse. In each order: no unload hits an instance with work on it, each request runs on exactly
-//! its adapter and version, and once the disturbances end, nobody waits for ever.
+//! Guards against unloading an instance in use, running a request on another adapter or version, and
+//! requests that never complete after the faults have ended.
 //!
-//! CI runs a fixed set of seeds. A long run: `JASMINE_ORDERS=20000 JASMINE_FIRST_ORDER=10000 cargo
-//! test --release -p jasmine-core --test owner_orders`. A seed that fails joins the list.
+//! CI runs fixed seeds. For a long run use `JASMINE_ORDERS=20000 JASMINE_FIRST_ORDER=10000 cargo
+//! test --release -p jasmine-core --test owner_orders`. Add seeds that fail to the list below.
 
 mod world;
 
@@ -19,7 +18,7 @@
     rand::{RngCore, SeedableRng},
     rand_chacha::ChaCha8Rng,
     std::env,
-    world::{FakeEngine, Message, NOBODY, World, adapter},
+    world::{FakeEngine, Message, NO_SENDER, World, adapter},
 };
 
 const CONTROLLERS: usize = 3;
@@ -27,18 +26,19 @@
 const ENGINES: usize = 2;
 const ADAPTERS: u32 = 6;
 
-/// Orders that CI runs, and the length of each in bytes: three make a step.
+/// Number of sequences that CI runs.
 const SEEDS: u64 = 500;
 
-/// Orders that have shown a fault: a load ordered under a name whose unload was still out.
-const FOUND: [u64; 4] = [3048, 3204, 3810, 5265];
+/// Seeds that once failed: a load was ordered while an unload of the same name was pending.
+const FAILED_SEEDS: [u64; 4] = [3048, 3204, 3810, 5265];
+/// Length of a sequence in bytes; three bytes make a step.
 const LENGTH: usize = 3000;
 
-/// When the disturbances have ended, everybody is served in this many rounds of 100 ms.
-const CALM_ROUNDS: usize = 900;
+/// Rounds of 100 ms within which all requests must complete after the faults have ended.
+const MAX_RECOVERY_ROUNDS: usize = 900;
 
-/// Short times, so that an order of a few hundred steps holds many loads and unloads.
-fn hasty(can_order_past_lease: bool) -> (OwnerSettings, RouterSettings) {
+/// Settings with short timeouts, so that a sequence contains many loads and unloads.
+fn short_timeouts(can_order_past_lease: bool) -> (OwnerSettings, RouterSettings) {
     let owner = OwnerSettings {
         can_order_past_lease,
         gateway_silence_timeout: Millis(1500),
@@ -58,28 +58,29 @@
     (owner, routing)
 }
 
-/// Runs one order of events and tells what was wrong.
-fn run(bytes: &[u8]) -> Vec<String> {
+/// Runs one sequence and returns the faults found.
+fn run_sequence(bytes: &[u8]) -> Vec<String> {
     let fakes = [FakeEngine::new(0, 2, false), FakeEngine::new(1, 1, true)];
-    let (owner, routing) = hasty(bytes.first().is_some_and(|first| first.is_multiple_of(2)));
+    let (owner, routing) =
+        short_timeouts(bytes.first().is_some_and(|first| first.is_multiple_of(2)));
     let mut world = World::new(&fakes, CONTROLLERS, GATEWAYS, owner, routing);
     for upstream in 0..ENGINES {
-        world.own(UpstreamId(upstream as u32), upstream);
+        world.assign_owner(UpstreamId(upstream as u32), upstream);
     }
     for step in bytes.chunks_exact(3) {
-        disturb(
+        apply_step(
             &mut world,
             step[0],
             usize::from(step[1]),
             usize::from(step[2]),
         );
     }
-    calm(&mut world);
+    check_recovery(&mut world);
     world.faults
 }
 
-/// One step; `a` and `b` choose what it hits.
-fn disturb(
+/// Applies one step; `a` and `b` select its target.
+fn apply_step(
     world: &mut World,
     kind: u8,
     a: usize,
@@ -103,20 +104,20 @@
         50 => world.poll(g),
         51 => world.report(upstream),
         52..=53 => lose(world, a * 256 + b),
-        54 => double(world, a * 256 + b),
-        55 => give_up(world, a * 256 + b),
-        56 => rarely(b, || world.controllers[c].frozen = true),
+        54 => duplicate(world, a * 256 + b),
+        55 => time_out_order(world, a * 256 + b),
+        56 => one_in_three(b, || world.controllers[c].frozen = true),
         57 => world.thaw(c),
-        58 => rarely(b, || world.gateways[g].frozen = true),
+        58 => one_in_three(b, || world.gateways[g].frozen = true),
         59 => world.gateways[g].frozen = false,
-        60 => rarely(b, || world.controllers[c].store_lease = world.now),
-        61 => rarely(b, || world.restart_controller(c)),
-        62 => rarely(b, || world.restart_gateway(g)),
-        _ => rarely(b, || world.restart_engine(upstream)),
+        60 => one_in_three(b, || world.controllers[c].store_lease = world.now),
+        61 => one_in_three(b, || world.restart_controller(c)),
+        62 => one_in_three(b, || world.restart_gateway(g)),
+        _ => one_in_three(b, || world.restart_engine(upstream)),
     }
 }
 
-fn rarely<F>(
+fn one_in_three<F>(
     chance: usize,
     action: F,
 ) where
@@ -127,7 +128,7 @@
     }
 }
 
-/// The message that `choice` names among those that can arrive now.
+/// Index of the deliverable message selected by `choice`.
 fn pick(
     world: &World,
     choice: usize,
@@ -138,7 +139,7 @@
     (!due.is_empty()).then(|| due[choice % due.len()])
 }
 
-/// Up to eight messages arrive, in an order of their own.
+/// Delivers up to eight messages in arbitrary order.
 fn deliver(
     world: &mut World,
     a: usize,
@@ -152,7 +153,7 @@
     }
 }
 
-/// Only what crosses the network can be lost; what a process tells itself can't.
+/// Whether a message crosses the network and can therefore be lost.
 fn is_network(message: &Message) -> bool {
     use jasmine_core::ownership::OwnerEvent::{Acquire, Polled, Released, Reported};
     match message {
@@ -175,22 +176,22 @@
     }
 }
 
-/// Orders and requests are sent once over a connection of their own, so they can't be doubled.
-fn double(
+/// Duplicates a message, except orders and requests, which have their own connections.
+fn duplicate(
     world: &mut World,
     choice: usize,
 ) {
-    let doubled = pick(world, choice)
+    let duplicated = pick(world, choice)
         .filter(|&i| is_network(&world.net[i]))
         .filter(|&i| !matches!(world.net[i], Message::Order(..) | Message::Request { .. }));
-    if let Some(i) = doubled {
+    if let Some(i) = duplicated {
         let message = world.net[i].clone();
         world.net.push(message);
     }
 }
 
-/// The sender of an order stops waiting for its answer; the order is still under way.
-fn give_up(
+/// Times out an order at its sender while the order is still in transit.
+fn time_out_order(
     world: &mut World,
     choice: usize,
 ) {
@@ -199,20 +200,20 @@
         let message = world.net[i].clone();
         world.lose(&message);
         if let Message::Order(c, _) = &mut world.net[i] {
-            *c = NOBODY;
+            *c = NO_SENDER;
         }
     }
 }
 
-/// The disturbances end: everybody thaws, and all that waits must come to an end.
-fn calm(world: &mut World) {
+/// Ends all faults and checks that all waiting requests complete.
+fn check_recovery(world: &mut World) {
     for c in 0..CONTROLLERS {
         world.thaw(c);
     }
     for gateway in &mut world.gateways {
         gateway.frozen = false;
     }
-    for _ in 0..CALM_ROUNDS {
+    for _ in 0..MAX_RECOVERY_ROUNDS {
         world.pass(Millis(100));
         world.settle();
         for upstream in 0..ENGINES {
@@ -233,30 +234,31 @@
         .flat_map(|gateway| gateway.waiting.iter())
         .map(|request| request.adapter.to_string())
         .collect();
-    world.faults.push(format!("waits for ever: {stuck:?}"));
+    world
+        .faults
+        .push(format!("requests never completed: {stuck:?}"));
 }
 
-fn generated(seed: u64) -> Vec<u8> {
+fn random_bytes(seed: u64) -> Vec<u8> {
     let mut bytes = vec![0; LENGTH];
     ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
     bytes
 }
 
-/// Any of the faults at any moment, together or twice. A user would see an answer cut in the
-/// middle, an answer of another adapter, or none at all.
+/// Faults at any time must not cut a response, run another adapter or leave a request without one.
 #[test]
 fn fixed_seeds() {
     let seeds = number("JASMINE_ORDERS").unwrap_or(SEEDS);
     let first = number("JASMINE_FIRST_ORDER").unwrap_or(0);
     let faulty: Vec<(u64, Vec<String>)> = (first..first + seeds)
-        .chain(FOUND)
-        .map(|seed| (seed, run(&generated(seed))))
+        .chain(FAILED_SEEDS)
+        .map(|seed| (seed, run_sequence(&random_bytes(seed))))
         .filter(|(_, faults)| !faults.is_empty())
         .collect();
     let shown: Vec<_> = faulty.iter().take(5).collect();
     assert!(
         faulty.is_empty(),
-        "{} of {seeds} orders: {shown:#?}",
+        "{} of {seeds} sequences failed: {shown:#?}",
         faulty.len()
     );
 }
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Scenarios of owners, gateways and engines, told by scripts.
+//! Scripted scenarios of owners, gateways and engines: `scripts/ownership`.
 
 #[expect(dead_code, reason = "only the generated orders lose messages")]
 mod world;
@@ -15,7 +15,7 @@
     world::{FakeEngine, World, adapter},
 };
 
-/// Time passes in steps of this length.
+/// Length of a time step, in milliseconds.
 const STEP: u64 = 100;
 
 struct Script {
@@ -53,7 +53,7 @@
 }
 
 fn version(name: &str) -> Result<AdapterVersion, Box<dyn Error>> {
-    let (number, version) = name.split_once('@').ok_or("adapter@version")?;
+    let (number, version) = name.split_once('@').ok_or("expected adapter@version")?;
     Ok(adapter(number.parse()?, version.parse()?))
 }
 
@@ -180,7 +180,7 @@
             ),
             "own" => {
                 let upstream = UpstreamId(number(first)? as u32);
-                self.world.own(upstream, number(second)?);
+                self.world.assign_owner(upstream, number(second)?);
                 self.pass(STEP);
             }
             "request" => {
@@ -190,7 +190,7 @@
                 }
             }
             "settle" => self.world.settle(),
-            // Controllers decide, and what they decide stays with them.
+            // Delivers messages without sending the actions that controllers decide on.
             "deliver" => {
                 for message in std::mem::take(&mut self.world.net) {
                     self.world.deliver(message);
@@ -216,69 +216,64 @@
             }
             "leave" => self.leave(number(first)? as u32),
             "show" => return Ok(self.show()),
-            other => return Err(format!("no command {other}").into()),
+            other => return Err(format!("unknown command: {other}").into()),
         }
         let lines = std::mem::take(&mut self.world.trace);
         Ok(lines.into_iter().map(|line| line + "\n").collect())
     }
 }
 
-/// A controller is frozen after it has decided to unload an adapter and before the order is sent.
-/// Its lease lapses, another controller takes the engine over, and the thawed process sends the
-/// order. On an engine that does not check fencing a user's answer would be cut in the middle.
+/// A paused owner sends an unload after another controller has taken over an engine that does not
+/// check fencing; the unload must not cut a running request.
 #[test]
 fn late_order() {
     script("late_order_ignored");
 }
 
-/// The same on an engine that checks fencing: it refuses the order, and its adapters are adopted.
+/// An engine that checks fencing must refuse the unload of a former owner.
 #[test]
 fn late_order_checked() {
     script("late_order_checked");
 }
 
-/// An owner dies while gateways work on its instances. A user would notice every adapter being
-/// loaded again at each change of owner, or answers cut by the new owner's clearing up.
+/// A new owner must neither reload nor unload instances that gateways still use.
 #[test]
 fn takeover_by_witnesses() {
     script("takeover_by_witnesses");
 }
 
-/// A gateway stops answering while it holds a grant. A user of another adapter would wait for ever
-/// for the slot, or the silent gateway's user would have the answer cut.
+/// A gateway that stops responding while it holds a grant must neither block another adapter's load
+/// nor lose its running requests.
 #[test]
 fn silent_holder() {
     script("silent_holder");
 }
 
-/// An engine restarts and has lost its adapters. Users would be sent to an instance that is not
-/// there, over and over.
+/// Requests must not keep going to instances that an engine lost in a restart.
 #[test]
 fn cold_restart() {
     script("cold_restart");
 }
 
-/// An adapter's weights can't be loaded. Its users would wait until their deadline, and each
-/// request would cost the weight store another try.
+/// Requests for an adapter that can't be loaded must fail fast without a load attempt each.
 #[test]
 fn failing_load() {
     script("failing_load");
 }
 
-/// The slot of an adapter in use is wanted for another. The answer in the middle would be cut.
+/// Evicting an adapter in use must not cut its running requests.
 #[test]
 fn recall_under_traffic() {
     script("recall_under_traffic");
 }
 
-/// Operators take an engine out. Users would be sent to it and cut when it goes.
+/// A draining engine must finish its requests and get no new ones.
 #[test]
 fn leaving_upstream() {
     script("leaving_upstream");
 }
 
-/// A new version goes live while the old one has work. A user would get an answer of the wrong
-/// version, or a cut one.
+/// A version rollout must neither cut requests of the old version nor serve the wrong version.
 #[test]
 fn version_rollout() {
     script("version_rollout");
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where requests go.
+//! Routing decisions of a gateway.
 
 use jasmine_core::{
     clock::Millis,
@@ -34,23 +34,23 @@
 
 fn router(
     kind: SpecKind,
-    places: &[u16],
+    data_centres: &[u16],
 ) -> Router {
     let mut router = Router::new(RouterSettings::new(DataCentreId(0)));
-    router.set_upstreams(&specs(kind, places, None));
+    router.set_upstreams(&specs(kind, data_centres, None));
     router
 }
 
 fn specs(
     kind: SpecKind,
-    places: &[u16],
+    data_centres: &[u16],
     leaving: Option<u32>,
 ) -> Vec<UpstreamSpec> {
     (0..)
-        .zip(places)
-        .map(|(upstream, &place)| UpstreamSpec {
+        .zip(data_centres)
+        .map(|(upstream, &data_centre)| UpstreamSpec {
             upstream: UpstreamId(upstream),
-            data_centre: DataCentreId(place),
+            data_centre: DataCentreId(data_centre),
             kind,
             leaving: leaving == Some(upstream),
         })
@@ -100,8 +100,7 @@
     router.acquired(upstream, ADAPTER, ask, granted, NOW);
 }
 
-/// Reports lag. Without its own count a gateway would send a whole burst to the engine that the
-/// last report called idle, and its users would wait there while others stand idle.
+/// A burst must not go to a single engine because its last report, which lags, showed it idle.
 #[test]
 fn own_in_flight() {
     let mut router = router(engine(), &[0, 0]);
@@ -118,8 +117,7 @@
     assert_eq!(sent(&mut router, BASE, None, NOW), Some(1));
 }
 
-/// Two engines are equally free. Prompts with one beginning spread over both would each be read
-/// again from the start.
+/// Prompts with the same prefix must go to the same engine if the engines are equally loaded.
 #[test]
 fn prefix_affinity() {
     let mut router = router(engine(), &[0, 0, 0]);
@@ -128,7 +126,7 @@
     assert_eq!(sent(&mut router, BASE, Some(77), NOW), first);
 }
 
-/// An engine refuses connections. It looks idle, and every user's request would go there.
+/// An upstream that refuses connections looks idle and must not attract all requests.
 #[test]
 fn failing_upstream() {
     let mut router = router(SERVICE_KIND, &[0, 1]);
@@ -150,25 +148,25 @@
     service: ServiceId(1),
 };
 
-/// Operators take the only server out. A user is told so at once and doesn't wait for ever.
+/// Requests must be refused immediately if the only server is draining.
 #[test]
 fn nothing_left() {
     let mut router = router(SERVICE_KIND, &[0]);
     router.set_upstreams(&specs(SERVICE_KIND, &[0], Some(0)));
     let Route::Refuse(refusal) = router.route(SERVICE, None, ACCOUNT, NOW) else {
-        panic!("a leaving server gets nothing new");
+        panic!("a draining server must get no new requests");
     };
     assert_eq!(refusal.kind, ErrorKind::NoUpstream);
     assert!(refusal.retry_after.is_some());
 }
 
-/// All of an adapter's work goes to one engine. Its users wait although others could load it.
+/// An adapter whose only copy is busy must get a second copy on another engine.
 #[test]
 fn second_copy() {
     let mut router = router(engine(), &[0, 0]);
     let target = Target::Adapter(MODEL, ADAPTER);
     let Route::Acquire { upstream, ask } = router.route(target, None, ACCOUNT, NOW) else {
-        panic!("nothing is held yet");
+        panic!("expected an acquire request without a grant");
     };
     grant(&mut router, upstream, ask);
     assert_eq!(router.tick(NOW), []);
@@ -184,7 +182,7 @@
         },
     ] = more[..]
     else {
-        panic!("one more copy is asked for: {more:?}");
+        panic!("expected one request for another copy: {more:?}");
     };
     assert_ne!(second, upstream);
     grant(&mut router, second, ask);
--- a/crates/core/tests/store_feed.rs
+++ b/crates/core/tests/store_feed.rs
@@ -1,4 +1,4 @@
-//! From whom VMs learn of changes in the store, and what they are told.
+//! Choice of the source of store changes, and the changes that a VM serves to others.
 
 use jasmine_core::{
     clock::Millis,
@@ -7,7 +7,7 @@
 
 const NOW: Millis = Millis(100_000);
 
-/// Ranks of so many VMs, in order.
+/// Sorted ranks of `count` VMs.
 fn ranks(count: usize) -> Vec<VmRank> {
     let mut ranks: Vec<VmRank> = (0..count)
         .map(|number| VmRank::new(&format!("vm-{number}"), false))
@@ -23,7 +23,7 @@
     ranks.iter().copied().filter(|&rank| rank != me).collect()
 }
 
-fn note(
+fn record(
     recent: &mut RecentChanges<u64>,
     key: &str,
     revision: u64,
@@ -57,8 +57,7 @@
 
 #[test]
 fn weak_vms_read_last() {
-    // Whoever serves a data centre sends each change to all the others. A VM with a narrow network would be busy with that
-    // alone.
+    // The VM that serves a data centre sends each change to all others, so it must not be a weak one.
     let strong = VmRank::new("any", false);
     let weak = (0..50).map(|number| VmRank::new(&format!("vm-{number}"), true));
     assert!(weak.into_iter().all(|weak| strong < weak));
@@ -76,8 +75,7 @@
 
 #[test]
 fn a_vm_that_lost_the_store_is_passed_over() {
-    // The VM that serves the others is cut off from the store. Their changes would stop with it, though each of them
-    // reaches the store.
+    // A serving VM that has lost the store must not keep changes from VMs that can reach the store.
     let ranks = ranks(5);
     let mut choice = SourceChoice::new(ranks[3]);
     choice.vm_failed(ranks[0], SourceFailure::Stale, NOW);
@@ -92,7 +90,7 @@
 
 #[test]
 fn without_the_store_another_vm_is_asked() {
-    // The store turns this VM away and serves others. The next in order has it from the store.
+    // A VM that the store refuses must get changes from the next VM in order.
     let ranks = ranks(4);
     let mut choice = SourceChoice::new(ranks[0]);
     let choose = |choice: &SourceChoice, now| choice.choose(others(&ranks, ranks[0]), now);
@@ -101,7 +99,7 @@
     assert_eq!(choose(&choice, NOW), Source::Vm(ranks[1]));
     choice.vm_failed(ranks[1], SourceFailure::Stale, NOW);
     choice.vm_failed(ranks[2], SourceFailure::Stale, NOW);
-    assert_eq!(choose(&choice, NOW), Source::Store, "nobody has it");
+    assert_eq!(choose(&choice, NOW), Source::Store, "no VM has changes");
     choice.store_answered();
     assert_eq!(choose(&choice, NOW), Source::Store);
 }
@@ -110,9 +108,9 @@
 fn only_the_last_change_of_a_key_is_told() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
-    note(&mut recent, "a", 11, true, NOW);
-    note(&mut recent, "b", 12, true, NOW);
-    note(&mut recent, "a", 13, true, NOW);
+    record(&mut recent, "a", 11, true, NOW);
+    record(&mut recent, "b", 12, true, NOW);
+    record(&mut recent, "a", 13, true, NOW);
     assert_eq!(recent.since(10, None), Since::Changes(vec![12, 13]));
     assert_eq!(recent.since(12, None), Since::Changes(vec![13]));
     assert_eq!(recent.since(13, None), Since::Changes(vec![]));
@@ -127,30 +125,29 @@
 fn minor_changes_wait_until_asked_for() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
-    note(&mut recent, "a", 11, false, NOW);
+    record(&mut recent, "a", 11, false, NOW);
     assert_eq!(recent.since(10, None), Since::Changes(vec![]));
     assert_eq!(recent.since(10, Some(10)), Since::Changes(vec![11]));
 }
 
 #[test]
 fn a_major_change_is_told_with_a_minor_one_after_it() {
-    // An upstream is about to leave, and a moment later its entry changes in something small. Whoever asks then has
-    // to learn that it leaves, or goes on sending requests to it.
+    // A minor change must not hide an earlier major one, such as that an upstream is draining.
     let mut recent = RecentChanges::default();
     recent.reset(10);
-    note(&mut recent, "a", 11, true, NOW);
-    note(&mut recent, "a", 12, false, NOW);
+    record(&mut recent, "a", 11, true, NOW);
+    record(&mut recent, "a", 12, false, NOW);
     assert_eq!(recent.since(10, None), Since::Changes(vec![12]));
     assert_eq!(recent.since(11, None), Since::Changes(vec![]));
 }
 
 #[test]
 fn what_is_old_is_not_known_any_more() {
-    // A VM that was frozen asks for what has changed since. Told nothing, it would believe that nothing has.
+    // A VM that was paused for long must not take missing history for the absence of changes.
     let mut recent = RecentChanges::default();
     recent.reset(10);
-    note(&mut recent, "a", 11, true, NOW);
-    note(&mut recent, "b", 12, true, NOW + Millis(11_000));
+    record(&mut recent, "a", 11, true, NOW);
+    record(&mut recent, "b", 12, true, NOW + Millis(11_000));
     assert_eq!(recent.since(10, None), Since::Gone);
     assert_eq!(recent.since(9, Some(11)), Since::Gone);
     assert_eq!(recent.since(11, None), Since::Changes(vec![12]));
@@ -158,9 +155,7 @@
 
 #[test]
 fn a_scheduler_returns_to_the_store() {
-    // The store is out for seconds, and no VM has changes. When it is back, all of them had failed just now. The VM that
-    // schedules has to ask the store itself before long; passed over like by those that have others to ask, it refused
-    // callers for a route that had been added three seconds before.
+    // After a store outage no VM has changes, so the scheduling VM must retry the store soon.
     let others: Vec<VmRank> = (0..4)
         .map(|number| VmRank::new(&format!("vm-{number}"), false))
         .collect();
@@ -185,8 +180,8 @@
 
 #[test]
 fn a_scheduler_without_the_store_asks_others() {
-    // The VM that schedules alone has lost the store. Whoever has changes is asked at once, and one that only begins to
-    // read is asked again long before the store is.
+    // If only the scheduling VM has lost the store, it must ask other VMs immediately, and retry a VM
+    // that starts reading sooner than the store.
     let other = VmRank::new("other", false);
     let mut choice = SourceChoice::new(VmRank::new("me", false));
     assert_eq!(choice.choose_scheduling([other], NOW), Some(Source::Store));
@@ -203,13 +198,13 @@
     );
 }
 
-/// Guards against an answer that fills a link: thousands of upstreams change between two questions.
+/// Guards against a response of unbounded size when thousands of upstreams change at once.
 #[test]
 fn minor_changes_come_in_parts() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
     for number in 0..3_000 {
-        note(
+        record(
             &mut recent,
             &format!("key-{number}"),
             11 + number,
@@ -217,28 +212,32 @@
             NOW,
         );
     }
-    note(&mut recent, "left", 4_000, true, NOW);
+    record(&mut recent, "left", 4_000, true, NOW);
     let mut minor = 10;
-    let mut told = 0;
-    while told < 3_000 {
+    let mut received = 0;
+    while received < 3_000 {
         let Since::Changes(changes) = recent.since(10, Some(minor)) else {
-            panic!("changes of the last seconds are known");
+            panic!("recent changes must be known");
         };
-        assert_eq!(changes.last(), Some(&4_000), "no major change is left out");
+        assert_eq!(
+            changes.last(),
+            Some(&4_000),
+            "the major change must be included"
+        );
         assert!(changes.len() <= MAX_MINOR + 1);
-        told += changes.len() - 1;
+        received += changes.len() - 1;
         minor = changes[changes.len() - 2];
     }
     assert_eq!(minor, 3_010);
 }
 
-/// Guards against a VM that reads the whole store anew because small changes that it never asked for were forgotten.
+/// Guards against a full read of the store because expired minor changes are missing.
 #[test]
 fn old_minor_changes_are_done_without() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
-    note(&mut recent, "a", 11, false, NOW);
-    note(&mut recent, "b", 12, false, NOW + Millis(11_000));
+    record(&mut recent, "a", 11, false, NOW);
+    record(&mut recent, "b", 12, false, NOW + Millis(11_000));
     assert_eq!(recent.since(10, None), Since::Changes(vec![]));
     assert_eq!(recent.since(10, Some(10)), Since::Changes(vec![12]));
 }
--- a/crates/core/tests/world/deliver.rs
+++ b/crates/core/tests/world/deliver.rs
@@ -1,5 +1,5 @@
 use {
-    super::{FakeEngine, Message, NOBODY, Request, World},
+    super::{FakeEngine, Message, NO_SENDER, Request, World},
     jasmine_core::{
         ids::{Holder, UpstreamId},
         ownership::{OwnerAction, OwnerEvent},
@@ -9,7 +9,7 @@
 };
 
 impl World {
-    /// Carries one message to where it goes.
+    /// Delivers one message to its receiver.
     pub fn deliver(
         &mut self,
         message: Message,
@@ -21,23 +21,23 @@
                     _ => None,
                 };
                 let frozen = self.controllers[c].frozen;
-                self.tell(c, event);
+                self.handle_event(c, event);
                 if let Some(from) = poller.filter(|_| !frozen) {
-                    self.answer_poll(c, from);
+                    self.reply_to_poll(c, from);
                 }
             }
             Message::Order(c, order) => self.run_order(c, &order),
             Message::Reply { to, ask, outcome } => {
                 if let Some(g) = self.gateway(to) {
-                    self.answer_ask(g, ask, outcome);
-                    self.pump(g);
+                    self.handle_acquire_reply(g, ask, outcome);
+                    self.route_waiting(g);
                 }
             }
             Message::PollReply { to, views, recalls } => {
                 for view in views {
                     if let Some(g) = self.gateway(to) {
                         let actions = self.gateways[g].router.observe(view, self.now);
-                        self.act(g, actions);
+                        self.perform_actions(g, actions);
                     }
                 }
                 for instance in recalls {
@@ -70,7 +70,7 @@
         (gateway.incarnation == to.incarnation && !gateway.frozen).then_some(g)
     }
 
-    fn answer_poll(
+    fn reply_to_poll(
         &mut self,
         c: usize,
         to: Holder,
@@ -101,8 +101,8 @@
     ) {
         if let Some(g) = self.gateway(to) {
             let actions = self.gateways[g].router.recall(instance);
-            self.act(g, actions);
-            self.pump(g);
+            self.perform_actions(g, actions);
+            self.route_waiting(g);
         }
     }
 
@@ -115,16 +115,16 @@
             OwnerAction::OrderLoad { instance, fence } => {
                 let engine = self.engines.get_mut(&instance.upstream).expect("known");
                 let result = engine.load(instance, fence);
-                self.note(format!("c{c}: load {} -> {result:?}", instance.name()));
+                self.trace_line(format!("c{c}: load {} -> {result:?}", instance.name()));
                 OwnerEvent::LoadEnded(instance, result)
             }
             OwnerAction::OrderUnload { instance, fence } => {
                 let engine = self.engines.get_mut(&instance.upstream).expect("known");
                 let (result, cut) = engine.unload(instance, fence);
-                self.note(format!("c{c}: unload {} -> {result:?}", instance.name()));
+                self.trace_line(format!("c{c}: unload {} -> {result:?}", instance.name()));
                 if cut > 0 {
                     let fault = format!("unload of {} cut {cut} requests", instance.name());
-                    self.note(format!("FAULT {fault}"));
+                    self.trace_line(format!("FAULT {fault}"));
                     self.faults.push(fault);
                 }
                 OwnerEvent::UnloadEnded(instance, result)
@@ -136,7 +136,7 @@
             }
             _ => return,
         };
-        if c != NOBODY {
+        if c != NO_SENDER {
             self.net.push(Message::ToOwner(c, event));
         }
     }
@@ -149,7 +149,7 @@
     ) {
         let engine = self.engines.get_mut(&instance.upstream).expect("known");
         let Some(work) = engine.loaded.get_mut(&instance) else {
-            self.note(format!("{} not loaded", instance.name()));
+            self.trace_line(format!("{} not loaded", instance.name()));
             let finish = Finish::NotLoaded;
             let answer = Message::Answer {
                 to: from,
@@ -163,7 +163,7 @@
         work.push((from, request));
     }
 
-    /// The engine ends all its work.
+    /// Completes all running requests of an engine.
     pub fn end_work(
         &mut self,
         upstream: UpstreamId,
@@ -212,7 +212,7 @@
             Finish::NotLoaded => self.gateways[g].waiting.push(request),
             Finish::Failed => self.refused += 1,
         }
-        self.act(g, actions);
-        self.pump(g);
+        self.perform_actions(g, actions);
+        self.route_waiting(g);
     }
 }
--- a/crates/core/tests/world/engine.rs
+++ b/crates/core/tests/world/engine.rs
@@ -9,7 +9,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// An engine that loads at once and works until told that the work has ended.
+/// A fake engine that loads immediately and runs requests until the test completes them.
 #[derive(Clone)]
 pub struct FakeEngine {
     pub upstream: UpstreamId,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether an order is refused; a newer token is remembered.
+    /// Whether an order has a stale token; records a newer one.
     fn is_stale(
         &mut self,
         fence: Fence,
@@ -91,7 +91,7 @@
         LoadResult::Loaded
     }
 
-    /// Unloads and tells how many requests that has cut.
+    /// Unloads an instance and returns how many running requests that cut.
     pub fn unload(
         &mut self,
         instance: Instance,
--- a/crates/core/tests/world/faults.rs
+++ b/crates/core/tests/world/faults.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Message, NOBODY, World},
+    super::{Message, NO_SENDER, World},
     jasmine_core::{
         clock::Millis,
         ids::UpstreamId,
@@ -9,7 +9,7 @@
 };
 
 impl World {
-    /// The network loses a message, or the sender of an order gives up waiting for the answer.
+    /// Handles the loss of a message, or the timeout of an order at its sender.
     pub fn lose(
         &mut self,
         message: &Message,
@@ -48,12 +48,12 @@
             }
             _ => return,
         };
-        if c != NOBODY {
+        if c != NO_SENDER {
             self.net.push(Message::ToOwner(c, event));
         }
     }
 
-    /// The engine's process restarts: nothing is loaded, its work is lost.
+    /// Restarts an engine, which loses its adapters and running requests.
     pub fn restart_engine(
         &mut self,
         upstream: UpstreamId,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A gateway's process is replaced: its connections close and engines drop its work.
+    /// Restarts a gateway; its connections close and engines drop its requests.
     pub fn restart_gateway(
         &mut self,
         g: usize,
@@ -90,7 +90,7 @@
         self.gateways[g] = self.new_gateway(next);
     }
 
-    /// A controller's process is replaced; its engines go to whom the store gives them.
+    /// Restarts a controller, which loses its lease and its engines.
     pub fn restart_controller(
         &mut self,
         c: usize,
@@ -107,7 +107,7 @@
             .retain(|message| !matches!(message, Message::ToOwner(to, _) if *to == c));
     }
 
-    /// Engines whose owner's lease has lapsed go to the next live controller.
+    /// Assigns engines whose owner's lease has lapsed to the next live controller.
     pub fn reassign(&mut self) {
         let lapsed: Vec<(UpstreamId, usize)> = self
             .owners
@@ -121,10 +121,10 @@
             let live = |i: &usize| !self.controllers[*i].frozen;
             let n = self.controllers.len();
             if let Some(next) = (1..=n).map(|step| (c + step) % n).find(live) {
-                // The old owner reads in the store that the engine is not its own any more.
-                self.tell(c, OwnerEvent::Lost(upstream));
-                self.own(upstream, next);
-                self.note(format!("c{next} owns {upstream}"));
+                // The former owner learns from the store that it has lost the engine.
+                self.handle_event(c, OwnerEvent::Lost(upstream));
+                self.assign_owner(upstream, next);
+                self.trace_line(format!("c{next} owns {upstream}"));
             }
         }
     }
--- a/crates/core/tests/world/gateways.rs
+++ b/crates/core/tests/world/gateways.rs
@@ -9,7 +9,7 @@
 };
 
 impl World {
-    /// A caller sends a request to a gateway.
+    /// Sends a caller's request to a gateway.
     pub fn request(
         &mut self,
         g: usize,
@@ -23,11 +23,11 @@
             account: AccountId(account),
         };
         self.gateways[g].waiting.push(request);
-        self.pump(g);
+        self.route_waiting(g);
     }
 
-    /// Routes what waits at a gateway.
-    pub fn pump(
+    /// Routes the waiting requests of a gateway.
+    pub fn route_waiting(
         &mut self,
         g: usize,
     ) {
@@ -51,12 +51,12 @@
                     continue;
                 }
                 Route::Acquire { upstream, ask } => {
-                    self.ask(g, upstream, request.adapter, request.account, ask);
+                    self.send_acquire(g, upstream, request.adapter, request.account, ask);
                 }
                 Route::Wait(_) => {}
                 Route::Refuse(refusal) => {
                     self.refused += 1;
-                    self.note(format!(
+                    self.trace_line(format!(
                         "g{g}: {} refused: {:?}",
                         request.adapter, refusal.kind
                     ));
@@ -67,7 +67,7 @@
         }
     }
 
-    fn ask(
+    fn send_acquire(
         &mut self,
         g: usize,
         upstream: UpstreamId,
@@ -76,9 +76,9 @@
         ask: u64,
     ) {
         let from = self.holder(g);
-        self.gateways[g].asks.insert(ask, (upstream, adapter));
+        self.gateways[g].acquires.insert(ask, (upstream, adapter));
         let Some(&c) = self.gateways[g].owners.get(&upstream) else {
-            self.answer_ask(g, ask, AcquireOutcome::NotOwner);
+            self.handle_acquire_reply(g, ask, AcquireOutcome::NotOwner);
             return;
         };
         let ask = Ask {
@@ -92,20 +92,20 @@
         self.net.push(Message::ToOwner(c, OwnerEvent::Acquire(ask)));
     }
 
-    pub(super) fn answer_ask(
+    pub(super) fn handle_acquire_reply(
         &mut self,
         g: usize,
         ask: u64,
         outcome: AcquireOutcome,
     ) {
         let gateway = &mut self.gateways[g];
-        let (upstream, adapter) = gateway.asks[&ask];
+        let (upstream, adapter) = gateway.acquires[&ask];
         gateway
             .router
             .acquired(upstream, adapter, ask, outcome, self.now);
     }
 
-    pub fn act(
+    pub fn perform_actions(
         &mut self,
         g: usize,
         actions: Vec<RouterAction>,
@@ -137,13 +137,13 @@
                     account,
                     ask,
                 } => {
-                    self.ask(g, upstream, adapter, account, ask);
+                    self.send_acquire(g, upstream, adapter, account, ask);
                 }
             }
         }
     }
 
-    /// A gateway learns from the platform who owns what, and polls all owners.
+    /// Updates the owners that a gateway knows and makes it poll all of them.
     pub fn poll(
         &mut self,
         g: usize,
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Owners, gateways and small fake engines with a network between them that tests can disturb.
+//! Simulation of owners, gateways and fake engines with a network in which tests inject faults.
 
 mod deliver;
 mod engine;
@@ -24,20 +24,20 @@
 const LEASE: Millis = Millis(3000);
 const MODEL: ModelId = ModelId(0);
 
-/// In place of a controller that does not wait for the answer any more.
-pub const NOBODY: usize = usize::MAX;
+/// Sender of an order whose controller no longer waits for the response.
+pub const NO_SENDER: usize = usize::MAX;
 
-/// A controller; what it has decided leaves it only when it is not frozen.
+/// A controller; its actions are sent only while it is not frozen.
 pub struct Controller {
     pub machine: OwnerMachine,
     pub frozen: bool,
     pub outbox: Vec<OwnerAction>,
-    /// What the process has not yet been able to look at, in order.
+    /// Events received while frozen, in order.
     pub inbox: Vec<OwnerEvent>,
     pub store_lease: Millis,
 }
 
-/// A request that a caller has sent.
+/// A caller's request.
 #[derive(Clone, Copy)]
 pub struct Request {
     pub id: u32,
@@ -45,19 +45,19 @@
     pub account: AccountId,
 }
 
-/// A gateway with its callers' requests.
+/// A gateway and its waiting requests.
 pub struct Gateway {
     pub router: Router,
     pub incarnation: Incarnation,
     pub frozen: bool,
     pub waiting: Vec<Request>,
-    /// The owner of each engine as this gateway knows it.
+    /// The controller that owns each engine, as this gateway knows it.
     pub owners: BTreeMap<UpstreamId, usize>,
-    /// What each question was for.
-    pub asks: BTreeMap<u64, (UpstreamId, AdapterVersion)>,
+    /// The engine and adapter of each acquire request.
+    pub acquires: BTreeMap<u64, (UpstreamId, AdapterVersion)>,
 }
 
-/// Everything.
+/// The simulated system.
 pub struct World {
     pub now: Millis,
     pub engines: BTreeMap<UpstreamId, FakeEngine>,
@@ -65,7 +65,7 @@
     pub gateways: Vec<Gateway>,
     pub net: Vec<Message>,
     pub owners: BTreeMap<UpstreamId, (usize, Fence)>,
-    /// Engines whose owner's process is gone, and its lease with it.
+    /// Engines whose owner has restarted and lost its lease.
     pub orphans: BTreeSet<UpstreamId>,
     pub last_fence: u64,
     pub last_request: u32,
@@ -139,7 +139,7 @@
             frozen: false,
             waiting: Vec::new(),
             owners: BTreeMap::new(),
-            asks: BTreeMap::new(),
+            acquires: BTreeMap::new(),
         }
     }
 
@@ -154,8 +154,8 @@
         }
     }
 
-    /// The store gives the engine to a controller.
-    pub fn own(
+    /// Makes a controller the owner of an engine.
+    pub fn assign_owner(
         &mut self,
         upstream: UpstreamId,
         c: usize,
@@ -164,9 +164,9 @@
         let fence = Fence(self.last_fence);
         self.owners.insert(upstream, (c, fence));
         self.orphans.remove(&upstream);
-        self.renew(c);
+        self.renew_lease(c);
         let gateways: Vec<VmId> = (0..self.gateways.len()).map(|g| VmId(g as u32)).collect();
-        self.tell(c, OwnerEvent::Members(gateways));
+        self.handle_event(c, OwnerEvent::Members(gateways));
         let engine = &self.engines[&upstream];
         let own = Ownership {
             upstream,
@@ -174,20 +174,20 @@
             checks_fencing: engine.checks_fencing,
             slots: engine.slots,
         };
-        self.tell(c, OwnerEvent::Gained(own));
+        self.handle_event(c, OwnerEvent::Gained(own));
     }
 
-    pub fn renew(
+    pub fn renew_lease(
         &mut self,
         c: usize,
     ) {
         let until = self.now + LEASE;
         self.controllers[c].store_lease = until;
-        self.tell(c, OwnerEvent::LeaseExtended(until));
+        self.handle_event(c, OwnerEvent::LeaseExtended(until));
     }
 
-    /// An event for a controller; a frozen one finds it when it thaws.
-    pub fn tell(
+    /// Passes an event to a controller, or queues it if the controller is frozen.
+    pub fn handle_event(
         &mut self,
         c: usize,
         event: OwnerEvent,
@@ -211,28 +211,28 @@
         self.controllers[c].outbox.extend(actions);
     }
 
-    /// A frozen controller goes on, first with what came for it.
+    /// Unfreezes a controller, which first handles the queued events.
     pub fn thaw(
         &mut self,
         c: usize,
     ) {
         self.controllers[c].frozen = false;
         for event in std::mem::take(&mut self.controllers[c].inbox) {
-            self.tell(c, event);
+            self.handle_event(c, event);
         }
     }
 
-    /// Sends what a controller has decided.
+    /// Sends the actions that a controller has decided on.
     pub fn flush(
         &mut self,
         c: usize,
     ) {
         for action in std::mem::take(&mut self.controllers[c].outbox) {
-            self.carry_out(c, action);
+            self.send_action(c, action);
         }
     }
 
-    fn carry_out(
+    fn send_action(
         &mut self,
         c: usize,
         action: OwnerAction,
@@ -248,7 +248,7 @@
                     .get(&upstream)
                     .is_some_and(|&(owner, _)| owner == c)
                 {
-                    self.own(upstream, c);
+                    self.assign_owner(upstream, c);
                 }
             }
             OwnerAction::Reply { to, ask, outcome } => {
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Delivers everything in order until nothing is left.
+    /// Delivers all messages in order until none is left.
     pub fn settle(&mut self) {
         for _ in 0..10_000 {
             for c in 0..self.controllers.len() {
@@ -295,7 +295,7 @@
             let message = self.net.remove(i);
             self.deliver(message);
         }
-        self.faults.push("messages without end".into());
+        self.faults.push("messages are exchanged endlessly".into());
     }
 
     pub fn is_deliverable(
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Time passes: leases are renewed or lapse, everybody polls, reports and ticks.
+    /// Advances the time: leases are renewed or lapse, and all processes tick, report and poll.
     pub fn pass(
         &mut self,
         step: Millis,
@@ -322,13 +322,13 @@
             let owns = self.owners.values().any(|&(owner, _)| owner == c);
             let live = self.controllers[c].store_lease > self.now;
             if owns && live && !self.controllers[c].frozen {
-                self.renew(c);
+                self.renew_lease(c);
             }
         }
         self.reassign();
         for c in 0..self.controllers.len() {
             if !self.controllers[c].frozen {
-                self.tell(c, OwnerEvent::Tick);
+                self.handle_event(c, OwnerEvent::Tick);
             }
         }
         let engines: Vec<UpstreamId> = self.engines.keys().copied().collect();
@@ -338,14 +338,14 @@
         for g in 0..self.gateways.len() {
             if !self.gateways[g].frozen {
                 let actions = self.gateways[g].router.tick(self.now);
-                self.act(g, actions);
+                self.perform_actions(g, actions);
                 self.poll(g);
-                self.pump(g);
+                self.route_waiting(g);
             }
         }
     }
 
-    pub fn note(
+    pub fn trace_line(
         &mut self,
         line: String,
     ) {
--- a/crates/core/tests/world/net.rs
+++ b/crates/core/tests/world/net.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// What is under way.
+/// A message in transit.
 #[derive(Clone)]
 pub enum Message {
     ToOwner(usize, OwnerEvent),
