--- a/crates/core/src/forward/attempts.rs
+++ b/crates/core/src/forward/attempts.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether another attempt would be allowed after one more that may have run.
-    pub const fn may_follow_a_run(&self) -> bool {
+    pub const fn can_retry_after_run(&self) -> bool {
         matches!(self.repeat, Repeat::Idempotent) && self.runs + 1 < self.max_runs
     }
 
--- a/crates/core/src/ownership/copy_updates.rs
+++ b/crates/core/src/ownership/copy_updates.rs
@@ -15,13 +15,13 @@
 impl OwnedEngine {
     /// Records that a gateway holds a grant for an instance.
     ///
-    /// `seen`: the gateway has seen the current token and sends no releases to a former owner. Only
+    /// `has_seen_fence`: the gateway has seen the current token and sends no releases to a former owner. Only
     /// then can a delayed order of a former owner no longer unload the instance.
     pub(super) fn record_grant(
         &mut self,
         from: Holder,
         instance: Instance,
-        seen: bool,
+        has_seen_fence: bool,
         now: Millis,
     ) {
         let key = (instance.adapter, instance.fence);
@@ -38,7 +38,7 @@
         match copy.state {
             // The unload was ordered after all releases, so this poll predates the last one.
             CopyState::Unloading => return,
-            CopyState::Uncertain if seen && is_former && !is_blocked => {
+            CopyState::Uncertain if has_seen_fence && is_former && !is_blocked => {
                 copy.set_state(CopyState::Resident, now);
             }
             _ => {}
--- a/crates/core/src/ownership/owner_machine.rs
+++ b/crates/core/src/ownership/owner_machine.rs
@@ -291,14 +291,14 @@
         }
         for engine in self.engines.values_mut() {
             let upstream = engine.upstream();
-            let seen = poll
+            let has_seen_fence = poll
                 .seen
                 .iter()
                 .any(|&(seen_of, fence)| seen_of == upstream && fence >= engine.ownership.fence);
             for instance in poll.held.iter().filter(|held| held.upstream == upstream) {
-                engine.record_grant(poll.from, *instance, seen, now);
+                engine.record_grant(poll.from, *instance, has_seen_fence, now);
             }
-            if seen {
+            if has_seen_fence {
                 engine.unreported_vms.remove(&poll.from.vm);
             }
         }
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -20,7 +20,7 @@
 pub(super) struct Engine {
     pub(super) spec: UpstreamSpec,
     /// The highest fencing token seen for it.
-    pub(super) seen: Fence,
+    pub(super) seen_fence: Fence,
     pub(super) view: Option<EngineView>,
     /// This gateway's requests in flight.
     pub(super) own_in_flight: u32,
@@ -36,7 +36,7 @@
     pub(super) fn new(spec: UpstreamSpec) -> Self {
         Self {
             spec,
-            seen: Fence::default(),
+            seen_fence: Fence::default(),
             view: None,
             own_in_flight: 0,
             own_in_flight_at_view: 0,
--- a/crates/core/src/routing/grants.rs
+++ b/crates/core/src/routing/grants.rs
@@ -39,8 +39,8 @@
         };
         entry.loading_on = (outcome == AcquireOutcome::Loading).then_some(upstream);
         match outcome {
-            AcquireOutcome::Granted { instance, owner } if owner >= engine.seen => {
-                engine.seen = owner;
+            AcquireOutcome::Granted { instance, owner } if owner >= engine.seen_fence => {
+                engine.seen_fence = owner;
                 let held = HeldGrant {
                     in_flight: 0,
                     used: now,
@@ -110,7 +110,7 @@
         }
         out.push(RouterAction::Release {
             instance,
-            fence: engine.seen,
+            fence: engine.seen_fence,
             ask: self.ask,
         });
     }
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -110,7 +110,7 @@
         fence: Fence,
     ) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.seen = engine.seen.max(fence);
+            engine.seen_fence = engine.seen_fence.max(fence);
         }
     }
 
@@ -125,10 +125,10 @@
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return out;
         };
-        if view.owner_fence < engine.seen {
+        if view.owner_fence < engine.seen_fence {
             return out;
         }
-        engine.seen = view.owner_fence;
+        engine.seen_fence = view.owner_fence;
         engine.own_in_flight_at_view = engine.own_in_flight;
         let last = engine.view.take();
         let restarted = last.as_ref().is_some_and(|last| last.boot != view.boot);
@@ -224,14 +224,14 @@
         &self,
         upstream: UpstreamId,
     ) -> Option<Fence> {
-        self.engines.get(&upstream).map(|engine| engine.seen)
+        self.engines.get(&upstream).map(|engine| engine.seen_fence)
     }
 
     /// The highest fencing token seen for each engine.
     pub fn seen(&self) -> Vec<(UpstreamId, Fence)> {
         self.engines
             .iter()
-            .map(|(&upstream, engine)| (upstream, engine.seen))
+            .map(|(&upstream, engine)| (upstream, engine.seen_fence))
             .collect()
     }
 
--- a/crates/core/tests/forward/world.rs
+++ b/crates/core/tests/forward/world.rs
@@ -296,8 +296,8 @@
             return;
         };
         let attempt = connection.attempt;
-        let nothing_left = !connection.has_head && !connection.is_closed;
-        if nothing_left && (connection.run.is_none() || connection.is_resumption) {
+        let is_unsent = !connection.has_head && !connection.is_closed;
+        if is_unsent && (connection.run.is_none() || connection.is_resumption) {
             connection.is_closed = true;
             self.handle_event(Event::Unreachable { attempt }, Some(index));
         }
--- a/crates/core/tests/forward_request.rs
+++ b/crates/core/tests/forward_request.rs
@@ -25,7 +25,8 @@
         machine: None,
         now: Millis(1),
     };
-    run(&mut runner, dir.join("tests/scripts/forward").join(name)).expect("the script runs");
+    run(&mut runner, dir.join("tests/scripts/forward").join(name))
+        .expect("the script must run without errors");
 }
 
 impl Script {
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -43,7 +43,7 @@
     let mut runner = Script {
         world: world(&[], 0, 0),
     };
-    run(&mut runner, path).expect("the script runs");
+    run(&mut runner, path).expect("the script must run without errors");
     assert_eq!(runner.world.faults, Vec::<String>::new());
 }
 
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -44,7 +44,7 @@
 fn specs(
     kind: SpecKind,
     data_centres: &[u16],
-    leaving: Option<u32>,
+    draining: Option<u32>,
 ) -> Vec<UpstreamSpec> {
     (0..)
         .zip(data_centres)
@@ -52,7 +52,7 @@
             upstream: UpstreamId(upstream),
             data_centre: DataCentreId(data_centre),
             kind,
-            leaving: leaving == Some(upstream),
+            leaving: draining == Some(upstream),
         })
         .collect()
 }
