--- a/crates/core/src/feed/recent_changes.rs
+++ b/crates/core/src/feed/recent_changes.rs
@@ -35,7 +35,7 @@
 /// The last change of each recently changed key.
 #[derive(Clone, Debug)]
 pub struct RecentChanges<T> {
-    of_key: HashMap<String, KnownChange<T>>,
+    by_key: HashMap<String, KnownChange<T>>,
     /// All major changes after this revision are known.
     complete_after: u64,
     revision: u64,
@@ -44,7 +44,7 @@
 impl<T> Default for RecentChanges<T> {
     fn default() -> Self {
         Self {
-            of_key: HashMap::new(),
+            by_key: HashMap::new(),
             complete_after: 0,
             revision: 0,
         }
@@ -60,7 +60,7 @@
         &mut self,
         revision: u64,
     ) {
-        self.of_key.clear();
+        self.by_key.clear();
         self.complete_after = revision;
         self.revision = revision;
     }
@@ -73,7 +73,7 @@
         is_major: bool,
         now: Millis,
     ) -> bool {
-        let before = self.of_key.get(key);
+        let before = self.by_key.get(key);
         if before.is_some_and(|before| before.last.revision >= change.revision) {
             return false;
         }
@@ -87,7 +87,7 @@
             major_revision,
             at: now,
         };
-        self.of_key.insert(key.to_owned(), known);
+        self.by_key.insert(key.to_owned(), known);
         true
     }
 
@@ -99,7 +99,7 @@
     ) {
         self.revision = self.revision.max(revision);
         let complete_after = &mut self.complete_after;
-        self.of_key.retain(|_, known| {
+        self.by_key.retain(|_, known| {
             let is_recent = now.since(known.at) < CHANGE_RETENTION;
             if !is_recent {
                 *complete_after = (*complete_after).max(known.major_revision);
@@ -113,7 +113,7 @@
         &self,
         key: &str,
     ) -> bool {
-        self.of_key.contains_key(key)
+        self.by_key.contains_key(key)
     }
 
     /// The revision up to which all changes are known.
@@ -137,7 +137,7 @@
         let is_minor =
             |known: &KnownChange<T>| minor_after.is_some_and(|minor| known.last.revision > minor);
         let is_new = |known: &&KnownChange<T>| is_major(known) || is_minor(known);
-        let mut new: Vec<&KnownChange<T>> = self.of_key.values().filter(is_new).collect();
+        let mut new: Vec<&KnownChange<T>> = self.by_key.values().filter(is_new).collect();
         new.sort_unstable_by_key(|known| known.last.revision);
         let mut minor = 0;
         new.retain(|known| {
--- a/crates/core/src/forward/machine.rs
+++ b/crates/core/src/forward/machine.rs
@@ -74,14 +74,14 @@
 
     /// When [`Event::Timer`] is due; `None` if forwarding has ended.
     pub fn wake_at(&self) -> Option<Millis> {
-        let gap = match self.state {
+        let limit = match self.state {
             State::Done => return None,
             State::WaitingToResume { until } => Some(until),
-            State::Sent | State::Resuming => self.head_limit(),
-            State::Receiving => self.part_limit(),
+            State::Sent | State::Resuming => self.head_deadline(),
+            State::Receiving => self.part_deadline(),
             State::Routing => None,
         };
-        Some(gap.map_or(self.plan.deadline, |gap| gap.min(self.plan.deadline)))
+        Some(limit.map_or(self.plan.deadline, |limit| limit.min(self.plan.deadline)))
     }
 
     /// Handles an event and returns the actions to perform.
@@ -137,13 +137,13 @@
         attempt == self.attempt && state == self.state
     }
 
-    fn head_limit(&self) -> Option<Millis> {
-        self.plan.head_limit(self.last_activity)
+    fn head_deadline(&self) -> Option<Millis> {
+        self.plan.head_deadline(self.last_activity)
     }
 
-    fn part_limit(&self) -> Option<Millis> {
+    fn part_deadline(&self) -> Option<Millis> {
         self.plan
-            .part_limit(self.last_activity)
+            .part_deadline(self.last_activity)
             .filter(|_| !self.is_caller_slow)
     }
 
@@ -329,10 +329,10 @@
             }
             _ if now >= self.plan.deadline => self.fail(ErrorKind::CannotMeetDeadline),
             State::WaitingToResume { until } if now >= until => self.send_resumption(now),
-            State::Sent | State::Resuming if due(self.head_limit()) => {
+            State::Sent | State::Resuming if due(self.head_deadline()) => {
                 self.handle_connection_lost(now)
             }
-            State::Receiving if due(self.part_limit()) => self.handle_connection_lost(now),
+            State::Receiving if due(self.part_deadline()) => self.handle_connection_lost(now),
             _ => Vec::new(),
         }
     }
--- a/crates/core/src/forward/plan.rs
+++ b/crates/core/src/forward/plan.rs
@@ -51,7 +51,7 @@
     /// When the wait for the head of a response times out; `None` if only the deadline applies.
     ///
     /// A request that can't be repeated gains nothing from a timeout before its deadline.
-    pub(super) fn head_limit(
+    pub(super) fn head_deadline(
         &self,
         last_activity: Millis,
     ) -> Option<Millis> {
@@ -64,7 +64,7 @@
     /// When the wait for the next part times out; `None` if only the deadline applies.
     ///
     /// A silent upstream can't be told apart from a connection that was dropped on the network path.
-    pub(super) fn part_limit(
+    pub(super) fn part_deadline(
         &self,
         last_activity: Millis,
     ) -> Option<Millis> {
--- a/crates/core/src/membership/epoch_machine.rs
+++ b/crates/core/src/membership/epoch_machine.rs
@@ -183,8 +183,8 @@
         now: Millis,
     ) -> bool {
         let due_since = *self.due_since.get_or_insert(now);
-        let place = view.live.iter().filter(|live| live.vm < self.me).count() as u64;
-        now.since(due_since).0 >= place.saturating_mul(self.settings.stagger_delay.0)
+        let position = view.live.iter().filter(|live| live.vm < self.me).count() as u64;
+        now.since(due_since).0 >= position.saturating_mul(self.settings.stagger_delay.0)
     }
 }
 
@@ -222,7 +222,7 @@
         .map(|right| right.account)
         .collect();
     let reports: Vec<HoldingsRecord> = reports(record, view).cloned().collect();
-    let mut grants = Grants::of(record);
+    let mut grants = Grants::from_record(record);
     for (&account, &role) in &record.issued {
         let holders: Vec<Holder> = members_with(&record.members, role)
             .into_iter()
--- a/crates/core/src/membership/reissue.rs
+++ b/crates/core/src/membership/reissue.rs
@@ -15,7 +15,7 @@
 
 impl Grants {
     /// Starts from the grants of a record.
-    pub fn of(record: &EpochRecord) -> Self {
+    pub fn from_record(record: &EpochRecord) -> Self {
         let by_holder = record
             .grants
             .iter()
--- a/crates/core/src/ownership/copy_updates.rs
+++ b/crates/core/src/ownership/copy_updates.rs
@@ -122,7 +122,7 @@
             .iter()
             .filter(|(_, copy)| {
                 matches!(copy.state, CopyState::Resident | CopyState::Uncertain)
-                    && now.since(copy.since) > settings.max_report_lag
+                    && now.since(copy.state_since) > settings.max_report_lag
             })
             .map(|(&key, _)| key)
             .filter(|&key| !report.instances.contains(&self.instance(key)))
--- a/crates/core/src/ownership/engine_copy.rs
+++ b/crates/core/src/ownership/engine_copy.rs
@@ -28,11 +28,11 @@
 pub(super) struct EngineCopy {
     pub(super) state: CopyState,
     /// When it entered `state`.
-    pub(super) since: Millis,
+    pub(super) state_since: Millis,
     /// The gateways that may route to it, each with the id of the last request granted.
     pub(super) grants: BTreeMap<Holder, u64>,
     /// When a gateway last acquired or released it.
-    pub(super) used: Millis,
+    pub(super) last_used: Millis,
     /// The client account that requested it last.
     pub(super) account: Option<AccountId>,
 }
@@ -44,9 +44,9 @@
     ) -> Self {
         Self {
             state,
-            since: now,
+            state_since: now,
             grants: BTreeMap::new(),
-            used: now,
+            last_used: now,
             account: None,
         }
     }
@@ -57,7 +57,7 @@
         now: Millis,
     ) {
         self.state = state;
-        self.since = now;
+        self.state_since = now;
     }
 
     /// Whether an order for it is pending.
--- a/crates/core/src/ownership/eviction.rs
+++ b/crates/core/src/ownership/eviction.rs
@@ -64,7 +64,7 @@
         match copy.state {
             CopyState::Resident => {
                 self.are_holders_known(key)
-                    && now.since(copy.since) >= settings.min_residence
+                    && now.since(copy.state_since) >= settings.min_residence
                     && !has_silent_holder(copy, known_gateways, settings, now)
             }
             CopyState::Uncertain => self.are_holders_known(key) && copy.grants.is_empty(),
@@ -99,7 +99,7 @@
             CopyState::Uncertain => -1.0,
             _ if copy.grants.is_empty() && self.is_superseded(key) => 0.0,
             _ if copy.grants.is_empty() => {
-                let idle = now.since(copy.used).as_secs_f64().max(1.0);
+                let idle = now.since(copy.last_used).as_secs_f64().max(1.0);
                 demand.min(IDLE_DEMAND_CAP / idle)
             }
             _ => demand + HOLDER_COST * copy.grants.len() as f64,
--- a/crates/core/src/ownership/orders.rs
+++ b/crates/core/src/ownership/orders.rs
@@ -56,7 +56,7 @@
             self.revoke_stale_grants(now);
         }
         // A process that was paused past its lease must not act on stale decisions.
-        if !self.orders_allowed(now) {
+        if !self.are_orders_allowed(now) {
             return;
         }
         for engine in self.engines.values_mut() {
@@ -177,8 +177,8 @@
         let free = (self.ownership.slots.saturating_sub(self.used_slots())) as usize;
         let available_slots = free + self.slots_being_freed();
         let existing = self.copies.get(&self.key(adapter));
-        let is_there = existing.is_some_and(EngineCopy::uses_slot);
-        if !is_there && reserved >= available_slots {
+        let has_slot = existing.is_some_and(EngineCopy::uses_slot);
+        if !has_slot && reserved >= available_slots {
             let Some(victim) = self.choose_victim(adapter, known_gateways, settings, now) else {
                 return false;
             };
@@ -304,7 +304,7 @@
             return;
         }
         for copy in self.copies.values_mut() {
-            let is_stuck = now.since(copy.since) >= settings.recall_timeout
+            let is_stuck = now.since(copy.state_since) >= settings.recall_timeout
                 || has_silent_holder(copy, known_gateways, settings, now);
             if copy.state == CopyState::Recalling && !copy.grants.is_empty() && is_stuck {
                 copy.set_state(CopyState::Resident, now);
--- a/crates/core/src/ownership/owned_engine.rs
+++ b/crates/core/src/ownership/owned_engine.rs
@@ -244,8 +244,8 @@
         &self,
         account: Option<AccountId>,
     ) -> u32 {
-        let theirs = |copy: &&EngineCopy| copy.uses_slot() && copy.account == account;
-        self.copies.values().filter(theirs).count() as u32
+        let is_of_account = |copy: &&EngineCopy| copy.uses_slot() && copy.account == account;
+        self.copies.values().filter(is_of_account).count() as u32
     }
 
     /// Whether the holders of this copy must release it.
@@ -279,7 +279,7 @@
             copy.grants
                 .retain(|holder, &mut ask| !should_revoke(key, holder, ask));
             if copy.grants.len() < before {
-                copy.used = now;
+                copy.last_used = now;
             }
         }
         self.copies
--- a/crates/core/src/ownership/owner_machine.rs
+++ b/crates/core/src/ownership/owner_machine.rs
@@ -105,7 +105,7 @@
         now: Millis,
     ) -> bool {
         let owned = self.engines.get(&upstream);
-        owned.is_some_and(|engine| engine.ownership.fence == fence) && self.orders_allowed(now)
+        owned.is_some_and(|engine| engine.ownership.fence == fence) && self.are_orders_allowed(now)
     }
 
     /// The fencing token under which this controller owns the engine.
@@ -153,7 +153,7 @@
             .collect()
     }
 
-    pub(super) fn orders_allowed(
+    pub(super) fn are_orders_allowed(
         &self,
         now: Millis,
     ) -> bool {
@@ -330,7 +330,7 @@
             let granted = copy.grants.entry(ask.from).or_default();
             *granted = ask.ask.max(*granted);
             copy.account = Some(ask.account);
-            copy.used = now;
+            copy.last_used = now;
             let outcome = AcquireOutcome::Granted { instance, owner };
             out.push(reply(ask.from, ask.ask, outcome));
             self.waits.record(ask.account, Millis::ZERO, now);
--- a/crates/core/src/routing/adapter_entry.rs
+++ b/crates/core/src/routing/adapter_entry.rs
@@ -41,7 +41,7 @@
     /// Engines on which this gateway holds a grant for it.
     pub(super) held: BTreeSet<UpstreamId>,
     pub(super) pending: Vec<PendingAcquire>,
-    pub(super) avoid: Vec<AvoidedEngine>,
+    pub(super) avoided: Vec<AvoidedEngine>,
     /// The engine whose owner last replied that the load is in progress.
     pub(super) loading_on: Option<UpstreamId>,
     /// Engines in order of preference.
@@ -57,7 +57,7 @@
             resident: BTreeSet::new(),
             held: BTreeSet::new(),
             pending: Vec::new(),
-            avoid: Vec::new(),
+            avoided: Vec::new(),
             loading_on: None,
             preferred: Vec::new(),
             preferred_version: 0,
@@ -69,7 +69,7 @@
         upstream: UpstreamId,
         now: Millis,
     ) -> bool {
-        self.avoid
+        self.avoided
             .iter()
             .any(|avoid| avoid.upstream == upstream && now < avoid.until)
     }
@@ -79,7 +79,7 @@
         &self,
         now: Millis,
     ) -> Option<Millis> {
-        self.avoid
+        self.avoided
             .iter()
             .filter(|avoid| now < avoid.until)
             .map(|avoid| avoid.until.since(now))
@@ -91,7 +91,7 @@
         &self,
         now: Millis,
     ) -> usize {
-        self.avoid
+        self.avoided
             .iter()
             .filter(|avoid| avoid.reason == AvoidReason::LoadFailed && now < avoid.until)
             .count()
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -125,7 +125,7 @@
             .held
             .iter()
             .rev()
-            .find(|((of, _), held)| *of == adapter && !held.recalled)
+            .find(|((of, _), held)| *of == adapter && !held.is_recalled)
             .map(|(&(_, fence), _)| Instance {
                 upstream,
                 adapter,
@@ -173,7 +173,7 @@
         entry
             .pending
             .retain(|pending| now.since(pending.since) < timeout);
-        entry.avoid.retain(|avoid| now < avoid.until);
+        entry.avoided.retain(|avoid| now < avoid.until);
         if !entry.pending.is_empty() {
             return Route::Wait(self.settings.max_recheck_delay);
         }
@@ -301,7 +301,7 @@
         let key = (instance.adapter, instance.fence);
         if let Some(held) = engine.held.get_mut(&key) {
             held.in_flight += 1;
-            held.used = now;
+            held.last_used = now;
         }
     }
     Route::Send {
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldGrant {
     pub(super) in_flight: u32,
-    pub(super) used: Millis,
-    pub(super) recalled: bool,
+    pub(super) last_used: Millis,
+    pub(super) is_recalled: bool,
 }
 
 /// What this gateway knows about one upstream.
--- a/crates/core/src/routing/grants.rs
+++ b/crates/core/src/routing/grants.rs
@@ -43,20 +43,20 @@
                 engine.seen_fence = owner;
                 let held = HeldGrant {
                     in_flight: 0,
-                    used: now,
-                    recalled: false,
+                    last_used: now,
+                    is_recalled: false,
                 };
                 engine.held.entry((adapter, instance.fence)).or_insert(held);
                 entry.held.insert(upstream);
             }
             // A grant from a former owner is not valid any more.
             AcquireOutcome::Granted { .. } | AcquireOutcome::Loading => {}
-            AcquireOutcome::Full(after) => entry.avoid.push(AvoidedEngine {
+            AcquireOutcome::Full(after) => entry.avoided.push(AvoidedEngine {
                 upstream,
                 until: now + after,
                 reason: AvoidReason::Full,
             }),
-            AcquireOutcome::LoadFailed(after) => entry.avoid.push(AvoidedEngine {
+            AcquireOutcome::LoadFailed(after) => entry.avoided.push(AvoidedEngine {
                 upstream,
                 until: now + after,
                 reason: AvoidReason::LoadFailed,
@@ -76,7 +76,7 @@
         };
         let key = (instance.adapter, instance.fence);
         match engine.held.get_mut(&key) {
-            Some(held) if held.in_flight > 0 => held.recalled = true,
+            Some(held) if held.in_flight > 0 => held.is_recalled = true,
             _ => self.release(instance, &mut out),
         }
         out
@@ -176,7 +176,7 @@
                     .held
                     .range(all.clone())
                     .filter(|(_, held)| {
-                        held.in_flight == 0 && now.since(held.used) >= idle_grant_timeout
+                        held.in_flight == 0 && now.since(held.last_used) >= idle_grant_timeout
                     })
                     .map(|(&(_, fence), _)| Instance {
                         upstream: engine.spec.upstream,
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -132,12 +132,15 @@
         engine.own_in_flight_at_view = engine.own_in_flight;
         let last = engine.view.take();
         let restarted = last.as_ref().is_some_and(|last| last.boot != view.boot);
-        let had = last.map(|last| last.resident).unwrap_or_default();
+        let previously_resident = last.map(|last| last.resident).unwrap_or_default();
         let model = match engine.spec.kind {
             SpecKind::Engine { model, .. } => model,
             SpecKind::Server { .. } => ModelId::default(),
         };
-        for gone in had.iter().filter(|had| !view.resident.contains(had)) {
+        for gone in previously_resident
+            .iter()
+            .filter(|previously_resident| !view.resident.contains(previously_resident))
+        {
             let Some(entry) = self.adapters.get_mut(&gone.adapter) else {
                 continue;
             };
@@ -202,7 +205,7 @@
         let entry = self.adapters.get_mut(&instance.adapter);
         if let Some(entry) = entry.filter(|_| finish == Finish::NotLoaded) {
             // The owner does not know yet that the instance is gone and would grant it again.
-            entry.avoid.push(AvoidedEngine {
+            entry.avoided.push(AvoidedEngine {
                 upstream,
                 until: now + self.settings.not_loaded_delay,
                 reason: AvoidReason::NotLoaded,
@@ -211,8 +214,8 @@
         let key = (instance.adapter, instance.fence);
         if let Some(held) = engine.held.get_mut(&key) {
             held.in_flight = held.in_flight.saturating_sub(1);
-            held.recalled |= finish == Finish::NotLoaded;
-            if held.recalled && held.in_flight == 0 {
+            held.is_recalled |= finish == Finish::NotLoaded;
+            if held.is_recalled && held.in_flight == 0 {
                 self.release(instance, &mut out);
             }
         }
--- a/crates/core/tests/forward/world.rs
+++ b/crates/core/tests/forward/world.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Caller {
     Waiting,
-    Whole,
+    Complete,
     Refused(Refusal),
     Broken(ErrorKind),
     Gone,
@@ -184,7 +184,7 @@
     }
 
     pub fn is_complete(&self) -> bool {
-        self.caller == Caller::Whole
+        self.caller == Caller::Complete
     }
 
     fn route(
@@ -385,12 +385,12 @@
             Action::Deliver(part) => self.check_part(part, from),
             Action::Finish => {
                 let run = self.delivered_tokens.first().map(|&(run, _)| run);
-                let whole: Vec<_> = (1..=TOKENS).map(|n| (run.unwrap_or(0), n)).collect();
+                let complete: Vec<_> = (1..=TOKENS).map(|n| (run.unwrap_or(0), n)).collect();
                 assert_eq!(
-                    self.delivered_tokens, whole,
+                    self.delivered_tokens, complete,
                     "an incomplete or mixed response ended as complete"
                 );
-                self.end(Caller::Whole);
+                self.end(Caller::Complete);
             }
             Action::Refuse(refusal) => {
                 let execution = refusal.kind.answer().execution;
--- a/crates/core/tests/owner_orders.rs
+++ b/crates/core/tests/owner_orders.rs
@@ -160,7 +160,7 @@
         Message::ToOwner(_, event) => {
             matches!(event, Acquire(_) | Polled(_) | Released(_) | Reported(_))
         }
-        Message::Answer { .. } => false,
+        Message::Response { .. } => false,
         _ => true,
     }
 }
--- a/crates/core/tests/world/deliver.rs
+++ b/crates/core/tests/world/deliver.rs
@@ -50,7 +50,7 @@
                 instance,
                 request,
             } => self.start(from, instance, request),
-            Message::Answer {
+            Message::Response {
                 to,
                 instance,
                 finish,
@@ -151,13 +151,13 @@
         let Some(work) = engine.loaded.get_mut(&instance) else {
             self.trace_line(format!("{} not loaded", instance.name()));
             let finish = Finish::NotLoaded;
-            let answer = Message::Answer {
+            let response = Message::Response {
                 to: from,
                 instance,
                 finish,
                 request,
             };
-            self.net.push(answer);
+            self.net.push(response);
             return;
         };
         work.push((from, request));
@@ -176,7 +176,7 @@
                         .push(format!("{} ran on {}", request.adapter, instance.name()));
                 }
                 let finish = Finish::Done;
-                self.net.push(Message::Answer {
+                self.net.push(Message::Response {
                     to,
                     instance,
                     finish,
@@ -195,7 +195,7 @@
     ) {
         let Some(g) = self.gateway(to) else {
             if self.gateways[to.vm.0 as usize].incarnation == to.incarnation {
-                self.net.push(Message::Answer {
+                self.net.push(Message::Response {
                     to,
                     instance,
                     finish,
--- a/crates/core/tests/world/faults.rs
+++ b/crates/core/tests/world/faults.rs
@@ -26,14 +26,14 @@
                 instance,
                 request,
             }
-            | Message::Answer {
+            | Message::Response {
                 to: from,
                 instance,
                 request,
                 ..
             } => {
                 let finish = Finish::Failed;
-                let end = Message::Answer {
+                let end = Message::Response {
                     to: from,
                     instance,
                     finish,
@@ -63,7 +63,7 @@
         for (instance, work) in std::mem::take(&mut engine.loaded) {
             for (to, request) in work {
                 let finish = Finish::Failed;
-                self.net.push(Message::Answer {
+                self.net.push(Message::Response {
                     to,
                     instance,
                     finish,
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -307,7 +307,7 @@
             Message::Reply { to, .. }
             | Message::PollReply { to, .. }
             | Message::Recall(to, _)
-            | Message::Answer { to, .. } => !self.gateways[to.vm.0 as usize].frozen,
+            | Message::Response { to, .. } => !self.gateways[to.vm.0 as usize].frozen,
             Message::Order(..) | Message::Request { .. } => true,
         }
     }
--- a/crates/core/tests/world/net.rs
+++ b/crates/core/tests/world/net.rs
@@ -29,7 +29,7 @@
         instance: Instance,
         request: Request,
     },
-    Answer {
+    Response {
         to: Holder,
         instance: Instance,
         finish: Finish,
