--- a/crates/core/src/feed/source_choice.rs
+++ b/crates/core/src/feed/source_choice.rs
@@ -27,16 +27,16 @@
 #[derive(derive_more::Display)]
 pub enum SourceFailure {
     /// It did not respond.
-    #[display("not reached")]
+    #[display("unreachable")]
     Unreachable,
     /// It has had no response from the store for too long.
-    #[display("lost the store")]
+    #[display("no recent response from the store")]
     Stale,
     /// It reads from another VM itself.
-    #[display("follows another VM")]
+    #[display("reads from another VM")]
     NotReading,
     /// It does not have the changes since the requested revision.
-    #[display("knows no history")]
+    #[display("no history since the requested revision")]
     HistoryGone,
 }
 
