--- a/crates/core/src/ownership/pending_load.rs
+++ b/crates/core/src/ownership/pending_load.rs
@@ -11,6 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
     pub(super) from: Holder,
+    /// Id of the acquire request.
     pub(super) ask: u64,
     pub(super) account: AccountId,
     pub(super) since: Millis,
--- a/crates/core/src/routing/adapter_entry.rs
+++ b/crates/core/src/routing/adapter_entry.rs
@@ -10,6 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingAcquire {
     pub(super) upstream: UpstreamId,
+    /// Id of the acquire request.
     pub(super) ask: u64,
     pub(super) since: Millis,
 }
@@ -46,6 +47,7 @@
     pub(super) loading_on: Option<UpstreamId>,
     /// Engines in order of preference.
     pub(super) preferred: Vec<UpstreamId>,
+    /// The `upstreams_version` of the router for which `preferred` was computed.
     pub(super) preferred_version: u64,
 }
 
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -239,7 +239,7 @@
 /// A new owner must neither reload nor unload instances that gateways still use.
 #[test]
 fn takeover_by_witnesses() {
-    script("takeover_by_witnesses");
+    script("takeover_keeps_held_instances");
 }
 
 /// A gateway that stops responding while it holds a grant must neither block another adapter's load
