--- a/crates/core/src/feed/recent_changes.rs
+++ b/crates/core/src/feed/recent_changes.rs
@@ -1,46 +1,42 @@
 use {crate::clock::Millis, std::collections::HashMap};
 
-/// How long a change is kept for those who ask for what is new: somewhat longer than the longest pause between two
-/// questions of one VM.
-const KEPT: Millis = Millis(10_000);
+/// How long a change is kept; longer than the longest interval between two polls of a VM.
+const CHANGE_RETENTION: Millis = Millis(10_000);
 
-/// Minor changes in one answer. Thousands of upstreams change every second: told all at once to each VM of a data centre
-/// they would fill its links, and the answers come too late.
+/// Maximum number of minor changes in one response, which bounds its size.
 pub const MAX_MINOR: usize = 64;
 
 /// A change of one key.
 #[derive(Clone, Debug)]
 pub struct Change<T> {
-    /// The store's revision that it made.
+    /// The store revision of the change.
     pub revision: u64,
-    /// What has become of the key.
+    /// The new state of the key.
     pub what: T,
 }
 
-/// What has changed since a revision.
+/// The changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Since<T> {
-    /// These, in order.
+    /// The changes, in order of revision.
     Changes(Vec<T>),
-    /// What was so long ago isn't known.
+    /// The history since that revision is no longer available.
     Gone,
 }
 
 #[derive(Clone, Debug)]
-struct Kept<T> {
+struct KnownChange<T> {
     last: Change<T>,
-    /// The last change of the key that nobody may learn late; 0 for none.
+    /// Revision of the key's last major change, which must be delivered without delay; 0 if none.
     major_revision: u64,
     at: Millis,
 }
 
-/// The last change of each key that changed lately.
-///
-/// Of several changes of a key only the last matters to whoever hasn't seen any of them.
+/// The last change of each recently changed key.
 #[derive(Clone, Debug)]
 pub struct RecentChanges<T> {
-    of_key: HashMap<String, Kept<T>>,
-    /// All later major changes are known.
+    by_key: HashMap<String, KnownChange<T>>,
+    /// All major changes after this revision are known.
     complete_after: u64,
     revision: u64,
 }
@@ -48,7 +44,7 @@
 impl<T> Default for RecentChanges<T> {
     fn default() -> Self {
         Self {
-            of_key: HashMap::new(),
+            by_key: HashMap::new(),
             complete_after: 0,
             revision: 0,
         }
@@ -59,17 +55,17 @@
 where
     T: Clone,
 {
-    /// Begins anew at a revision, at which all was read.
+    /// Clears all changes after a full read at a revision.
     pub fn reset(
         &mut self,
         revision: u64,
     ) {
-        self.of_key.clear();
+        self.by_key.clear();
         self.complete_after = revision;
         self.revision = revision;
     }
 
-    /// Notes a change; false where a later one of the key is known already.
+    /// Records a change; `false` if the same or a later one of the key is known.
     pub fn note(
         &mut self,
         key: &str,
@@ -77,7 +73,7 @@
         is_major: bool,
         now: Millis,
     ) -> bool {
-        let before = self.of_key.get(key);
+        let before = self.by_key.get(key);
         if before.is_some_and(|before| before.last.revision >= change.revision) {
             return false;
         }
@@ -86,16 +82,16 @@
             Some(before) => before.major_revision,
             None => 0,
         };
-        let kept = Kept {
+        let known = KnownChange {
             last: change,
             major_revision,
             at: now,
         };
-        self.of_key.insert(key.to_owned(), kept);
+        self.by_key.insert(key.to_owned(), known);
         true
     }
 
-    /// Notes that everything up to a revision has been noted, and forgets what is old.
+    /// Records that all changes up to a revision are known, and drops expired ones.
     pub fn advance(
         &mut self,
         revision: u64,
@@ -103,30 +99,32 @@
     ) {
         self.revision = self.revision.max(revision);
         let complete_after = &mut self.complete_after;
-        self.of_key.retain(|_, kept| {
-            let stays = now.since(kept.at) < KEPT;
-            if !stays {
-                *complete_after = (*complete_after).max(kept.major_revision);
+        self.by_key.retain(|_, known| {
+            let is_recent = now.since(known.at) < CHANGE_RETENTION;
+            if !is_recent {
+                *complete_after = (*complete_after).max(known.major_revision);
             }
-            stays
+            is_recent
         });
     }
 
-    /// Whether a change of a key is kept.
+    /// Whether a change of a key is known.
     pub fn has(
         &self,
         key: &str,
     ) -> bool {
-        self.of_key.contains_key(key)
+        self.by_key.contains_key(key)
     }
 
-    /// The revision up to which everything is known.
+    /// The revision up to which all changes are known.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The keys whose last major change is later than `after`, and, if there is a `minor_after`, the first
-    /// [`MAX_MINOR`] whose last change of any kind is later than that; old minor changes may be missing.
+    /// Returns the keys whose last major change is later than `after`.
+    ///
+    /// With `minor_after`, also returns the first [`MAX_MINOR`] other keys with any change later than
+    /// that revision; old minor changes may be missing.
     pub fn since(
         &self,
         after: u64,
@@ -135,16 +133,21 @@
         if after < self.complete_after {
             return Since::Gone;
         }
-        let is_major = |kept: &Kept<T>| kept.major_revision > after;
-        let is_minor = |kept: &Kept<T>| minor_after.is_some_and(|minor| kept.last.revision > minor);
-        let is_new = |kept: &&Kept<T>| is_major(kept) || is_minor(kept);
-        let mut new: Vec<&Kept<T>> = self.of_key.values().filter(is_new).collect();
-        new.sort_unstable_by_key(|kept| kept.last.revision);
+        let is_major = |known: &KnownChange<T>| known.major_revision > after;
+        let is_minor =
+            |known: &KnownChange<T>| minor_after.is_some_and(|minor| known.last.revision > minor);
+        let is_new = |known: &&KnownChange<T>| is_major(known) || is_minor(known);
+        let mut new: Vec<&KnownChange<T>> = self.by_key.values().filter(is_new).collect();
+        new.sort_unstable_by_key(|known| known.last.revision);
         let mut minor = 0;
-        new.retain(|kept| {
-            minor += usize::from(!is_major(kept));
-            is_major(kept) || minor <= MAX_MINOR
+        new.retain(|known| {
+            minor += usize::from(!is_major(known));
+            is_major(known) || minor <= MAX_MINOR
         });
-        Since::Changes(new.into_iter().map(|kept| kept.last.what.clone()).collect())
+        Since::Changes(
+            new.into_iter()
+                .map(|known| known.last.what.clone())
+                .collect(),
+        )
     }
 }
--- a/crates/core/src/forward/state.rs
+++ b/crates/core/src/forward/state.rs
@@ -1,25 +1,25 @@
 use crate::clock::Millis;
 
-/// Where a request stands.
+/// State of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Waits for an upstream to be chosen.
+    /// Waiting for an upstream to be chosen.
     Routing,
-    /// Sent; waits for the head.
+    /// Sent; waiting for the head of the response.
     Sent,
-    /// Waits until a stream is resumed again.
-    Pausing { until: Millis },
-    /// A resumption was sent; waits for the head.
+    /// Waiting to resume the stream.
+    WaitingToResume { until: Millis },
+    /// Resumption sent; waiting for the head of the response.
     Resuming,
-    /// Parts arrive.
-    Answering,
-    /// Nothing more happens.
+    /// Receiving parts of the response.
+    Receiving,
+    /// Forwarding has ended.
     Done,
 }
 
 impl State {
-    /// Whether bytes of the attempt under way may have left.
-    pub(super) const fn is_out(self) -> bool {
+    /// Whether bytes of the current attempt may have been sent.
+    pub(super) const fn is_in_flight(self) -> bool {
         !matches!(self, Self::Routing | Self::Done)
     }
 }
--- a/crates/core/src/membership/epoch_machine.rs
+++ b/crates/core/src/membership/epoch_machine.rs
@@ -2,7 +2,7 @@
     super::{
         Budget, EpochAction, EpochRecord, HoldingsRecord, MembershipSettings, ReleasedRecord,
         StoreView, Versioned,
-        reissue::{Grants, missing, whole},
+        reissue::{Grants, full_right, missing_right},
         vm_watch::VmWatch,
     },
     crate::{
@@ -12,24 +12,24 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Moves the epoch on; each controller runs one over what it reads from the store.
+/// Opens and finalises epochs; each controller runs one on what it reads from the store.
 ///
-/// All writes of the epoch record compare the revision that was read, so any number of controllers
-/// may run it at once, and a write whose reply was lost is settled by the next read. It keeps
-/// nothing but how long it has seen things that way; a restart costs only that wait.
+/// Every write of the epoch record compares the revision that was read, so controllers can run it
+/// concurrently, and a write without a reply is resolved by the next read. Its only state is how long
+/// conditions have held, so a restart only adds that wait.
 #[derive(Clone, Debug)]
 pub struct EpochMachine {
     me: VmId,
     settings: MembershipSettings,
     vms: VmWatch,
-    /// The revision of the epoch record seen last, and since when.
+    /// The last seen revision of the epoch record and when it was first seen.
     record_since: Option<(u64, Millis)>,
-    /// Since when a change has been due.
+    /// When a change became due.
     due_since: Option<Millis>,
 }
 
 impl EpochMachine {
-    /// A machine that has seen nothing yet.
+    /// Creates a machine for the controller on the VM `me`.
     pub fn new(
         me: VmId,
         settings: MembershipSettings,
@@ -43,20 +43,20 @@
         }
     }
 
-    /// Takes in what was read and returns what to write.
+    /// Returns the writes that follow from what was read.
     ///
-    /// Call it again after each write, whatever came of it, with what is read then.
+    /// Call it again after each write, successful or not, with a new read.
     pub fn step(
         &mut self,
         view: &StoreView,
         now: Millis,
     ) -> Vec<EpochAction> {
         let Some(current) = &view.epoch else {
-            return self.first_epoch(view, now);
+            return self.open_first_epoch(view, now);
         };
         let record = &current.value;
         let vms: BTreeSet<VmId> = record.members.iter().map(|member| member.vm).collect();
-        self.vms.note(&vms, view);
+        self.vms.update(&vms, view);
         let record_age = self.record_age(current.mod_revision, now);
         let dead: BTreeSet<Holder> = record
             .members
@@ -64,11 +64,11 @@
             .copied()
             .filter(|&member| self.is_dead(member, view))
             .collect();
-        let finalised = finalise(record, view, &dead, self.settings.grantees);
+        let finalised = finalise(record, view, &dead, self.settings.max_grantees);
         let due = !dead.is_empty()
             || record_age >= self.settings.refresh
             || joining(record, view).next().is_some()
-            || new_budgets(record, view).any(|budget| has_role(record, budget.role));
+            || new_budgets(record, view).any(|budget| has_member_with(record, budget.role));
         if finalised.is_none() && !due {
             self.due_since = None;
             return clean_up(record, view);
@@ -81,22 +81,22 @@
                 write(current, next),
                 EpochAction::DeleteHoldingsBefore(record.epoch),
             ],
-            None if record_age >= self.settings.settle => {
+            None if record_age >= self.settings.min_epoch_interval => {
                 vec![write(current, self.next_epoch(record, view, &dead))]
             }
             None => Vec::new(),
         }
     }
 
-    /// The first record waits for the VMs that start together, so that one alone doesn't get all.
-    fn first_epoch(
+    /// Writes the first record after a delay, so that VMs that start together share the rights.
+    fn open_first_epoch(
         &mut self,
         view: &StoreView,
         now: Millis,
     ) -> Vec<EpochAction> {
         let record = self.next_epoch(&EpochRecord::default(), view, &BTreeSet::new());
         let due_since = *self.due_since.get_or_insert(now);
-        if record.members.is_empty() || now.since(due_since) < self.settings.settle {
+        if record.members.is_empty() || now.since(due_since) < self.settings.min_epoch_interval {
             return Vec::new();
         }
         vec![EpochAction::WriteEpoch {
@@ -130,11 +130,11 @@
         };
         let mut grants = Grants::default();
         for budget in new_budgets(record, view) {
-            let holders = of_role(&next.members, budget.role);
+            let holders = members_with(&next.members, budget.role);
             if holders.is_empty() {
                 continue;
             }
-            grants.divide(&whole(budget), &holders, self.settings.grantees);
+            grants.grant_divided(&full_right(budget), &holders, self.settings.max_grantees);
             next.issued.insert(budget.account, budget.role);
         }
         next.grants = grants.into_records();
@@ -173,16 +173,18 @@
         now.since(since)
     }
 
-    /// Whether a due change is for this controller to make: its place among the live ones says how long
-    /// it leaves that to the others, so that a hundred don't write the same at once.
+    /// Whether this controller makes a due change now.
+    ///
+    /// Controllers wait longer by their position among the live VMs, so that they rarely write the same
+    /// change concurrently.
     fn is_my_turn(
         &mut self,
         view: &StoreView,
         now: Millis,
     ) -> bool {
         let due_since = *self.due_since.get_or_insert(now);
-        let place = view.live.iter().filter(|live| live.vm < self.me).count() as u64;
-        now.since(due_since).0 >= place.saturating_mul(self.settings.stagger.0)
+        let position = view.live.iter().filter(|live| live.vm < self.me).count() as u64;
+        now.since(due_since).0 >= position.saturating_mul(self.settings.stagger_delay.0)
     }
 }
 
@@ -196,12 +198,12 @@
     }
 }
 
-/// The record with its missing rights granted, once every member has reported.
+/// The finalised record with missing rights granted; `None` until every member has reported.
 fn finalise(
     record: &EpochRecord,
     view: &StoreView,
     dead: &BTreeSet<Holder>,
-    grantees: usize,
+    max_grantees: usize,
 ) -> Option<EpochRecord> {
     let reported: BTreeSet<Holder> = reports(record, view).map(|report| report.holder).collect();
     let all_reported = record
@@ -220,9 +222,9 @@
         .map(|right| right.account)
         .collect();
     let reports: Vec<HoldingsRecord> = reports(record, view).cloned().collect();
-    let mut grants = Grants::of(record);
+    let mut grants = Grants::from_record(record);
     for (&account, &role) in &record.issued {
-        let holders: Vec<Holder> = of_role(&record.members, role)
+        let holders: Vec<Holder> = members_with(&record.members, role)
             .into_iter()
             .filter(|holder| !dead.contains(holder))
             .collect();
@@ -230,7 +232,11 @@
             continue;
         }
         let freed = record.freed.get(&account).copied().unwrap_or(0);
-        grants.divide(&missing(account, &reports, freed), &holders, grantees);
+        grants.grant_divided(
+            &missing_right(account, &reports, freed),
+            &holders,
+            max_grantees,
+        );
     }
     next.grants = grants.into_records();
     next.freed = BTreeMap::new();
@@ -246,10 +252,10 @@
         .filter(|report| report.epoch == record.epoch && record.is_member(report.holder))
 }
 
-/// Live daemons that don't belong to the epoch yet; a run that a later one has replaced never does.
+/// Live daemons that are not members yet, except runs that a later one has replaced.
 ///
 /// Their VM must be on the platform's list. The list lags: a new VM that joined before it was listed
-/// and was paused past its lease would look just like one that is gone.
+/// and was paused past its lease could not be told apart from a deleted one.
 fn joining<'a>(
     record: &'a EpochRecord,
     view: &'a StoreView,
@@ -282,7 +288,7 @@
         .filter(|holder| view.released.iter().all(|last| last.holder != *holder))
 }
 
-/// Budgets whose whole has never been granted.
+/// Budgets that have never been granted.
 fn new_budgets<'a>(
     record: &'a EpochRecord,
     view: &'a StoreView,
@@ -292,14 +298,14 @@
         .filter(|budget| !record.issued.contains_key(&budget.account))
 }
 
-fn has_role(
+fn has_member_with(
     record: &EpochRecord,
     role: Role,
 ) -> bool {
     record.members.iter().any(|member| member.role == role)
 }
 
-fn of_role(
+fn members_with(
     members: &[Holder],
     role: Role,
 ) -> Vec<Holder> {
@@ -310,7 +316,7 @@
         .collect()
 }
 
-/// Tokens given back by holders that leave with this change, and those still unused from before.
+/// Tokens released by holders that leave with this change, plus those not granted again before.
 fn freed(
     record: &EpochRecord,
     view: &StoreView,
@@ -328,9 +334,9 @@
     freed
 }
 
-/// Deletes the last words that nobody reads any more.
+/// Deletes final releases that are no longer needed.
 ///
-/// One whose daemon still looks alive stays: without it the daemon would be taken for a new one.
+/// The release of a daemon that still appears live is kept; without it the daemon would join again.
 fn clean_up(
     record: &EpochRecord,
     view: &StoreView,
--- a/crates/core/src/membership/reissue.rs
+++ b/crates/core/src/membership/reissue.rs
@@ -7,15 +7,15 @@
     std::collections::BTreeMap,
 };
 
-/// Grants of one epoch, gathered by holder.
+/// Grants of one epoch, grouped by holder.
 #[derive(Debug, Default)]
 pub struct Grants {
     by_holder: BTreeMap<Holder, Vec<Right>>,
 }
 
 impl Grants {
-    /// Starts from what a record grants already.
-    pub fn of(record: &EpochRecord) -> Self {
+    /// Starts from the grants of a record.
+    pub fn from_record(record: &EpochRecord) -> Self {
         let by_holder = record
             .grants
             .iter()
@@ -24,14 +24,14 @@
         Self { by_holder }
     }
 
-    /// Divides a right evenly among a few members.
-    pub fn divide(
+    /// Divides a right evenly among up to `max_grantees` members.
+    pub fn grant_divided(
         &mut self,
         right: &Right,
         members: &[Holder],
-        grantees: usize,
+        max_grantees: usize,
     ) {
-        let chosen = choose(right.account, members, grantees);
+        let chosen = choose_grantees(right.account, members, max_grantees);
         let n = chosen.len() as u64;
         for holder in chosen {
             let part = Right {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The grants as the record has them.
+    /// Converts the grants to their form in the record.
     pub fn into_records(self) -> Vec<HolderGrants> {
         self.by_holder
             .into_iter()
@@ -55,8 +55,8 @@
     }
 }
 
-/// The whole of a budget that nobody has ever held: with a full burst.
-pub fn whole(budget: &Budget) -> Right {
+/// All rights of a budget that was never granted, with a full burst.
+pub fn full_right(budget: &Budget) -> Right {
     Right {
         account: budget.account,
         rate_share: SHARE_WHOLE,
@@ -65,11 +65,11 @@
     }
 }
 
-/// What the reports leave of the whole.
+/// The rights of an account that no holder reported.
 ///
-/// Its tokens are only those that stopped holders gave back: a dead holder may have used all of its
-/// own just before. Who gets them cuts them down to its room.
-pub fn missing(
+/// Its tokens are only those that stopped holders released, since a dead holder may have used its
+/// own. The receiver caps them at its burst capacity.
+pub fn missing_right(
     account: AccountId,
     reports: &[HoldingsRecord],
     freed: u64,
@@ -92,17 +92,17 @@
     }
 }
 
-/// The account's first homes among the members; the same ones at every controller.
-fn choose(
+/// The members ranked first for the account; every controller chooses the same ones.
+fn choose_grantees(
     account: AccountId,
     members: &[Holder],
-    grantees: usize,
+    max_grantees: usize,
 ) -> Vec<Holder> {
     let mut ranked: Vec<(u64, Holder)> = members
         .iter()
         .map(|&holder| (home_rank(account, holder), holder))
         .collect();
     ranked.sort_unstable();
-    ranked.truncate(grantees.max(1));
+    ranked.truncate(max_grantees.max(1));
     ranked.into_iter().map(|(_, holder)| holder).collect()
 }
--- a/crates/core/src/ownership/engine_copy.rs
+++ b/crates/core/src/ownership/engine_copy.rs
@@ -6,35 +6,34 @@
     std::collections::BTreeMap,
 };
 
-/// What the owner knows of one instance on one engine.
+/// State of one copy on an engine, as its owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyState {
     /// The load has been ordered.
     Loading,
-    /// It is loaded and may be granted.
+    /// Loaded; can be granted.
     Resident,
-    /// It is to be unloaded as soon as every holder has dropped it.
+    /// Will be unloaded once every holder has released it.
     Recalling,
     /// The unload has been ordered.
     Unloading,
-    /// It may be there, but a late order may take it away at any time: it is granted to nobody.
-    Doubtful,
-    /// It is not there, but gateways have not yet dropped their grants.
+    /// May be loaded, but a delayed order may unload it at any time; never granted.
+    Uncertain,
+    /// Not loaded any more, but gateways still hold grants.
     Gone,
 }
 
-/// One instance on one engine.
+/// One copy of an adapter version on an engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineCopy {
-    /// What is known of it.
     pub(super) state: CopyState,
-    /// Since when.
-    pub(super) since: Millis,
-    /// The gateways that may route to it, each with the question its grant answered.
+    /// When it entered `state`.
+    pub(super) state_since: Millis,
+    /// The gateways that may route to it, each with the id of the last request granted.
     pub(super) grants: BTreeMap<Holder, u64>,
-    /// When a gateway last asked for it or gave it back.
-    pub(super) used: Millis,
-    /// The client account that asked for it last.
+    /// When a gateway last acquired or released it.
+    pub(super) last_used: Millis,
+    /// The client account that requested it last.
     pub(super) account: Option<AccountId>,
 }
 
@@ -45,28 +44,28 @@
     ) -> Self {
         Self {
             state,
-            since: now,
+            state_since: now,
             grants: BTreeMap::new(),
-            used: now,
+            last_used: now,
             account: None,
         }
     }
 
-    pub(super) fn enter(
+    pub(super) fn set_state(
         &mut self,
         state: CopyState,
         now: Millis,
     ) {
         self.state = state;
-        self.since = now;
+        self.state_since = now;
     }
 
-    /// Whether an order for it has been given and not answered.
-    pub(super) fn has_order_out(&self) -> bool {
+    /// Whether an order for it is pending.
+    pub(super) fn has_pending_order(&self) -> bool {
         matches!(self.state, CopyState::Loading | CopyState::Unloading)
     }
 
-    pub(super) fn takes_slot(&self) -> bool {
+    pub(super) fn uses_slot(&self) -> bool {
         self.state != CopyState::Gone
     }
 }
--- a/crates/core/src/ownership/wanted.rs
+++ b/crates/core/src/ownership/pending_load.rs
@@ -7,63 +7,64 @@
     std::collections::BTreeSet,
 };
 
-/// A gateway whose question is held back.
+/// An acquire request whose reply waits for the load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
     pub(super) from: Holder,
+    /// Id of the acquire request.
     pub(super) ask: u64,
     pub(super) account: AccountId,
     pub(super) since: Millis,
     pub(super) until: Millis,
 }
 
-/// How far the load of a wanted adapter has come.
+/// Progress of a requested load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
-    /// It waits for its turn.
+pub(super) enum LoadStage {
+    /// Waits for budget.
     Queued,
-    /// It has its budget and waits for a slot.
+    /// Has budget and waits for a slot.
     NeedsSlot,
     /// The load has been ordered.
     Loading,
 }
 
-/// An adapter version that somebody wants on an engine.
+/// An adapter version that gateways have requested on an engine.
 #[derive(Clone, Debug)]
-pub(super) struct Wanted {
-    pub(super) stage: Stage,
-    /// Since when it has been wanted without a break.
+pub(super) struct PendingLoad {
+    pub(super) stage: LoadStage,
+    /// When it was first requested.
     pub(super) since: Millis,
-    /// When somebody last asked.
-    pub(super) asked: Millis,
-    /// For which client account somebody last asked.
+    /// When it was last requested.
+    pub(super) last_requested: Millis,
+    /// The client account of the last request.
     pub(super) account: AccountId,
     pub(super) waiters: Vec<Waiter>,
-    /// The gateways that have asked since it has been wanted.
-    pub(super) askers: BTreeSet<VmId>,
+    /// VMs whose gateway has requested it.
+    pub(super) requesters: BTreeSet<VmId>,
 }
 
-impl Wanted {
+impl PendingLoad {
     pub(super) fn new(
         account: AccountId,
         now: Millis,
     ) -> Self {
         Self {
-            stage: Stage::Queued,
+            stage: LoadStage::Queued,
             since: now,
-            asked: now,
+            last_requested: now,
             account,
             waiters: Vec::new(),
-            askers: BTreeSet::new(),
+            requesters: BTreeSet::new(),
         }
     }
 
-    /// Adds a question; one that is already waiting stays as it is.
-    pub(super) fn join(
+    /// Adds a waiting request unless it is already present.
+    pub(super) fn add_waiter(
         &mut self,
         waiter: Waiter,
     ) {
-        self.asked = self.asked.max(waiter.since);
+        self.last_requested = self.last_requested.max(waiter.since);
         self.account = waiter.account;
         if !self
             .waiters
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Grants `copy` to everybody who waits, and empties the list.
-    pub(super) fn grant(
+    /// Grants `copy` to all waiting requests, and removes and returns them.
+    pub(super) fn grant_all(
         &mut self,
         copy: &mut EngineCopy,
     ) -> Vec<Waiter> {
--- a/crates/core/src/routing/adapter_entry.rs
+++ b/crates/core/src/routing/adapter_entry.rs
@@ -6,47 +6,49 @@
     std::collections::BTreeSet,
 };
 
-/// A question that is under way.
+/// An acquire request without a reply yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingAcquire {
     pub(super) upstream: UpstreamId,
+    /// Id of the acquire request.
     pub(super) ask: u64,
     pub(super) since: Millis,
 }
 
-/// Why an engine is not to be asked for an adapter for a while.
+/// Why an engine is avoided for an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reason {
+pub(super) enum AvoidReason {
     Full,
     LoadFailed,
     NotLoaded,
 }
 
-/// An engine that is not to be asked for an adapter for a while.
+/// An engine that is temporarily not asked for an adapter.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Avoid {
+pub(super) struct AvoidedEngine {
     pub(super) upstream: UpstreamId,
     pub(super) until: Millis,
-    pub(super) reason: Reason,
+    pub(super) reason: AvoidReason,
 }
 
-/// One adapter version as this gateway sees it.
+/// What this gateway knows about one adapter version.
 #[derive(Clone, Debug)]
 pub(super) struct AdapterEntry {
     pub(super) model: ModelId,
     /// The client account that used it last.
     pub(super) account: AccountId,
-    /// Engines that have it, by their owners' word.
+    /// Engines that have it loaded, according to their owners.
     pub(super) resident: BTreeSet<UpstreamId>,
     /// Engines on which this gateway holds a grant for it.
     pub(super) held: BTreeSet<UpstreamId>,
-    pub(super) pending: Vec<Pending>,
-    pub(super) avoid: Vec<Avoid>,
-    /// The engine whose owner has said that the load is under way.
+    pub(super) pending: Vec<PendingAcquire>,
+    pub(super) avoided: Vec<AvoidedEngine>,
+    /// The engine whose owner last replied that the load is in progress.
     pub(super) loading_on: Option<UpstreamId>,
-    /// Engines in the order of preference, for one state of the list of upstreams.
+    /// Engines in order of preference.
     pub(super) preferred: Vec<UpstreamId>,
-    pub(super) preferred_for: u64,
+    /// The `upstreams_version` of the router for which `preferred` was computed.
+    pub(super) preferred_version: u64,
 }
 
 impl AdapterEntry {
@@ -57,10 +59,10 @@
             resident: BTreeSet::new(),
             held: BTreeSet::new(),
             pending: Vec::new(),
-            avoid: Vec::new(),
+            avoided: Vec::new(),
             loading_on: None,
             preferred: Vec::new(),
-            preferred_for: 0,
+            preferred_version: 0,
         }
     }
 
@@ -69,35 +71,35 @@
         upstream: UpstreamId,
         now: Millis,
     ) -> bool {
-        self.avoid
+        self.avoided
             .iter()
             .any(|avoid| avoid.upstream == upstream && now < avoid.until)
     }
 
-    /// The time until the first engine that was avoided may be asked again.
-    pub(super) fn avoid_left(
+    /// The time until the first avoided engine may be asked again.
+    pub(super) fn time_until_retry(
         &self,
         now: Millis,
     ) -> Option<Millis> {
-        self.avoid
+        self.avoided
             .iter()
             .filter(|avoid| now < avoid.until)
             .map(|avoid| avoid.until.since(now))
             .min()
     }
 
-    /// Engines on which its load has failed lately.
-    pub(super) fn failures(
+    /// Number of engines on which its load failed recently.
+    pub(super) fn failed_loads(
         &self,
         now: Millis,
     ) -> usize {
-        self.avoid
+        self.avoided
             .iter()
-            .filter(|avoid| avoid.reason == Reason::LoadFailed && now < avoid.until)
+            .filter(|avoid| avoid.reason == AvoidReason::LoadFailed && now < avoid.until)
             .count()
     }
 
-    /// Whether nothing is worth remembering of it.
+    /// Whether the entry holds no state that is still needed.
     pub(super) fn is_idle(
         &self,
         now: Millis,
@@ -105,6 +107,6 @@
         self.resident.is_empty()
             && self.held.is_empty()
             && self.pending.is_empty()
-            && self.avoid_left(now).is_none()
+            && self.time_until_retry(now).is_none()
     }
 }
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Route, Router, SpecKind, Target,
-        adapter_entry::{AdapterEntry, Pending},
+        adapter_entry::{AdapterEntry, PendingAcquire},
         engine::Engine,
     },
     crate::{
@@ -12,15 +12,16 @@
     },
 };
 
-/// Engines that a gateway considers for a cold adapter, in the order of preference.
-const PREFERRED: usize = 8;
+/// Number of engines that a gateway considers for an adapter that is not loaded.
+const MAX_PREFERRED_ENGINES: usize = 8;
 
-/// An adapter whose load has failed on this many engines is refused for a while.
-const FAILED_ENGINES: usize = 2;
+/// Requests are refused temporarily after the adapter's load has failed on this many engines.
+const MAX_FAILED_ENGINES: usize = 2;
 
 impl Router {
-    /// Decides where a request goes. `prefix` is a hash of the start of its prompt, for engines
-    /// that have it cached.
+    /// Decides where a request goes.
+    ///
+    /// `prefix` is a hash of the start of its prompt, used to prefer engines that may have it cached.
     pub fn route(
         &mut self,
         target: Target,
@@ -35,20 +36,20 @@
             Target::Base(model) => {
                 let engines = self.by_model.get(&model).map_or(&[][..], Vec::as_slice);
                 let best = self.best(engines, prefix, now);
-                self.send_plain(best, !engines.is_empty(), now)
+                self.send_to_best(best, !engines.is_empty(), now)
             }
             Target::Service(service) => {
                 let servers = self.by_service.get(&service).map_or(&[][..], Vec::as_slice);
                 let best = self.best(servers, None, now);
-                self.send_plain(best, !servers.is_empty(), now)
+                self.send_to_best(best, !servers.is_empty(), now)
             }
         }
     }
 
-    /// Decides where a request goes that has just failed at `avoid`.
+    /// Decides where a request that has just failed at `avoid` is retried.
     ///
-    /// An upstream that refuses connections looks idle until its breaker trips, and a request that is tried again
-    /// would use up its attempts there. Where there is no other it goes to the same.
+    /// A failing upstream looks idle until its breaker trips, so a retry goes to another one unless
+    /// there is none.
     pub fn route_elsewhere(
         &mut self,
         avoid: UpstreamId,
@@ -63,14 +64,14 @@
         route
     }
 
-    fn send_plain(
+    fn send_to_best(
         &mut self,
         best: Option<UpstreamId>,
         exists: bool,
         now: Millis,
     ) -> Route {
         let Some(upstream) = best else {
-            let delay = exists.then_some(self.settings.first_pause);
+            let delay = exists.then_some(self.settings.min_breaker_delay);
             return Route::Refuse(Refusal {
                 kind: ErrorKind::NoUpstream,
                 retry_after: delay,
@@ -78,8 +79,8 @@
         };
         let engine = self.engines.get_mut(&upstream).expect("just chosen");
         let is_engine = matches!(engine.spec.kind, SpecKind::Engine { .. });
-        if is_engine && engine.fill() >= self.settings.max_fill {
-            return Route::Wait(self.settings.recheck);
+        if is_engine && engine.utilisation() >= self.settings.max_utilisation {
+            return Route::Wait(self.settings.max_recheck_delay);
         }
         send(engine, None, now)
     }
@@ -100,21 +101,21 @@
         let held: Vec<UpstreamId> = entry.held.iter().copied().collect();
         let routable: Vec<UpstreamId> = held
             .into_iter()
-            .filter(|upstream| self.grant_on(*upstream, adapter).is_some())
+            .filter(|upstream| self.newest_grant(*upstream, adapter).is_some())
             .collect();
         if let Some(upstream) = self.best(&routable, prefix, now) {
-            let instance = self.grant_on(upstream, adapter);
+            let instance = self.newest_grant(upstream, adapter);
             let engine = self.engines.get_mut(&upstream).expect("just chosen");
-            if engine.fill() >= self.settings.max_fill {
-                return Route::Wait(self.settings.recheck);
+            if engine.utilisation() >= self.settings.max_utilisation {
+                return Route::Wait(self.settings.max_recheck_delay);
             }
             return send(engine, instance, now);
         }
-        self.acquire_somewhere(adapter, now)
+        self.acquire_adapter(adapter, now)
     }
 
-    /// The newest instance of the adapter on that engine that may be routed to.
-    pub(super) fn grant_on(
+    /// The newest instance of the adapter on an engine that this gateway may route to.
+    pub(super) fn newest_grant(
         &self,
         upstream: UpstreamId,
         adapter: AdapterVersion,
@@ -124,7 +125,7 @@
             .held
             .iter()
             .rev()
-            .find(|((of, _), held)| *of == adapter && !held.recalled)
+            .find(|((of, _), held)| *of == adapter && !held.is_recalled)
             .map(|(&(_, fence), _)| Instance {
                 upstream,
                 adapter,
@@ -132,7 +133,7 @@
             })
     }
 
-    /// The usable upstream with the least cost; among equals the one that may have the prefix.
+    /// The usable upstream with the least cost; ties go to the one that may have the prefix cached.
     fn best(
         &self,
         upstreams: &[UpstreamId],
@@ -154,7 +155,7 @@
         let Some(prefix) = prefix else {
             return Some(least.spec.upstream);
         };
-        let bound = cost(&least) + self.settings.tie;
+        let bound = cost(&least) + self.settings.cost_tolerance;
         let affinity = |engine: &&Engine| rendezvous(prefix, u64::from(engine.spec.upstream.0), 1);
         usable()
             .filter(|engine| cost(engine) <= bound)
@@ -162,35 +163,35 @@
             .map(|engine| engine.spec.upstream)
     }
 
-    fn acquire_somewhere(
+    fn acquire_adapter(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
     ) -> Route {
-        let timeout = self.settings.ask_timeout;
+        let timeout = self.settings.acquire_timeout;
         let entry = self.adapters.get_mut(&adapter).expect("just routed");
         entry
             .pending
             .retain(|pending| now.since(pending.since) < timeout);
-        entry.avoid.retain(|avoid| now < avoid.until);
+        entry.avoided.retain(|avoid| now < avoid.until);
         if !entry.pending.is_empty() {
-            return Route::Wait(self.settings.recheck);
+            return Route::Wait(self.settings.max_recheck_delay);
         }
-        if entry.failures(now) >= FAILED_ENGINES {
-            let left = entry.avoid_left(now).unwrap_or_default();
+        if entry.failed_loads(now) >= MAX_FAILED_ENGINES {
+            let left = entry.time_until_retry(now).unwrap_or_default();
             return Route::Refuse(Refusal::after(ErrorKind::AdapterLoadFailed, left));
         }
-        match self.where_to_acquire(adapter, now) {
+        match self.engine_to_acquire_on(adapter, now) {
             Some(upstream) => {
-                let ask = self.ask_for(adapter, upstream, now);
+                let ask = self.start_acquire(adapter, upstream, now);
                 Route::Acquire { upstream, ask }
             }
-            None => self.nowhere(adapter, now),
+            None => self.no_engine_available(adapter, now),
         }
     }
 
-    /// The engine to ask for an adapter: one that has it, or else the most preferred one.
-    pub(super) fn where_to_acquire(
+    /// The engine to ask for an adapter: one that has or loads it, or else the most preferred one.
+    pub(super) fn engine_to_acquire_on(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
@@ -203,7 +204,7 @@
                 && self
                     .engines
                     .get(upstream)
-                    .is_some_and(|engine| engine.is_usable(now) && now >= engine.ask_again)
+                    .is_some_and(|engine| engine.is_usable(now) && now >= engine.next_ask_at)
         };
         let cost = |upstream: &UpstreamId| self.engines[upstream].cost(&self.settings);
         let resident = entry
@@ -211,8 +212,8 @@
             .iter()
             .filter(may_ask)
             .min_by(|a, b| cost(a).total_cmp(&cost(b)));
-        // Where the load is under way first: chasing what a lagging view calls resident can go
-        // round and round, each load throwing out what somebody else is just asking for.
+        // The engine that loads it goes first: the lagging view may list a copy that is gone, and
+        // following it can cause repeated loads that evict each other's adapters.
         entry
             .loading_on
             .as_ref()
@@ -222,7 +223,7 @@
             .copied()
     }
 
-    /// Works out the order of preference once for each list of upstreams.
+    /// Updates the order of preference if the list of upstreams has changed.
     fn rank_engines(
         &mut self,
         adapter: AdapterVersion,
@@ -230,16 +231,16 @@
         let Some(entry) = self.adapters.get_mut(&adapter) else {
             return;
         };
-        if entry.preferred_for == self.list {
+        if entry.preferred_version == self.upstreams_version {
             return;
         }
         let slots = self.slots.get(&entry.model).map_or(&[][..], Vec::as_slice);
-        entry.preferred = preferred(adapter, slots, PREFERRED);
-        entry.preferred_for = self.list;
+        entry.preferred = preferred(adapter, slots, MAX_PREFERRED_ENGINES);
+        entry.preferred_version = self.upstreams_version;
     }
 
-    /// Numbers a question and notes that it is under way.
-    pub(super) fn ask_for(
+    /// Allocates a request id and records the acquire request as pending.
+    pub(super) fn start_acquire(
         &mut self,
         adapter: AdapterVersion,
         upstream: UpstreamId,
@@ -249,7 +250,7 @@
         let ask = self.ask;
         self.active.insert(adapter);
         if let Some(entry) = self.adapters.get_mut(&adapter) {
-            entry.pending.push(Pending {
+            entry.pending.push(PendingAcquire {
                 upstream,
                 ask,
                 since: now,
@@ -258,8 +259,8 @@
         ask
     }
 
-    /// What to say when no engine may be asked now.
-    fn nowhere(
+    /// The result if no engine may be asked now.
+    fn no_engine_available(
         &self,
         adapter: AdapterVersion,
         now: Millis,
@@ -269,17 +270,21 @@
             .preferred
             .iter()
             .any(|upstream| self.engines[upstream].is_usable(now));
-        match (any_usable, entry.failures(now) > 0, entry.avoid_left(now)) {
+        match (
+            any_usable,
+            entry.failed_loads(now) > 0,
+            entry.time_until_retry(now),
+        ) {
             (false, _, _) => Route::Refuse(Refusal::after(
                 ErrorKind::NoUpstream,
-                self.settings.first_pause,
+                self.settings.min_breaker_delay,
             )),
             (true, true, Some(left)) => {
                 Route::Refuse(Refusal::after(ErrorKind::AdapterLoadFailed, left))
             }
             (true, _, left) => {
-                let recheck = self.settings.recheck;
-                Route::Wait(left.map_or(recheck, |left| left.min(recheck)))
+                let max_recheck_delay = self.settings.max_recheck_delay;
+                Route::Wait(left.map_or(max_recheck_delay, |left| left.min(max_recheck_delay)))
             }
         }
     }
@@ -290,13 +295,13 @@
     instance: Option<Instance>,
     now: Millis,
 ) -> Route {
-    engine.own += 1;
-    engine.breaker.sent();
+    engine.own_in_flight += 1;
+    engine.breaker.record_sent();
     if let Some(instance) = instance {
         let key = (instance.adapter, instance.fence);
         if let Some(held) = engine.held.get_mut(&key) {
             held.in_flight += 1;
-            held.used = now;
+            held.last_used = now;
         }
     }
     Route::Send {
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineView, RouterSettings, SpecKind, UpstreamSpec, breaker::Breaker},
+    super::{EngineView, RouterSettings, SpecKind, UpstreamSpec, circuit_breaker::CircuitBreaker},
     crate::{
         clock::Millis,
         ids::{AdapterVersion, Fence},
@@ -9,44 +9,44 @@
 
 /// A grant that this gateway holds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldGrant {
     pub(super) in_flight: u32,
-    pub(super) used: Millis,
-    pub(super) recalled: bool,
+    pub(super) last_used: Millis,
+    pub(super) is_recalled: bool,
 }
 
-/// One upstream as this gateway sees it.
+/// What this gateway knows about one upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) spec: UpstreamSpec,
-    /// The highest fencing token seen.
-    pub(super) seen: Fence,
+    /// The highest fencing token seen for it.
+    pub(super) seen_fence: Fence,
     pub(super) view: Option<EngineView>,
-    /// Own requests in flight.
-    pub(super) own: u32,
-    /// Own requests in flight when the view came in.
-    pub(super) own_at_view: u32,
-    pub(super) breaker: Breaker,
-    pub(super) held: BTreeMap<(AdapterVersion, Fence), Held>,
-    /// No questions before this time: its owner is changing.
-    pub(super) ask_again: Millis,
+    /// This gateway's requests in flight.
+    pub(super) own_in_flight: u32,
+    /// This gateway's requests in flight when the view arrived.
+    pub(super) own_in_flight_at_view: u32,
+    pub(super) breaker: CircuitBreaker,
+    pub(super) held: BTreeMap<(AdapterVersion, Fence), HeldGrant>,
+    /// No acquire requests before this time, since its owner is changing.
+    pub(super) next_ask_at: Millis,
 }
 
 impl Engine {
     pub(super) fn new(spec: UpstreamSpec) -> Self {
         Self {
             spec,
-            seen: Fence::default(),
+            seen_fence: Fence::default(),
             view: None,
-            own: 0,
-            own_at_view: 0,
-            breaker: Breaker::default(),
+            own_in_flight: 0,
+            own_in_flight_at_view: 0,
+            breaker: CircuitBreaker::default(),
             held: BTreeMap::new(),
-            ask_again: Millis::ZERO,
+            next_ask_at: Millis::ZERO,
         }
     }
 
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub(super) fn is_usable(
         &self,
         now: Millis,
@@ -55,19 +55,19 @@
         healthy && !self.spec.leaving && self.breaker.is_closed(now)
     }
 
-    /// Requests it has, as far as can be told: the report, corrected by what was sent since.
+    /// Estimated number of its requests: the reported number plus those sent since.
     pub(super) fn load(&self) -> u32 {
         let reported = self
             .view
             .as_ref()
             .map_or(0, |view| view.running + view.waiting);
-        (reported + self.own)
-            .saturating_sub(self.own_at_view)
-            .max(self.own)
+        (reported + self.own_in_flight)
+            .saturating_sub(self.own_in_flight_at_view)
+            .max(self.own_in_flight)
     }
 
-    /// The load in batches.
-    pub(super) fn fill(&self) -> f64 {
+    /// The load as a multiple of the batch size.
+    pub(super) fn utilisation(&self) -> f64 {
         let batch = match self.spec.kind {
             SpecKind::Engine { max_batch, .. } => max_batch.max(1),
             SpecKind::Server { .. } => 1,
@@ -75,12 +75,12 @@
         f64::from(self.load()) / f64::from(batch)
     }
 
-    /// The expected wait, in batches, with what the way to another data centre adds.
+    /// The expected wait in batches, including the cost of another data centre.
     pub(super) fn cost(
         &self,
         settings: &RouterSettings,
     ) -> f64 {
-        let far = self.spec.data_centre != settings.data_centre;
-        self.fill() + if far { settings.far_cost } else { 0.0 }
+        let is_remote = self.spec.data_centre != settings.data_centre;
+        self.utilisation() + if is_remote { settings.remote_cost } else { 0.0 }
     }
 }
--- a/crates/core/src/routing/grants.rs
+++ b/crates/core/src/routing/grants.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         Router, RouterAction,
-        adapter_entry::{Avoid, Reason},
-        engine::Held,
+        adapter_entry::{AvoidReason, AvoidedEngine},
+        engine::HeldGrant,
     },
     crate::{
         clock::Millis,
@@ -12,14 +12,14 @@
     },
 };
 
-/// How long an engine whose owner is changing is left alone.
-const OWNER_CHANGE: Millis = Millis(200);
+/// Delay before an engine whose owner is changing is asked again.
+const OWNER_CHANGE_DELAY: Millis = Millis(200);
 
 impl Router {
-    /// Takes the answer to a question; waiting requests are to be routed again.
+    /// Handles the reply to an acquire request; waiting requests must be routed again.
     ///
-    /// An answer to a question that is not under way any more is dropped: the gateway may have given
-    /// its word for that instance since.
+    /// A reply to a request that is no longer pending is dropped, since the gateway may have released
+    /// the instance in the meantime.
     pub fn acquired(
         &mut self,
         upstream: UpstreamId,
@@ -39,33 +39,33 @@
         };
         entry.loading_on = (outcome == AcquireOutcome::Loading).then_some(upstream);
         match outcome {
-            AcquireOutcome::Granted { instance, owner } if owner >= engine.seen => {
-                engine.seen = owner;
-                let held = Held {
+            AcquireOutcome::Granted { instance, owner } if owner >= engine.seen_fence => {
+                engine.seen_fence = owner;
+                let held = HeldGrant {
                     in_flight: 0,
-                    used: now,
-                    recalled: false,
+                    last_used: now,
+                    is_recalled: false,
                 };
                 engine.held.entry((adapter, instance.fence)).or_insert(held);
                 entry.held.insert(upstream);
             }
-            // From a former owner, whose orders nobody witnesses any more.
+            // A grant from a former owner is not valid any more.
             AcquireOutcome::Granted { .. } | AcquireOutcome::Loading => {}
-            AcquireOutcome::Full(after) => entry.avoid.push(Avoid {
+            AcquireOutcome::Full(after) => entry.avoided.push(AvoidedEngine {
                 upstream,
                 until: now + after,
-                reason: Reason::Full,
+                reason: AvoidReason::Full,
             }),
-            AcquireOutcome::LoadFailed(after) => entry.avoid.push(Avoid {
+            AcquireOutcome::LoadFailed(after) => entry.avoided.push(AvoidedEngine {
                 upstream,
                 until: now + after,
-                reason: Reason::LoadFailed,
+                reason: AvoidReason::LoadFailed,
             }),
-            AcquireOutcome::NotOwner => engine.ask_again = now + OWNER_CHANGE,
+            AcquireOutcome::NotOwner => engine.next_ask_at = now + OWNER_CHANGE_DELAY,
         }
     }
 
-    /// Drops an instance that its owner wants back: at once, or when its last request has ended.
+    /// Releases an instance that its owner recalls, immediately or when its last request has ended.
     pub fn recall(
         &mut self,
         instance: Instance,
@@ -76,16 +76,16 @@
         };
         let key = (instance.adapter, instance.fence);
         match engine.held.get_mut(&key) {
-            Some(held) if held.in_flight > 0 => held.recalled = true,
+            Some(held) if held.in_flight > 0 => held.is_recalled = true,
             _ => self.release(instance, &mut out),
         }
         out
     }
 
-    /// Gives the word that an instance has been dropped.
+    /// Drops the grant for an instance and tells its owner.
     ///
-    /// Questions under way for it are void from here on: their answers may have been given before
-    /// the word, and the owner takes the word as covering them.
+    /// Pending acquire requests for the engine are cancelled: they may already have been granted, and
+    /// the owner treats the release as covering those grants.
     pub(super) fn release(
         &mut self,
         instance: Instance,
@@ -110,13 +110,13 @@
         }
         out.push(RouterAction::Release {
             instance,
-            fence: engine.seen,
+            fence: engine.seen_fence,
             ask: self.ask,
         });
     }
 
-    /// Drops everything on an engine that has restarted.
-    pub(super) fn drop_all(
+    /// Releases all grants on an engine that has restarted.
+    pub(super) fn release_all(
         &mut self,
         upstream: UpstreamId,
         _now: Millis,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Gives back grants that are not used, and asks for more copies of busy adapters.
+    /// Releases idle grants and requests more copies of busy adapters.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -144,7 +144,7 @@
         let active: Vec<AdapterVersion> = self.active.iter().copied().collect();
         for adapter in active {
             self.release_idle(adapter, now, &mut out);
-            self.spread(adapter, now, &mut out);
+            self.request_extra_copy(adapter, now, &mut out);
             let entry = self.adapters.get(&adapter);
             if entry.is_none_or(|entry| entry.held.is_empty() && entry.pending.is_empty()) {
                 self.active.remove(&adapter);
@@ -165,7 +165,7 @@
         let Some(entry) = self.adapters.get(&adapter) else {
             return;
         };
-        let idle_release = self.settings.idle_release;
+        let idle_grant_timeout = self.settings.idle_grant_timeout;
         let all = (adapter, Fence::default())..=(adapter, Fence(u64::MAX));
         let idle: Vec<Instance> = entry
             .held
@@ -175,7 +175,9 @@
                 engine
                     .held
                     .range(all.clone())
-                    .filter(|(_, held)| held.in_flight == 0 && now.since(held.used) >= idle_release)
+                    .filter(|(_, held)| {
+                        held.in_flight == 0 && now.since(held.last_used) >= idle_grant_timeout
+                    })
                     .map(|(&(_, fence), _)| Instance {
                         upstream: engine.spec.upstream,
                         adapter,
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Asks for one more copy where all copies are busy.
-    fn spread(
+    /// Requests one more copy if all copies are busy.
+    fn request_extra_copy(
         &mut self,
         adapter: AdapterVersion,
         now: Millis,
@@ -204,18 +206,19 @@
             .iter()
             .filter_map(|upstream| self.engines.get(upstream))
             .filter(|engine| engine.is_usable(now))
-            .map(super::engine::Engine::fill)
+            .map(super::engine::Engine::utilisation)
             .min_by(f64::total_cmp);
-        let is_busy = least.is_some_and(|fill| fill >= self.settings.spread_fill);
+        let is_busy =
+            least.is_some_and(|utilisation| utilisation >= self.settings.extra_copy_utilisation);
         if !is_busy || !entry.pending.is_empty() {
             return;
         }
-        let Some(upstream) = self.where_to_acquire(adapter, now) else {
+        let Some(upstream) = self.engine_to_acquire_on(adapter, now) else {
             return;
         };
-        let is_better = self.engines[&upstream].fill() < self.settings.spread_fill;
-        if is_better {
-            let ask = self.ask_for(adapter, upstream, now);
+        let has_room = self.engines[&upstream].utilisation() < self.settings.extra_copy_utilisation;
+        if has_room {
+            let ask = self.start_acquire(adapter, upstream, now);
             out.push(RouterAction::Acquire {
                 upstream,
                 adapter,
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         EngineView, Finish, RouterAction, RouterSettings, SpecKind, UpstreamSpec,
-        adapter_entry::{AdapterEntry, Avoid, Reason},
+        adapter_entry::{AdapterEntry, AvoidReason, AvoidedEngine},
         engine::Engine,
     },
     crate::{
@@ -12,28 +12,28 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// The routing of one gateway.
+/// Routing state of one gateway.
 #[derive(Clone, Debug)]
 pub struct Router {
     pub(super) settings: RouterSettings,
     pub(super) engines: BTreeMap<UpstreamId, Engine>,
     pub(super) by_model: BTreeMap<ModelId, Vec<UpstreamId>>,
-    /// Engines of each base model that may get new adapters.
+    /// Adapter slots of the engines of each base model.
     pub(super) slots: BTreeMap<ModelId, Vec<EngineSlot>>,
     pub(super) by_service: BTreeMap<ServiceId, Vec<UpstreamId>>,
     pub(super) adapters: HashMap<AdapterVersion, AdapterEntry>,
-    /// Adapters on which this gateway holds a grant or has a question under way.
+    /// Adapters for which this gateway holds a grant or has a pending acquire request.
     pub(super) active: BTreeSet<AdapterVersion>,
-    /// Grows with each change of the list of upstreams.
-    pub(super) list: u64,
-    /// The number of the last question.
+    /// Incremented with each change of the list of upstreams.
+    pub(super) upstreams_version: u64,
+    /// Id of the last acquire request.
     pub(super) ask: u64,
-    /// The upstream at which the request that is being routed has just failed.
+    /// The upstream to avoid because the request being routed has just failed there.
     pub(super) avoid: Option<UpstreamId>,
 }
 
 impl Router {
-    /// A router that knows no upstream yet.
+    /// Creates a router without upstreams.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
             settings,
@@ -43,13 +43,13 @@
             by_service: BTreeMap::new(),
             adapters: HashMap::new(),
             active: BTreeSet::new(),
-            list: 0,
+            upstreams_version: 0,
             ask: 0,
             avoid: None,
         }
     }
 
-    /// Takes the list of upstreams of a new configuration; what is known of them is kept.
+    /// Replaces the list of upstreams; the state of those that remain is kept.
     pub fn set_upstreams(
         &mut self,
         specs: &[UpstreamSpec],
@@ -58,7 +58,7 @@
         self.by_model.clear();
         self.slots.clear();
         self.by_service.clear();
-        self.list += 1;
+        self.upstreams_version += 1;
         for &spec in specs {
             let mut engine = before
                 .remove(&spec.upstream)
@@ -81,10 +81,10 @@
                 }
             }
         }
-        // An upstream that was deleted while it has work of this gateway is kept until that ends.
+        // A removed upstream is kept as long as it has requests of this gateway.
         for (upstream, mut engine) in before {
             engine.spec.leaving = true;
-            if engine.own > 0 {
+            if engine.own_in_flight > 0 {
                 self.engines.insert(upstream, engine);
             } else {
                 self.forget_engine(upstream);
@@ -103,20 +103,18 @@
         }
     }
 
-    /// Notes the fencing token of an engine's owner, from wherever it was heard.
-    pub fn see_fence(
+    /// Records a fencing token of an engine's owner.
+    pub fn observe_fence(
         &mut self,
         upstream: UpstreamId,
         fence: Fence,
     ) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.seen = engine.seen.max(fence);
+            engine.seen_fence = engine.seen_fence.max(fence);
         }
     }
 
-    /// Takes what an engine's owner tells of it.
-    ///
-    /// What a former owner tells is dropped: its grants and residents are not to be relied on.
+    /// Updates an engine's state from its owner's view; views of former owners are ignored.
     pub fn observe(
         &mut self,
         view: EngineView,
@@ -127,19 +125,22 @@
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return out;
         };
-        if view.owner_fence < engine.seen {
+        if view.owner_fence < engine.seen_fence {
             return out;
         }
-        engine.seen = view.owner_fence;
-        engine.own_at_view = engine.own;
+        engine.seen_fence = view.owner_fence;
+        engine.own_in_flight_at_view = engine.own_in_flight;
         let last = engine.view.take();
         let restarted = last.as_ref().is_some_and(|last| last.boot != view.boot);
-        let had = last.map(|last| last.resident).unwrap_or_default();
+        let previously_resident = last.map(|last| last.resident).unwrap_or_default();
         let model = match engine.spec.kind {
             SpecKind::Engine { model, .. } => model,
             SpecKind::Server { .. } => ModelId::default(),
         };
-        for gone in had.iter().filter(|had| !view.resident.contains(had)) {
+        for gone in previously_resident
+            .iter()
+            .filter(|previously_resident| !view.resident.contains(previously_resident))
+        {
             let Some(entry) = self.adapters.get_mut(&gone.adapter) else {
                 continue;
             };
@@ -157,22 +158,22 @@
         }
         engine.view = Some(view);
         if restarted {
-            self.drop_all(upstream, now, &mut out);
+            self.release_all(upstream, now, &mut out);
         }
         out
     }
 
-    /// Takes an owner's word that an engine is as it last told: its load then is its load now.
+    /// Records that an engine's owner has confirmed the last view as current.
     pub fn unchanged(
         &mut self,
         upstream: UpstreamId,
     ) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.own_at_view = engine.own;
+            engine.own_in_flight_at_view = engine.own_in_flight;
         }
     }
 
-    /// Whether this engine is in the configuration and nothing has been told of it.
+    /// Whether this engine is configured and no view of it has arrived.
     pub fn lacks_view(
         &self,
         upstream: UpstreamId,
@@ -181,7 +182,7 @@
         engine.is_some_and(|engine| engine.view.is_none())
     }
 
-    /// Notes that a request has ended.
+    /// Records that a sent request has ended.
     pub fn finished(
         &mut self,
         upstream: UpstreamId,
@@ -193,52 +194,51 @@
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return out;
         };
-        engine.own = engine.own.saturating_sub(1);
+        engine.own_in_flight = engine.own_in_flight.saturating_sub(1);
         match finish {
-            Finish::Done | Finish::NotLoaded => engine.breaker.succeeded(),
-            Finish::Failed => engine.breaker.failed(&self.settings, now),
+            Finish::Done | Finish::NotLoaded => engine.breaker.record_success(),
+            Finish::Failed => engine.breaker.record_failure(&self.settings, now),
         }
         let Some(instance) = instance else {
             return out;
         };
         let entry = self.adapters.get_mut(&instance.adapter);
         if let Some(entry) = entry.filter(|_| finish == Finish::NotLoaded) {
-            // Its owner does not know yet that it is gone and would grant it again at once.
-            entry.avoid.push(Avoid {
+            // The owner does not know yet that the instance is gone and would grant it again.
+            entry.avoided.push(AvoidedEngine {
                 upstream,
-                until: now + self.settings.not_loaded_pause,
-                reason: Reason::NotLoaded,
+                until: now + self.settings.not_loaded_delay,
+                reason: AvoidReason::NotLoaded,
             });
         }
         let key = (instance.adapter, instance.fence);
         if let Some(held) = engine.held.get_mut(&key) {
             held.in_flight = held.in_flight.saturating_sub(1);
-            held.recalled |= finish == Finish::NotLoaded;
-            if held.recalled && held.in_flight == 0 {
+            held.is_recalled |= finish == Finish::NotLoaded;
+            if held.is_recalled && held.in_flight == 0 {
                 self.release(instance, &mut out);
             }
         }
         out
     }
 
-    /// The highest fencing token seen of an engine.
+    /// The highest fencing token seen for an engine.
     pub fn seen_of(
         &self,
         upstream: UpstreamId,
     ) -> Option<Fence> {
-        self.engines.get(&upstream).map(|engine| engine.seen)
+        self.engines.get(&upstream).map(|engine| engine.seen_fence)
     }
 
-    /// The highest fencing token seen of each engine.
+    /// The highest fencing token seen for each engine.
     pub fn seen(&self) -> Vec<(UpstreamId, Fence)> {
         self.engines
             .iter()
-            .map(|(&upstream, engine)| (upstream, engine.seen))
+            .map(|(&upstream, engine)| (upstream, engine.seen_fence))
             .collect()
     }
 
-    /// The instances this gateway routes to or has work on; those of an owner's engines go with
-    /// each poll of it.
+    /// The instances that this gateway holds grants for; each owner is polled with those on its engines.
     pub fn held(&self) -> Vec<Instance> {
         self.engines
             .iter()
@@ -252,11 +252,13 @@
             .collect()
     }
 
-    /// Own requests in flight at an upstream.
+    /// This gateway's requests in flight at an upstream.
     pub fn in_flight(
         &self,
         upstream: UpstreamId,
     ) -> u32 {
-        self.engines.get(&upstream).map_or(0, |engine| engine.own)
+        self.engines
+            .get(&upstream)
+            .map_or(0, |engine| engine.own_in_flight)
     }
 }
--- a/crates/core/tests/world/net.rs
+++ b/crates/core/tests/world/net.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// What is under way.
+/// A message in transit.
 #[derive(Clone)]
 pub enum Message {
     ToOwner(usize, OwnerEvent),
@@ -29,7 +29,7 @@
         instance: Instance,
         request: Request,
     },
-    Answer {
+    Response {
         to: Holder,
         instance: Instance,
         finish: Finish,
