--- a/crates/entry/examples/scheduler_calls.rs
+++ b/crates/entry/examples/scheduler_calls.rs
@@ -1,8 +1,8 @@
-//! What a call between entry VMs costs the one that schedules: connections, messages and decisions together.
+//! Measures the leader's CPU time per request placed for other entry VMs, including RPC handling.
 //!
-//! `cargo run --release -p jasmine-entry --example scheduler_calls -- <VMs> <requests a second> <seconds>`. The requests are
-//! calls of a plain service with room for all, so that decisions cost next to nothing; what is told is the processor
-//! time of the thread that schedules.
+//! `cargo run --release -p jasmine-entry --example scheduler_calls -- <VMs> <requests per second> <seconds>`
+//!
+//! The requests are calls of a service with free slots for all, so that the scheduling decisions themselves are cheap.
 
 use {
     jasmine_core::{
@@ -33,34 +33,35 @@
     },
 };
 
+/// VMs, requests per second and seconds.
 const DEFAULTS: [u64; 3] = [62, 850, 10];
 const FENCE: Fence = Fence(7);
-/// How long a call takes.
-const WORK: Duration = Duration::from_millis(20);
+/// Duration of each call.
+const CALL_DURATION: Duration = Duration::from_millis(20);
 
 fn main() {
     let mut args = std::env::args().skip(1);
     let [vms, per_s, seconds] = DEFAULTS.map(|default| {
         let arg = args.next();
-        arg.map_or(default, |arg| arg.parse().expect("a number"))
+        arg.map_or(default, |arg| arg.parse().expect("arguments are integers"))
     });
     let (started, address) = channel();
     let (finish, finished) = channel();
-    let leader = thread::spawn(move || lead(&started, &finished));
-    let address = address.recv().expect("it listens");
-    thread::spawn(move || follow(address, vms, per_s, seconds))
+    let leader = thread::spawn(move || run_leader(&started, &finished));
+    let address = address.recv().expect("the leader listens");
+    thread::spawn(move || run_followers(address, vms, per_s, seconds))
         .join()
-        .expect("callers end");
-    finish.send(()).expect("the leader runs");
-    let spent = leader.join().expect("the leader ends");
+        .expect("the followers finish");
+    finish.send(()).expect("the leader is running");
+    let spent = leader.join().expect("the leader finishes");
     println!(
-        "{vms} VMs, {per_s} requests a second: {:.1} us a request, {:.4} of a core",
+        "{vms} VMs, {per_s} requests per second: {:.1} us CPU time per request, {:.4} cores",
         spent.as_secs_f64() * 1e6 / (per_s * seconds) as f64,
         spent.as_secs_f64() / seconds as f64,
     );
 }
 
-fn lead(
+fn run_leader(
     started: &Sender<SocketAddr>,
     finished: &Receiver<()>,
 ) -> Duration {
@@ -80,7 +81,7 @@
         );
         let client: scheduler::Client = capnp_rpc::new_client(server);
         spawn_local(serve(listener, client.client));
-        started.send(address).expect("somebody waits");
+        started.send(address).expect("main waits for the address");
         while finished.try_recv().is_err() {
             sleep(Duration::from_millis(50)).await;
         }
@@ -89,7 +90,7 @@
     })
 }
 
-fn follow(
+fn run_followers(
     leader: SocketAddr,
     vms: u64,
     per_s: u64,
@@ -118,8 +119,8 @@
             let vm = Rc::clone(&vms[(number % vms.len() as u64) as usize]);
             spawn_local(async move {
                 if let Ok(placement) = vm.place(job()).await {
-                    sleep(WORK).await;
-                    let took = Millis(WORK.as_millis() as u64);
+                    sleep(CALL_DURATION).await;
+                    let took = Millis(CALL_DURATION.as_millis() as u64);
                     placement.end(Outcome::Answered { took });
                 }
             });
--- a/crates/entry/src/scheduling/client/following.rs
+++ b/crates/entry/src/scheduling/client/following.rs
@@ -1,10 +1,12 @@
-//! Keeping in touch with the leader: who it is, whether it lives, and what it is told.
+//! Follows the leader: discovery, session, health checks and request updates.
 
 use {
-    super::{LINK, Mode, SchedulerLink, Scheduling},
+    super::{LINK_OPTIONS, Mode, SchedulerLink, Scheduling},
     crate::scheduling::{
         Leader,
-        convert::{News, read_leader, write_leader, write_news, write_rested, write_running},
+        convert::{
+            RequestUpdate, read_leader, write_idle_times, write_leader, write_running, write_update,
+        },
     },
     futures::future::join_all,
     jasmine_core::clock::Millis,
@@ -14,32 +16,32 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// How often the scheduler is asked whether it lives.
-const PING_EVERY: Millis = Millis(300);
-/// VMs that a newcomer asks who leads.
-const ASKED: usize = 3;
-/// The pause after it didn't answer: doubled up to a time that grows with the VMs, as hundreds of them would leave one that
-/// starts to lead no processor for that.
-const RETRY_FIRST: Millis = Millis(150);
-const RETRY_A_VM: Millis = Millis(4);
-const RETRY_MAX: Millis = Millis(1_200);
-/// News is gathered for this long: a message for each event would cost more than what it tells.
-const GATHER: Millis = Millis(5);
-/// So long for each VM, and at most, is news gathered for which nobody waits: of streams, whose engines have dozens of
-/// places. From 62 VMs some 1,700 messages a second told the one that schedules little else.
-const GATHER_A_VM: f64 = 0.25;
-const GATHER_MOST: Millis = Millis(20);
+/// Interval of health checks of the leader.
+const PING_INTERVAL: Millis = Millis(300);
+/// Most VMs that are asked for the current leader.
+const MAX_LEADER_QUERIES: usize = 3;
+/// Backoff after a failed connection to the leader: doubles up to a maximum that grows with the number of VMs, so that
+/// their retries don't overload a new leader.
+const MIN_RETRY_DELAY: Millis = Millis(150);
+const RETRY_DELAY_PER_VM: Millis = Millis(4);
+const MAX_RETRY_DELAY: Millis = Millis(1_200);
+/// Shortest time for which request updates are batched.
+const MIN_BATCH_DELAY: Millis = Millis(5);
+/// Updates that are not urgent are batched longer the more VMs there are, to bound the leader's message rate.
+const BATCH_DELAY_MS_PER_VM: f64 = 0.25;
+const MAX_BATCH_DELAY: Millis = Millis(20);
 
 impl Scheduling {
-    /// Tells all VMs at once who leads: they would learn it from the store too, but only when they reach it. The
-    /// leader before may have lost its entry and still give orders, for as long as nobody tells it.
+    /// Announces a new leader to all VMs and to the previous leader.
+    ///
+    /// VMs that can't reach the store, and a previous leader that still gives orders, learn it this way.
     pub(super) fn announce(
         &self,
         leader: &Leader,
-        before: Option<&Leader>,
+        previous: Option<&Leader>,
     ) {
         let mut vms = self.vms();
-        vms.extend(before.map(|before| (before.vm.clone(), before.address)));
+        vms.extend(previous.map(|previous| (previous.vm.clone(), previous.address)));
         for (vm, address) in vms {
             if vm == self.me {
                 continue;
@@ -49,41 +51,44 @@
         }
     }
 
-    /// Tells all VMs that this one leaves the lead, and waits until they know it.
-    pub(super) async fn hand_on(
+    /// Announces to all VMs that this leader is stopping, and waits for their answers.
+    pub(super) async fn broadcast_leaving(
         &self,
         leader: &Leader,
-        rested: &[(String, Millis)],
+        idle_times: &[(String, Millis)],
     ) {
         let others = self.vms().into_iter().filter(|(vm, _)| *vm != self.me);
-        let told = others
-            .map(|(vm, address)| async move { announce_to(&vm, address, leader, rested).await });
-        join_all(told).await;
+        let announcements = others.map(|(vm, address)| async move {
+            announce_to(&vm, address, leader, idle_times).await
+        });
+        join_all(announcements).await;
     }
 
-    /// Asks some other VMs who leads, or led last; whether one of them knew.
+    /// Asks some other VMs for the current or last leader; returns whether one of them knew it.
     pub async fn ask_for_leader(&self) -> bool {
         let others = self.vms().into_iter().filter(|(vm, _)| *vm != self.me);
-        let asked = others.take(ASKED).map(|(vm, address)| async move {
-            let link = SchedulerLink::new(address, LINK);
-            match call_ping(&link).await {
-                Ok(leader) => leader,
-                Err(e) => {
-                    Line::new("leader_not_asked")
-                        .with("vm", vm)
-                        .with("reason", e)
-                        .info();
-                    None
+        let queries = others
+            .take(MAX_LEADER_QUERIES)
+            .map(|(vm, address)| async move {
+                let link = SchedulerLink::new(address, LINK_OPTIONS);
+                match call_ping(&link).await {
+                    Ok(leader) => leader,
+                    Err(e) => {
+                        Line::new("leader_not_asked")
+                            .with("vm", vm)
+                            .with("reason", e)
+                            .info();
+                        None
+                    }
                 }
-            }
-        });
-        let known = join_all(asked).await.into_iter().flatten();
+            });
+        let known = join_all(queries).await.into_iter().flatten();
         known.map(|leader| self.consider(leader)).count() > 0
     }
 
     pub(super) async fn follow_leader(self: Rc<Self>) {
-        let mut changed = self.changed.subscribe();
-        let mut pause = RETRY_FIRST;
+        let mut changed = self.leader_changed.subscribe();
+        let mut pause = MIN_RETRY_DELAY;
         loop {
             changed.mark_unchanged();
             let leader = self.leader().filter(|leader| leader.vm != self.me);
@@ -93,19 +98,18 @@
                 }
                 continue;
             };
-            let link = Rc::new(SchedulerLink::new(leader.address, LINK));
+            let link = Rc::new(SchedulerLink::new(leader.address, LINK_OPTIONS));
             match self.hello(&link).await {
-                // A leader that was frozen answers when it thaws. Whoever took the lead meanwhile, this VM maybe,
-                // would give it up to follow one that leads no more, and nobody would lead.
+                // A late answer of a suspended leader: another VM, maybe this one, has been elected since.
                 Ok(_) if self.leader().map(|known| known.fence) != Some(leader.fence) => continue,
                 Ok(session) => {
                     Line::new("leader_followed")
                         .with("vm", &leader.vm)
                         .with("fence", leader.fence)
                         .info();
-                    pause = RETRY_FIRST;
+                    pause = MIN_RETRY_DELAY;
                     self.set_mode(Mode::Following(Rc::clone(&link), session));
-                    self.watch_leader(&link, &leader).await;
+                    self.ping_leader(&link, &leader).await;
                 }
                 Err(e) => {
                     Line::new("leader_unreachable")
@@ -115,23 +119,23 @@
                 }
             }
             tokio::select! {
-                () = sleep(pause.to_std()) => pause = self.longer_pause(pause),
-                _ = changed.changed() => pause = RETRY_FIRST,
+                () = sleep(pause.to_std()) => pause = self.next_retry_delay(pause),
+                _ = changed.changed() => pause = MIN_RETRY_DELAY,
             }
         }
     }
 
-    fn longer_pause(
+    fn next_retry_delay(
         &self,
         pause: Millis,
     ) -> Millis {
         let vms = self.vms.borrow().len() as u64;
-        let most = Millis(RETRY_A_VM.0 * vms).clamp(RETRY_FIRST, RETRY_MAX);
-        Millis(pause.0 * 2).min(most)
+        let max_delay = Millis(RETRY_DELAY_PER_VM.0 * vms).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        Millis(pause.0 * 2).min(max_delay)
     }
 
-    /// Asks the leader for signs of life until it gives none or another one leads.
-    async fn watch_leader(
+    /// Pings the leader until it fails to answer or another leader is known.
+    async fn ping_leader(
         &self,
         link: &SchedulerLink,
         leader: &Leader,
@@ -141,24 +145,24 @@
             .is_some_and(|known| known.fence == leader.fence)
             && matches!(*self.mode.borrow(), Mode::Following(..))
         {
-            sleep(PING_EVERY.to_std()).await;
+            sleep(PING_INTERVAL.to_std()).await;
             match call_ping(link).await {
                 Ok(Some(other)) => self.consider(other),
-                Ok(None) => return self.lose_leader("it leads no more"),
-                Err(e) => return self.lose_leader(&e.to_string()),
+                Ok(None) => return self.drop_leader("it no longer leads"),
+                Err(e) => return self.drop_leader(&e.to_string()),
             }
         }
-        self.lose_leader("another leads");
+        self.drop_leader("another VM leads");
     }
 
-    /// Waits for more news, until some is urgent.
-    async fn gather(&self) {
+    /// Waits for more updates; an urgent one shortens the wait.
+    async fn wait_for_batch(&self) {
         let vms = self.vms.borrow().len() as f64;
-        let pause = Millis((vms * GATHER_A_VM) as u64);
-        let pause = pause.clamp(GATHER, GATHER_MOST);
+        let pause = Millis((vms * BATCH_DELAY_MS_PER_VM) as u64);
+        let pause = pause.clamp(MIN_BATCH_DELAY, MAX_BATCH_DELAY);
         tokio::select! {
             () = sleep(pause.to_std()) => {}
-            () = self.has_urgent_news.notified() => sleep(GATHER.to_std()).await,
+            () = self.urgent_update_queued.notified() => sleep(MIN_BATCH_DELAY.to_std()).await,
         }
     }
 
@@ -166,7 +170,7 @@
         &self,
         link: &SchedulerLink,
     ) -> Result<u32, LinkError> {
-        let running = self.running_now();
+        let running = self.running_specs();
         let (me, incarnation) = (&self.me, self.incarnation);
         let running = &running;
         let (session, other) = link
@@ -192,37 +196,37 @@
         }
     }
 
-    pub(super) async fn send_news(self: Rc<Self>) {
+    pub(super) async fn send_updates(self: Rc<Self>) {
         loop {
             tokio::select! {
-                () = self.has_urgent_news.notified() => sleep(GATHER.to_std()).await,
-                () = self.has_news.notified() => self.gather().await,
+                () = self.urgent_update_queued.notified() => sleep(MIN_BATCH_DELAY.to_std()).await,
+                () = self.update_queued.notified() => self.wait_for_batch().await,
             }
-            let news = self.outbox.take();
+            let updates = self.outbox.take();
             let mode = self.mode.borrow().clone();
-            // Without a leader nobody counts; a later one is told what runs when it is met.
+            // Without a leader updates are dropped: `hello` sends the running requests to the next one.
             if let Mode::Following(link, session) = mode
-                && !news.is_empty()
+                && !updates.is_empty()
             {
-                match call_tell(&link, session, &news).await {
+                match call_tell(&link, session, &updates).await {
                     Ok(true) => {}
-                    Ok(false) => self.lose_leader("session unknown"),
-                    Err(e) => self.lose_leader(&e.to_string()),
+                    Ok(false) => self.drop_leader("session unknown"),
+                    Err(e) => self.drop_leader(&e.to_string()),
                 }
             }
         }
     }
 }
 
-/// Tells one VM who leads, or that the leader leaves.
+/// Announces a new or a stopping leader to one VM.
 async fn announce_to(
     vm: &str,
     address: SocketAddr,
     leader: &Leader,
-    rested: &[(String, Millis)],
+    idle_times: &[(String, Millis)],
 ) {
-    let link = SchedulerLink::new(address, LINK);
-    if let Err(e) = call_announce(&link, leader, rested).await {
+    let link = SchedulerLink::new(address, LINK_OPTIONS);
+    if let Err(e) = call_announce(&link, leader, idle_times).await {
         Line::new("announce_failed")
             .with("vm", vm)
             .with("reason", e)
@@ -233,12 +237,12 @@
 async fn call_announce(
     link: &SchedulerLink,
     leader: &Leader,
-    rested: &[(String, Millis)],
+    idle_times: &[(String, Millis)],
 ) -> Result<Option<Leader>, LinkError> {
     link.call(Millis::ZERO, |client| async move {
         let mut req = client.announce_request();
         write_leader(req.get().init_leader(), Some(leader));
-        write_rested(req.get().init_rested(rested.len() as u32), rested);
+        write_idle_times(req.get().init_rested(idle_times.len() as u32), idle_times);
         let res = req.send().promise.await?;
         read_leader(res.get()?.get_leader()?)
     })
@@ -256,14 +260,14 @@
 async fn call_tell(
     link: &SchedulerLink,
     session: u32,
-    news: &[(u64, News)],
+    updates: &[(u64, RequestUpdate)],
 ) -> Result<bool, LinkError> {
     link.call(Millis::ZERO, |client| async move {
         let mut req = client.tell_request();
         req.get().set_session(session);
-        let mut list = req.get().init_news(news.len() as u32);
-        for (at, &(number, what)) in news.iter().enumerate() {
-            write_news(list.reborrow().get(at as u32), number, what);
+        let mut list = req.get().init_news(updates.len() as u32);
+        for (at, &(number, update)) in updates.iter().enumerate() {
+            write_update(list.reborrow().get(at as u32), number, update);
         }
         let res = req.send().promise.await?;
         Ok(res.get()?.get_known())
--- a/crates/entry/src/scheduling/client/leading.rs
+++ b/crates/entry/src/scheduling/client/leading.rs
@@ -1,8 +1,8 @@
-//! Who leads, as far as this VM knows: taking the lead, giving it up, and deciding alone while there is nobody.
+//! Tracks the leader: taking and giving up leadership, and standalone mode without a leader.
 
 use {
-    super::{Mode, OWN, Scheduling},
-    crate::scheduling::{HandedOn, Leader},
+    super::{LOCAL_VM, Mode, Scheduling},
+    crate::scheduling::{Handover, Leader},
     jasmine_core::{
         clock::Millis,
         ids::Fence,
@@ -12,54 +12,54 @@
 };
 
 impl Scheduling {
-    /// For how long the leader hasn't answered, while nobody else is known to lead.
+    /// How long the leader hasn't answered, if no other leader is known.
     pub fn silent_for(&self) -> Option<Millis> {
-        let since = self.silent_since.get()?;
+        let since = self.leader_silent_since.get()?;
         Some(self.clock.now().since(since))
     }
 
-    /// For how long this VM has decided alone; none while it leads or follows.
+    /// How long this VM has scheduled without a leader; `None` while it leads or follows.
     pub fn alone_for(&self) -> Option<Millis> {
-        let since = self.alone_since.get()?;
+        let since = self.standalone_since.get()?;
         Some(self.clock.now().since(since))
     }
 
-    /// Engines check no fencing tokens: orders are given only while the lease of the lead surely lasts.
+    /// Restricts orders to the time of a valid leader lease, for engines that don't check fencing tokens.
     pub fn order_only_under_lease(&self) {
-        self.lead_until.set(Some(Millis::ZERO));
+        self.lease_valid_until.set(Some(Millis::ZERO));
     }
 
-    /// Notes until when the lease of the lead lasts at the least.
+    /// Sets the time until which the leader lease is guaranteed to be valid.
     pub fn lead_lasts_until(
         &self,
         until: Millis,
     ) {
-        if self.lead_until.get().is_some() {
-            self.lead_until.set(Some(until));
+        if self.lease_valid_until.get().is_some() {
+            self.lease_valid_until.set(Some(until));
         }
     }
 
-    /// The fencing token for an order that is sent now; none where another VM may lead by now.
+    /// The fencing token for an order; `None` unless this VM leads and, where required, its lease is valid.
     pub fn fence_for_order(&self) -> Option<Fence> {
         let now = self.clock.now();
-        let is_sure = self.lead_until.get().is_none_or(|until| now < until);
-        self.fence().filter(|_| is_sure)
+        let is_lease_valid = self.lease_valid_until.get().is_none_or(|until| now < until);
+        self.fence().filter(|_| is_lease_valid)
     }
 
-    /// The fencing token of this VM's lead.
+    /// This VM's fencing token while it leads.
     pub fn fence(&self) -> Option<Fence> {
         match *self.mode.borrow() {
             Mode::Leading(fence) => Some(fence),
-            Mode::Alone | Mode::Following(..) => None,
+            Mode::Standalone | Mode::Following(..) => None,
         }
     }
 
-    /// The leader that this VM knows of.
+    /// The latest leader known to this VM.
     pub fn leader(&self) -> Option<Leader> {
         self.leader.borrow().clone()
     }
 
-    /// Takes the lead, with a token that the store gave.
+    /// Makes this VM the leader, under a fencing token issued by the store.
     pub fn lead(
         &self,
         fence: Fence,
@@ -72,51 +72,57 @@
             is_leaving: false,
         };
         Line::new("lead_taken").with("fence", fence).info();
-        let before = self.leader.replace(Some(leader.clone()));
+        let previous = self.leader.replace(Some(leader.clone()));
         self.desk.set_role(true, share);
-        self.take_handed_on(before.as_ref().map(|before| before.fence));
-        for running in self.running_now() {
-            self.desk.adopt(OWN, &running);
+        self.apply_handover(previous.as_ref().map(|previous| previous.fence));
+        for running in self.running_specs() {
+            self.desk.adopt(LOCAL_VM, &running);
         }
         self.set_mode(Mode::Leading(fence));
-        self.announce(&leader, before.as_ref());
+        self.announce(&leader, previous.as_ref());
     }
 
-    /// Engines that the leader before has told to have rested may be ordered so much earlier.
-    fn take_handed_on(
+    /// Counts the idle times announced by the previous leader towards the engines' order gap.
+    fn apply_handover(
         &self,
-        before: Option<Fence>,
+        previous: Option<Fence>,
     ) {
-        let handed_on = self.handed_on.take();
+        let handover = self.handover.take();
         let now = self.clock.now();
-        let rested = handed_on.as_ref().map(|last| last.rested_by(before, now));
-        for (upstream, rested) in rested.unwrap_or_default() {
-            self.desk.note_rested(upstream, rested);
+        let idle_times = handover
+            .as_ref()
+            .map(|last| last.idle_times_at(previous, now));
+        for (upstream, idle_time) in idle_times.unwrap_or_default() {
+            self.desk.set_idle_time(upstream, idle_time);
         }
     }
 
-    /// Takes the last word of a leader that leaves.
-    pub fn note_handed_on(
+    /// Stores the idle times announced by a leader that is stopping.
+    pub fn set_handover(
         &self,
         fence: Fence,
-        rested: Vec<(String, Millis)>,
+        idle_times: Vec<(String, Millis)>,
     ) {
         let at = self.clock.now();
-        self.handed_on.replace(Some(HandedOn { fence, at, rested }));
+        self.handover.replace(Some(Handover {
+            fence,
+            at,
+            idle_times,
+        }));
     }
 
-    /// Stops deciding for others; another one has a higher token, or the lead was given back.
+    /// Gives up leadership, because another VM has a higher token or the lease ended.
     pub fn step_down(
         &self,
         reason: &str,
     ) {
         if self.is_leading() {
             Line::new("lead_lost").with("reason", reason).warn();
-            self.stand_alone();
+            self.become_standalone();
         }
     }
 
-    /// Takes word of a leader; one with an older token is not listened to.
+    /// Processes an announced leader; one with a lower fencing token than the known one is ignored.
     pub fn consider(
         &self,
         leader: Leader,
@@ -139,13 +145,12 @@
         let is_other = leader.vm != self.me;
         self.leader.replace(Some(leader));
         if is_other {
-            self.step_down("another leads");
+            self.step_down("another VM leads");
         }
-        self.bump();
+        self.notify_leader_change();
     }
 
-    /// Tells the others that this VM is about to stop, so that one of them takes the lead without waiting for it. From
-    /// here on it gives no more orders.
+    /// Announces that this leader is stopping, so that another VM can take over at once; gives no more orders.
     pub async fn say_leaving(&self) {
         let Some(leader) = self.leader().filter(|_| self.is_leading()) else {
             return;
@@ -156,29 +161,30 @@
         };
         self.leader.replace(Some(leader.clone()));
         self.desk.rest(Rest::All);
-        self.hand_on(&leader, &self.desk.rested()).await;
+        self.broadcast_leaving(&leader, &self.desk.idle_times())
+            .await;
     }
 
-    /// The leader doesn't answer: decide alone until it does, or another one is found.
-    pub(super) fn lose_leader(
+    /// Switches to standalone mode until a leader answers.
+    pub(super) fn drop_leader(
         &self,
         reason: &str,
     ) {
         if matches!(*self.mode.borrow(), Mode::Following(..)) {
             Line::new("leader_lost").with("reason", reason).warn();
-            self.silent_since.set(Some(self.clock.now()));
-            self.stand_alone();
+            self.leader_silent_since.set(Some(self.clock.now()));
+            self.become_standalone();
         }
     }
 
-    fn stand_alone(&self) {
-        self.desk.set_role(false, self.part());
-        self.desk.forget_others(OWN);
-        self.set_mode(Mode::Alone);
+    fn become_standalone(&self) {
+        self.desk.set_role(false, self.rights_share());
+        self.desk.forget_others(LOCAL_VM);
+        self.set_mode(Mode::Standalone);
     }
 
-    pub(super) fn part(&self) -> RightsShare {
-        self.parts.set(self.vms.borrow().len().max(1) as u64);
-        RightsShare::Part(self.parts.get())
+    pub(super) fn rights_share(&self) -> RightsShare {
+        self.share_count.set(self.vms.borrow().len().max(1) as u64);
+        RightsShare::Part(self.share_count.get())
     }
 }
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -1,9 +1,9 @@
-//! This VM's way to a decision: by itself, for all, or from the leader.
+//! Gets placement decisions from the leader, or makes them locally.
 
 use {
     super::{
-        Desk, HandedOn, JobSpec, Leader, Placement, RunningSpec, Unplaced, Verdict,
-        convert::{News, read_verdict, write_job},
+        Desk, Handover, JobSpec, Leader, Placement, RunningSpec, Unplaced, Verdict,
+        convert::{RequestUpdate, read_verdict, write_job},
     },
     crate::clock::Clock,
     jasmine_core::{
@@ -32,45 +32,43 @@
 mod following;
 mod leading;
 
-/// The VM number under which a machine knows the requests of its own VM.
-pub(super) const OWN: u32 = 0;
-/// The times of connections between entry VMs, which stand a millisecond apart. A scheduler that is silent for
-/// this long is done without.
-const LINK: LinkOptions = LinkOptions {
+/// VM number in the tickets of the local VM's own requests.
+pub(super) const LOCAL_VM: u32 = 0;
+/// Connection settings between entry VMs. A leader that exceeds the timeouts counts as lost.
+const LINK_OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(300),
     call_timeout: Millis(350),
-    // One question a VM says whether the scheduler lives. With one for each request that waits, some hundred of them asked
-    // for more of its processor than all requests.
+    // `ping_leader` detects a lost leader once per VM; a heartbeat per pending call would overload the leader.
     heartbeat: Millis(60_000),
     backoff_first: Millis(30),
     backoff_most: Millis(200),
 };
 
-/// The pause after a decision for an upstream that this VM knows to leave: the scheduler soon knows it too.
-const BETTER_KNOWN: Millis = Millis(40);
+/// Pause after the leader assigned an upstream that this VM knows to be leaving or removed.
+const STALE_ASSIGNMENT_DELAY: Millis = Millis(40);
 
-/// Within which time after the last sign of a leader another one mostly leads: its lease lapses, and one VM is elected.
-const ELECTION: Millis = Millis(1_600);
-/// When a caller is told to come back whose service has no upstream that this VM knows.
-const NO_UPSTREAM_YET: Millis = Millis(500);
+/// Longest wait for a new leader: covers the expiry of the old lease and an election.
+const MAX_ELECTION_WAIT: Millis = Millis(1_600);
+/// Retry delay sent to callers while this VM has read only part of the upstreams.
+const NO_UPSTREAM_RETRY_DELAY: Millis = Millis(500);
 
 type SchedulerLink = Link<scheduler::Client>;
 
-/// Who decides for this VM now.
+/// Which VM schedules this VM's requests.
 #[derive(Clone, Debug)]
 enum Mode {
-    /// This VM, for itself, with its part of the rights.
-    Alone,
-    /// This VM, for all.
+    /// This VM schedules its own requests, with its share of the rate limits.
+    Standalone,
+    /// This VM schedules the requests of all VMs, under this fencing token.
     Leading(Fence),
-    /// The leader, which knows this VM by a session.
+    /// The leader schedules; holds the link to it and this VM's session there.
     Following(Rc<SchedulerLink>, u32),
 }
 
-/// This VM's way to a decision about a request.
+/// This VM's part in scheduling: as leader, as follower, or on its own without a leader.
 #[derive(Debug)]
 pub struct Scheduling {
-    /// The machine that decides here.
+    /// The scheduler that runs in this process.
     pub desk: Rc<Desk>,
     me: String,
     address: SocketAddr,
@@ -78,29 +76,29 @@
     clock: Clock,
     mode: RefCell<Mode>,
     leader: RefCell<Option<Leader>>,
-    /// What a leader that left has said of its last orders.
-    handed_on: RefCell<Option<HandedOn>>,
-    /// Until when this VM's lead surely lasts, where engines don't check who gives them orders.
-    lead_until: Cell<Option<Millis>>,
-    /// Since when the leader hasn't answered.
-    silent_since: Cell<Option<Millis>>,
-    /// Whether a part of the upstreams only is known, as the others are still to be read.
-    knows_part: Cell<bool>,
-    /// Since when this VM decides alone, if it does.
-    alone_since: Cell<Option<Millis>>,
-    /// Counts changes of the leader that is known.
-    changed: watch::Sender<u64>,
-    /// Counts changes of who decides.
+    /// Idle times of the engines, as announced by a leader that stopped.
+    handover: RefCell<Option<Handover>>,
+    /// End of the leader lease; set only where engines don't check fencing tokens.
+    lease_valid_until: Cell<Option<Millis>>,
+    /// When the leader stopped answering.
+    leader_silent_since: Cell<Option<Millis>>,
+    /// Whether only part of the store's upstreams has been read so far.
+    has_partial_upstreams: Cell<bool>,
+    /// When this VM entered [`Mode::Standalone`], if it is in it.
+    standalone_since: Cell<Option<Millis>>,
+    /// Counts changes of the known leader.
+    leader_changed: watch::Sender<u64>,
+    /// Counts changes of `mode`.
     mode_changed: watch::Sender<u64>,
     next_number: Cell<u64>,
     running: RefCell<HashMap<u64, Running>>,
-    outbox: RefCell<Vec<(u64, News)>>,
-    has_news: Notify,
-    /// Told with the end of a call: its upstream has few places, and somebody waits for each.
-    has_urgent_news: Notify,
-    /// The parts of all rates of which this VM has one, while it decides alone.
-    parts: Cell<u64>,
-    /// The VMs that the store lists.
+    outbox: RefCell<Vec<(u64, RequestUpdate)>>,
+    update_queued: Notify,
+    /// Notified when a call ends: its slot may be needed at once.
+    urgent_update_queued: Notify,
+    /// Number of equal shares of the rate limits; this VM uses one of them while standalone.
+    share_count: Cell<u64>,
+    /// Peer addresses of all VMs that the store lists, by name.
     vms: RefCell<BTreeMap<String, SocketAddr>>,
 }
 
@@ -111,7 +109,7 @@
 }
 
 impl Scheduling {
-    /// The way of the VM `me`, whose peers reach it at `address`.
+    /// Creates the scheduling state of the VM `me`, which its peers reach at `address`.
     pub fn new(
         desk: Rc<Desk>,
         me: String,
@@ -124,29 +122,29 @@
             address,
             incarnation,
             clock: Clock,
-            mode: RefCell::new(Mode::Alone),
+            mode: RefCell::new(Mode::Standalone),
             leader: RefCell::default(),
-            handed_on: RefCell::default(),
-            lead_until: Cell::new(None),
-            silent_since: Cell::new(None),
-            knows_part: Cell::new(false),
-            alone_since: Cell::new(Some(Clock.now())),
-            changed: watch::Sender::default(),
+            handover: RefCell::default(),
+            lease_valid_until: Cell::new(None),
+            leader_silent_since: Cell::new(None),
+            has_partial_upstreams: Cell::new(false),
+            standalone_since: Cell::new(Some(Clock.now())),
+            leader_changed: watch::Sender::default(),
             mode_changed: watch::Sender::default(),
             next_number: Cell::new(1),
             running: RefCell::default(),
             outbox: RefCell::default(),
-            has_news: Notify::new(),
-            has_urgent_news: Notify::new(),
-            parts: Cell::new(1),
+            update_queued: Notify::new(),
+            urgent_update_queued: Notify::new(),
+            share_count: Cell::new(1),
             vms: RefCell::default(),
         }
     }
 
-    /// Starts what goes on in the background.
+    /// Spawns the background tasks.
     pub fn start(self: &Rc<Self>) {
         spawn_local(Rc::clone(self).follow_leader());
-        spawn_local(Rc::clone(self).send_news());
+        spawn_local(Rc::clone(self).send_updates());
         let desk = Rc::clone(&self.desk);
         spawn_local(async move { desk.run().await });
     }
@@ -156,11 +154,11 @@
         &self.me
     }
 
-    /// Finds an upstream for a request, which may take until its deadline.
+    /// Finds an upstream for a request; may wait until the request's deadline.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run.
+    /// Returns the refusal; the request has not run.
     pub async fn place(
         self: &Rc<Self>,
         spec: JobSpec,
@@ -174,36 +172,35 @@
             spec.objective = spec.objective.since(spent);
             spec.deadline = spec.deadline.since(spent);
             spec.number = self.next_number.replace(self.next_number.get() + 1);
-            let pending = Pending {
+            let pending = PendingPlacement {
                 scheduling: self,
                 number: spec.number,
                 is_settled: Cell::new(false),
             };
-            // Whoever decided until now may know less from here on: a leader that lost the store goes on assigning
-            // upstreams that have left since. So a question doesn't outlive the mode in which it was asked.
+            // A former leader may assign upstreams that have been removed since: ask again when the mode changes.
             let mut mode_changed = self.mode_changed.subscribe();
             let mode = self.mode.borrow().clone();
             let verdict = tokio::select! {
-                verdict = self.ask(mode, &spec) => verdict,
+                verdict = self.request_verdict(mode, &spec) => verdict,
                 _ = mode_changed.changed() => None,
             };
             match verdict {
-                Some(Verdict::Go {
+                Some(Verdict::Assigned {
                     upstream,
                     address,
                     version,
                     waited_for,
                 }) => {
                     pending.is_settled.set(true);
-                    if self.knows_better(&upstream) {
-                        // A scheduler that has lost the store may not know yet that this one leaves.
-                        self.note(spec.number, News::Ended(Outcome::Abandoned));
+                    if self.is_stale_assignment(&upstream) {
+                        // A leader cut off from the store may not know yet that this upstream is leaving.
+                        self.record_update(spec.number, RequestUpdate::Ended(Outcome::Abandoned));
                         avoid.push(upstream);
-                        sleep(BETTER_KNOWN.to_std()).await;
+                        sleep(STALE_ASSIGNMENT_DELAY.to_std()).await;
                         continue;
                     }
                     self.desk.note_own(&spec, OwnDecision::LetThrough);
-                    let running = self.note_running(spec, &upstream, version);
+                    let running = self.track_running(spec, &upstream, version);
                     return Ok(Placement::new(
                         Rc::clone(self),
                         running,
@@ -214,10 +211,10 @@
                     ));
                 }
                 Some(Verdict::Refused { refusal, .. })
-                    if let Some(wait) = self.worth_waiting(&refusal, &spec) =>
+                    if let Some(wait) = self.remaining_election_wait(&refusal, &spec) =>
                 {
                     pending.is_settled.set(true);
-                    // Whether somebody leads by then or not, the request is decided about once more.
+                    // Retry with or without a new leader.
                     let _either = timeout(wait.to_std(), mode_changed.changed()).await;
                 }
                 Some(Verdict::Refused {
@@ -233,79 +230,85 @@
                         waited_for,
                     });
                 }
-                // Somebody else decides by now.
+                // The mode has changed: ask again.
                 None => {}
             }
         }
     }
 
-    /// How long a request is kept that this VM alone can't serve, as whoever is about to lead may: a VM's part of a rate is
-    /// less than one request where there are hundreds of VMs.
-    fn worth_waiting(
+    /// How much longer a request refused in standalone mode should wait for an election.
+    ///
+    /// With hundreds of VMs a VM's share of a rate limit is less than one request; a new leader may accept it.
+    fn remaining_election_wait(
         &self,
         refusal: &Refusal,
         spec: &JobSpec,
     ) -> Option<Millis> {
-        let alone = self.alone_for()?;
-        let is_for_lack = matches!(refusal.kind, ErrorKind::RateLimited | ErrorKind::NoUpstream);
-        let wait = ELECTION.since(alone).min(Millis(spec.deadline.0 / 2));
-        (is_for_lack && wait > Millis::ZERO).then_some(wait)
+        let standalone_for = self.alone_for()?;
+        let is_retryable = matches!(refusal.kind, ErrorKind::RateLimited | ErrorKind::NoUpstream);
+        let wait = MAX_ELECTION_WAIT
+            .since(standalone_for)
+            .min(Millis(spec.deadline.0 / 2));
+        (is_retryable && wait > Millis::ZERO).then_some(wait)
     }
 
-    /// Tells whoever decides what became of a request.
-    pub(super) fn note(
+    /// Reports a request's progress to the local scheduler and, unless this VM leads, to the leader.
+    pub(super) fn record_update(
         &self,
         number: u64,
-        news: News,
+        update: RequestUpdate,
     ) {
-        let ticket = Ticket { vm: OWN, number };
+        let ticket = Ticket {
+            vm: LOCAL_VM,
+            number,
+        };
         let mut is_urgent = false;
-        match news {
-            News::FirstEvent => {
+        match update {
+            RequestUpdate::FirstEvent => {
                 if let Some(running) = self.running.borrow_mut().get_mut(&number) {
                     running.spec.has_begun = true;
                 }
                 self.desk.first_event(ticket);
             }
-            News::Ended(outcome) => {
+            RequestUpdate::Ended(outcome) => {
                 let running = self.running.borrow_mut().remove(&number);
                 is_urgent = running.is_none_or(|running| running.spec.job.generation.is_none());
                 self.desk.ended(ticket, outcome);
             }
         }
         if !self.is_leading() {
-            self.outbox.borrow_mut().push((number, news));
-            let told = if is_urgent {
-                &self.has_urgent_news
+            self.outbox.borrow_mut().push((number, update));
+            let notification = if is_urgent {
+                &self.urgent_update_queued
             } else {
-                &self.has_news
+                &self.update_queued
             };
-            told.notify_one();
+            notification.notify_one();
         }
     }
 
-    /// Says whether a part of the upstreams only is known.
+    /// Sets whether only part of the store's upstreams has been read so far.
     pub fn set_knows_part(
         &self,
-        knows_part: bool,
+        has_partial_upstreams: bool,
     ) {
-        self.knows_part.set(knows_part);
+        self.has_partial_upstreams.set(has_partial_upstreams);
     }
 
-    /// Whether this VM decides for all.
+    /// Whether this VM is the leader.
     pub fn is_leading(&self) -> bool {
         matches!(*self.mode.borrow(), Mode::Leading(_))
     }
 
-    /// Whether the leader answers this VM.
+    /// Whether this VM has a session with the leader.
     pub fn is_following(&self) -> bool {
         matches!(*self.mode.borrow(), Mode::Following(..))
     }
 
-    /// Who decides for this VM now, as a word for the log.
+    /// Which VM schedules for this VM, for the log: `standalone_for`, `own/FENCE` or `VM/FENCE`.
     pub fn decider(&self) -> String {
         match &*self.mode.borrow() {
-            Mode::Alone => "alone".to_owned(),
+            Mode::Standalone => "alone".to_owned(),
             Mode::Leading(fence) => format!("own/{fence}"),
             Mode::Following(..) => {
                 let leader = self.leader();
@@ -316,34 +319,34 @@
         }
     }
 
-    /// Takes the list of VMs.
+    /// Replaces the list of VMs and their peer addresses.
     pub fn set_vms(
         &self,
         vms: BTreeMap<String, SocketAddr>,
     ) {
         self.vms.replace(vms);
-        // A VM that goes leaves its part unused; only one more makes the parts smaller.
-        let more = self.vms.borrow().len() as u64 > self.parts.get();
-        if more && matches!(*self.mode.borrow(), Mode::Alone) {
-            self.desk.set_role(false, self.part());
+        // The share of a VM that leaves stays unused; only additional VMs make the shares smaller.
+        let has_more_vms = self.vms.borrow().len() as u64 > self.share_count.get();
+        if has_more_vms && matches!(*self.mode.borrow(), Mode::Standalone) {
+            self.desk.set_role(false, self.rights_share());
         }
     }
 
-    /// The VMs that the store lists.
+    /// Peer addresses of all VMs that the store lists, by name.
     pub fn vms(&self) -> BTreeMap<String, SocketAddr> {
         self.vms.borrow().clone()
     }
 
-    /// Whether this VM follows another one's decisions and knows that an upstream takes no more work.
-    fn knows_better(
+    /// Whether the leader assigned an upstream that this VM knows to be leaving or removed.
+    fn is_stale_assignment(
         &self,
         upstream: &str,
     ) -> bool {
-        self.is_following() && self.desk.has_left(upstream)
+        self.is_following() && self.desk.is_leaving_or_removed(upstream)
     }
 
-    /// Notes a request that runs from now on and returns its number.
-    fn note_running(
+    /// Records a request as running and returns its number.
+    fn track_running(
         &self,
         spec: JobSpec,
         upstream: &str,
@@ -363,7 +366,7 @@
         number
     }
 
-    async fn place_far(
+    async fn place_on_leader(
         &self,
         link: &Rc<SchedulerLink>,
         session: u32,
@@ -386,29 +389,29 @@
         match answer {
             Ok(Some(verdict)) => Some(verdict),
             Ok(None) => {
-                self.lose_leader("session unknown");
+                self.drop_leader("session unknown");
                 None
             }
             Err(e) => {
-                self.lose_leader(&e.to_string());
+                self.drop_leader(&e.to_string());
                 None
             }
         }
     }
 
-    async fn ask(
+    async fn request_verdict(
         &self,
         mode: Mode,
         spec: &JobSpec,
     ) -> Option<Verdict> {
         match mode {
-            Mode::Following(link, session) => self.place_far(&link, session, spec).await,
-            // The first upstreams of all would get everything.
-            Mode::Alone if self.knows_part.get() => Some(Verdict::Refused {
-                refusal: Refusal::after(ErrorKind::NoUpstream, NO_UPSTREAM_YET),
+            Mode::Following(link, session) => self.place_on_leader(&link, session, spec).await,
+            // Otherwise the few upstreams read so far would get all requests.
+            Mode::Standalone if self.has_partial_upstreams.get() => Some(Verdict::Refused {
+                refusal: Refusal::after(ErrorKind::NoUpstream, NO_UPSTREAM_RETRY_DELAY),
                 waited_for: WaitReason::NoUpstream,
             }),
-            Mode::Leading(_) | Mode::Alone => self.desk.place(OWN, spec).await.ok(),
+            Mode::Leading(_) | Mode::Standalone => self.desk.place(LOCAL_VM, spec).await.ok(),
         }
     }
 
@@ -416,23 +419,24 @@
         &self,
         mode: Mode,
     ) {
-        if matches!(mode, Mode::Alone) {
+        if matches!(mode, Mode::Standalone) {
             let now = self.clock.now();
-            self.alone_since.set(self.alone_since.get().or(Some(now)));
+            self.standalone_since
+                .set(self.standalone_since.get().or(Some(now)));
         } else {
-            self.silent_since.set(None);
-            self.alone_since.set(None);
+            self.leader_silent_since.set(None);
+            self.standalone_since.set(None);
         }
         self.mode.replace(mode);
         self.mode_changed.send_modify(|count| *count += 1);
-        self.bump();
+        self.notify_leader_change();
     }
 
-    fn bump(&self) {
-        self.changed.send_modify(|count| *count += 1);
+    fn notify_leader_change(&self) {
+        self.leader_changed.send_modify(|count| *count += 1);
     }
 
-    fn running_now(&self) -> Vec<RunningSpec> {
+    fn running_specs(&self) -> Vec<RunningSpec> {
         let now = self.clock.now();
         let running = self.running.borrow();
         let aged = running.values().map(|running| {
@@ -446,19 +450,20 @@
     }
 }
 
-/// A question that is open. Dropped unsettled, because its caller has gone or somebody else decides by now, it takes
-/// back whatever may have been reserved for it.
-struct Pending<'a> {
+/// A placement request without a result yet.
+///
+/// Dropped unsettled, because the caller disconnected or the mode changed, it releases what was reserved for it.
+struct PendingPlacement<'a> {
     scheduling: &'a Rc<Scheduling>,
     number: u64,
     is_settled: Cell<bool>,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingPlacement<'_> {
     fn drop(&mut self) {
         if !self.is_settled.get() {
-            let news = News::Ended(Outcome::Abandoned);
-            self.scheduling.note(self.number, news);
+            let update = RequestUpdate::Ended(Outcome::Abandoned);
+            self.scheduling.record_update(self.number, update);
         }
     }
 }
--- a/crates/entry/src/scheduling/convert.rs
+++ b/crates/entry/src/scheduling/convert.rs
@@ -1,4 +1,4 @@
-//! Jobs, verdicts and news as messages between entry VMs.
+//! Converts scheduling types to and from the Cap'n Proto messages between entry VMs.
 
 use {
     super::{GenerationSpec, JobSpec, Leader, RunningSpec, Verdict},
@@ -13,10 +13,10 @@
     jasmine_wire::scheduler_capnp::{EndKind, job, leadership, news, rested, running_job, verdict},
 };
 
-/// What a VM tells the scheduler of a request that it forwards.
+/// A forwarded request's progress, as reported to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum News {
-    /// The first event of its answer was seen.
+pub(super) enum RequestUpdate {
+    /// The first event of its answer was received.
     FirstEvent,
     /// It has ended.
     Ended(Outcome),
@@ -121,7 +121,7 @@
     verdict: &Verdict,
 ) {
     match verdict {
-        Verdict::Go {
+        Verdict::Assigned {
             upstream,
             address,
             version,
@@ -147,22 +147,22 @@
 pub(super) fn read_verdict(from: verdict::Reader<'_>) -> Result<Verdict, capnp::Error> {
     let word = from.get_waited_for()?.to_str()?;
     let waited_for = WaitReason::from_word(word)
-        .ok_or_else(|| capnp::Error::failed(format!("unknown reason: {word}")))?;
+        .ok_or_else(|| capnp::Error::failed(format!("unknown wait reason: {word:?}")))?;
     let upstream = from.get_upstream()?.to_str()?;
     if !upstream.is_empty() {
         let address = from.get_address()?.to_str()?;
-        return Ok(Verdict::Go {
+        return Ok(Verdict::Assigned {
             upstream: upstream.to_owned(),
-            address: address
-                .parse()
-                .map_err(|_e| capnp::Error::failed(format!("no address: {address}")))?,
+            address: address.parse().map_err(|_e| {
+                capnp::Error::failed(format!("invalid socket address: {address:?}"))
+            })?,
             version: non_zero(from.get_version()),
             waited_for,
         });
     }
     let code = from.get_refusal()?.to_str()?;
     let kind = ErrorKind::from_code(code)
-        .ok_or_else(|| capnp::Error::failed(format!("unknown refusal: {code}")))?;
+        .ok_or_else(|| capnp::Error::failed(format!("unknown refusal code: {code:?}")))?;
     let delay = non_zero(from.get_retry_after_ms());
     Ok(Verdict::Refused {
         refusal: Refusal {
@@ -173,43 +173,43 @@
     })
 }
 
-pub(super) fn write_news(
+pub(super) fn write_update(
     mut to: news::Builder<'_>,
     number: u64,
-    what: News,
+    update: RequestUpdate,
 ) {
     to.set_number(number);
-    let (kind, took) = match what {
-        News::FirstEvent => (EndKind::FirstEvent, Millis::ZERO),
-        News::Ended(Outcome::Answered { took }) => (EndKind::Answered, took),
-        News::Ended(Outcome::Failed) => (EndKind::Failed, Millis::ZERO),
-        News::Ended(Outcome::Shed) => (EndKind::Shed, Millis::ZERO),
-        News::Ended(Outcome::NotLoaded) => (EndKind::NotLoaded, Millis::ZERO),
-        News::Ended(Outcome::OtherUpstream) => (EndKind::OtherUpstream, Millis::ZERO),
-        News::Ended(Outcome::Unreachable) => (EndKind::Unreachable, Millis::ZERO),
-        News::Ended(Outcome::Lost) => (EndKind::Lost, Millis::ZERO),
-        News::Ended(Outcome::Silent) => (EndKind::Silent, Millis::ZERO),
-        News::Ended(Outcome::Abandoned) => (EndKind::Abandoned, Millis::ZERO),
+    let (kind, took) = match update {
+        RequestUpdate::FirstEvent => (EndKind::FirstEvent, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::Answered { took }) => (EndKind::Answered, took),
+        RequestUpdate::Ended(Outcome::Failed) => (EndKind::Failed, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::Shed) => (EndKind::Shed, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::NotLoaded) => (EndKind::NotLoaded, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::OtherUpstream) => (EndKind::OtherUpstream, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::Unreachable) => (EndKind::Unreachable, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::Lost) => (EndKind::Lost, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::Silent) => (EndKind::Silent, Millis::ZERO),
+        RequestUpdate::Ended(Outcome::Abandoned) => (EndKind::Abandoned, Millis::ZERO),
     };
     to.set_kind(kind);
     to.set_took_ms(took.0 as u32);
 }
 
-pub(super) fn read_news(from: news::Reader<'_>) -> Result<(u64, News), capnp::Error> {
+pub(super) fn read_update(from: news::Reader<'_>) -> Result<(u64, RequestUpdate), capnp::Error> {
     let took = Millis(from.get_took_ms().into());
-    let what = match from.get_kind()? {
-        EndKind::FirstEvent => News::FirstEvent,
-        EndKind::Answered => News::Ended(Outcome::Answered { took }),
-        EndKind::Failed => News::Ended(Outcome::Failed),
-        EndKind::Shed => News::Ended(Outcome::Shed),
-        EndKind::NotLoaded => News::Ended(Outcome::NotLoaded),
-        EndKind::OtherUpstream => News::Ended(Outcome::OtherUpstream),
-        EndKind::Unreachable => News::Ended(Outcome::Unreachable),
-        EndKind::Lost => News::Ended(Outcome::Lost),
-        EndKind::Silent => News::Ended(Outcome::Silent),
-        EndKind::Abandoned => News::Ended(Outcome::Abandoned),
+    let update = match from.get_kind()? {
+        EndKind::FirstEvent => RequestUpdate::FirstEvent,
+        EndKind::Answered => RequestUpdate::Ended(Outcome::Answered { took }),
+        EndKind::Failed => RequestUpdate::Ended(Outcome::Failed),
+        EndKind::Shed => RequestUpdate::Ended(Outcome::Shed),
+        EndKind::NotLoaded => RequestUpdate::Ended(Outcome::NotLoaded),
+        EndKind::OtherUpstream => RequestUpdate::Ended(Outcome::OtherUpstream),
+        EndKind::Unreachable => RequestUpdate::Ended(Outcome::Unreachable),
+        EndKind::Lost => RequestUpdate::Ended(Outcome::Lost),
+        EndKind::Silent => RequestUpdate::Ended(Outcome::Silent),
+        EndKind::Abandoned => RequestUpdate::Ended(Outcome::Abandoned),
     };
-    Ok((from.get_number(), what))
+    Ok((from.get_number(), update))
 }
 
 pub(super) fn write_leader(
@@ -233,13 +233,13 @@
         vm: from.get_vm()?.to_string()?,
         address: address
             .parse()
-            .map_err(|_e| capnp::Error::failed(format!("no address: {address}")))?,
+            .map_err(|_e| capnp::Error::failed(format!("invalid socket address: {address:?}")))?,
         fence: Fence(from.get_fence()),
         is_leaving: from.get_leaving(),
     }))
 }
 
-pub(super) fn write_rested(
+pub(super) fn write_idle_times(
     mut to: struct_list::Builder<'_, rested::Owned>,
     engines: &[(String, Millis)],
 ) {
@@ -250,7 +250,7 @@
     }
 }
 
-pub(super) fn read_rested(
+pub(super) fn read_idle_times(
     from: struct_list::Reader<'_, rested::Owned>
 ) -> Result<Vec<(String, Millis)>, capnp::Error> {
     from.iter()
--- a/crates/entry/src/scheduling/desk.rs
+++ b/crates/entry/src/scheduling/desk.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         JobSpec, Names, RunningSpec,
-        facts::{engine_facts, engine_limits, facts_of},
+        facts::{engine_facts, engine_limits, upstream_facts},
     },
     crate::clock::Clock,
     jasmine_core::{
@@ -23,55 +23,55 @@
     tokio::sync::{Notify, mpsc, oneshot},
 };
 
-/// What the scheduler says to a request.
+/// The scheduler's decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it there.
-    Go {
+    /// The request may be sent to this upstream.
+    Assigned {
         /// The upstream's id.
         upstream: String,
-        /// Where it listens.
+        /// The upstream's address.
         address: SocketAddr,
-        /// The adapter's version that may run it, where an operator has named one.
+        /// The adapter version required to run it, if an operator announced one.
         version: Option<u32>,
         /// What it waited for longest.
         waited_for: WaitReason,
     },
-    /// Answer it with a refusal; it has not run.
+    /// The request is refused and has not run.
     Refused {
-        /// Why, and when to come back.
+        /// The error kind and the retry delay.
         refusal: Refusal,
         /// What it waited for longest.
         waited_for: WaitReason,
     },
 }
 
-/// What is to be sent to an engine.
+/// A request to send to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineTask {
-    /// An order, void unless the engine has accepted exactly so many before.
+    /// An order, valid only if the engine has accepted exactly this many orders before.
     Order(UpstreamId, Order, u64),
-    /// A question for its report.
+    /// A request for the engine's report.
     Report(UpstreamId),
 }
 
-/// The scheduler's machine with its surroundings: names, waiting requests, engines to be ordered.
+/// Runs the scheduler state machine of this process: maps names to ids, answers waiting requests, queues engine tasks.
 #[derive(Debug)]
 pub struct Desk {
     clock: Clock,
     names: RefCell<Names>,
-    machine: RefCell<Scheduler>,
+    scheduler: RefCell<Scheduler>,
     waiters: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     addresses: RefCell<HashMap<UpstreamId, SocketAddr>>,
-    /// Upstreams whose entries went.
-    left: RefCell<HashSet<UpstreamId>>,
+    /// Upstreams whose entries were removed.
+    removed_upstreams: RefCell<HashSet<UpstreamId>>,
     tasks: mpsc::UnboundedSender<EngineTask>,
     wake: Notify,
     may_order: Cell<bool>,
 }
 
 impl Desk {
-    /// A desk whose engine tasks go to `tasks`.
+    /// Creates a scheduler that sends its engine tasks to `tasks`.
     pub fn new(
         settings: SchedulerSettings,
         tasks: mpsc::UnboundedSender<EngineTask>,
@@ -79,30 +79,30 @@
         Self {
             clock: Clock,
             names: RefCell::default(),
-            machine: RefCell::new(Scheduler::new(settings, RightsShare::Part(1))),
+            scheduler: RefCell::new(Scheduler::new(settings, RightsShare::Part(1))),
             waiters: RefCell::default(),
             addresses: RefCell::default(),
-            left: RefCell::default(),
+            removed_upstreams: RefCell::default(),
             tasks,
             wake: Notify::new(),
             may_order: Cell::new(false),
         }
     }
 
-    /// Drives the machine's timers, for ever.
+    /// Runs the scheduler's timers; never returns.
     pub async fn run(&self) {
         loop {
             let now = self.clock.now();
-            let due = self.machine.borrow().wake_at(now).since(now);
+            let delay = self.scheduler.borrow().wake_at(now).since(now);
             tokio::select! {
-                () = tokio::time::sleep(due.to_std()) => {}
+                () = tokio::time::sleep(delay.to_std()) => {}
                 () = self.wake.notified() => continue,
             }
-            self.with(Scheduler::tick);
+            self.apply(Scheduler::tick);
         }
     }
 
-    /// Changes what is decided here.
+    /// Sets whether this VM gives orders, and its share of the rate limits.
     pub fn set_role(
         &self,
         may_order: bool,
@@ -110,53 +110,53 @@
     ) {
         self.may_order.set(may_order);
         let now = self.clock.now();
-        self.machine.borrow_mut().set_role(may_order, share, now);
+        self.scheduler.borrow_mut().set_role(may_order, share, now);
         self.wake.notify_one();
     }
 
-    /// The scheduler before was an earlier run on this VM.
+    /// Allows orders at once, because the previous leader was an earlier run of this VM.
     pub fn continue_own_orders(&self) {
         let now = self.clock.now();
-        self.machine.borrow_mut().continue_own_orders(now);
+        self.scheduler.borrow_mut().continue_own_orders(now);
         self.wake.notify_one();
     }
 
-    /// Takes from the scheduler before how long ago an engine had its last order.
-    pub fn note_rested(
+    /// Records how long ago the previous leader sent its last order to an engine.
+    pub fn set_idle_time(
         &self,
         upstream: &str,
-        rested: Millis,
+        idle_time: Millis,
     ) {
         let id = self.names.borrow_mut().upstream(upstream);
         let now = self.clock.now();
-        self.machine.borrow_mut().note_rested(id, rested, now);
+        self.scheduler.borrow_mut().note_rested(id, idle_time, now);
         self.wake.notify_one();
     }
 
-    /// Gives some engines no more orders.
+    /// Stops orders to the selected engines.
     pub fn rest(
         &self,
         engines: Rest,
     ) {
-        self.machine.borrow_mut().rest(engines);
+        self.scheduler.borrow_mut().rest(engines);
     }
 
-    /// How long ago each engine had its last order.
-    pub fn rested(&self) -> Vec<(String, Millis)> {
-        let rested = self.machine.borrow().rested(self.clock.now());
+    /// The time since the last order to each engine.
+    pub fn idle_times(&self) -> Vec<(String, Millis)> {
+        let idle_times = self.scheduler.borrow().rested(self.clock.now());
         let names = self.names.borrow();
-        rested
+        idle_times
             .into_iter()
-            .map(|(id, rested)| (names.upstream_name(id).to_string(), rested))
+            .map(|(id, idle_time)| (names.upstream_name(id).to_string(), idle_time))
             .collect()
     }
 
-    /// Whether this VM's machine gives orders.
+    /// Whether this VM gives orders to engines.
     pub fn may_order(&self) -> bool {
         self.may_order.get()
     }
 
-    /// Takes a configuration.
+    /// Applies a configuration: account limits and engine limits.
     pub fn set_config(
         &self,
         config: &IngressConfig,
@@ -176,12 +176,12 @@
                 Some((names.service(&service.name), limits))
             })
             .collect();
-        let mut machine = self.machine.borrow_mut();
-        machine.set_limits(limits, now);
-        machine.set_engines(engines);
+        let mut scheduler = self.scheduler.borrow_mut();
+        scheduler.set_limits(limits, now);
+        scheduler.set_engines(engines);
     }
 
-    /// Takes an upstream's entry.
+    /// Adds or updates an upstream.
     pub fn set_upstream(
         &self,
         entry: &UpstreamEntry,
@@ -190,24 +190,24 @@
             let mut names = self.names.borrow_mut();
             let id = names.upstream(&entry.id);
             self.addresses.borrow_mut().insert(id, entry.address);
-            self.left.borrow_mut().remove(&id);
-            (id, facts_of(entry, &mut names))
+            self.removed_upstreams.borrow_mut().remove(&id);
+            (id, upstream_facts(entry, &mut names))
         };
-        self.with(|machine, now| machine.set_upstream(id, &facts, now));
+        self.apply(|scheduler, now| scheduler.set_upstream(id, &facts, now));
     }
 
-    /// Forgets an upstream.
+    /// Removes an upstream.
     pub fn remove_upstream(
         &self,
         id: &str,
     ) {
         let id = self.names.borrow_mut().upstream(id);
         self.addresses.borrow_mut().remove(&id);
-        self.left.borrow_mut().insert(id);
-        self.machine.borrow_mut().remove_upstream(id);
+        self.removed_upstreams.borrow_mut().insert(id);
+        self.scheduler.borrow_mut().remove_upstream(id);
     }
 
-    /// Takes an operator's word on the version of an adapter.
+    /// Applies an operator's announcement of an adapter version.
     pub fn announce_version(
         &self,
         model: &str,
@@ -217,11 +217,11 @@
     ) {
         let adapter = self.names.borrow_mut().adapter(model, adapter);
         let now = self.clock.now();
-        let mut machine = self.machine.borrow_mut();
-        machine.announce_version(adapter, version, how, now);
+        let mut scheduler = self.scheduler.borrow_mut();
+        scheduler.announce_version(adapter, version, how, now);
     }
 
-    /// Asks where a request is to go; the answer may take until its deadline.
+    /// Requests an upstream; the verdict may take until the request's deadline.
     pub fn place(
         &self,
         vm: u32,
@@ -234,11 +234,11 @@
         let (tx, rx) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, tx);
         let job = spec.resolve(&mut self.names.borrow_mut(), self.clock.now());
-        self.with(|machine, now| machine.place(ticket, job, now));
+        self.apply(|scheduler, now| scheduler.place(ticket, job, now));
         rx
     }
 
-    /// Notes what was decided of a first attempt of this VM's own callers, whoever decided.
+    /// Counts a decision on a first attempt of this VM's own callers, made here or by the leader.
     pub fn note_own(
         &self,
         spec: &JobSpec,
@@ -249,29 +249,29 @@
         };
         let account = self.names.borrow_mut().account(account);
         let now = self.clock.now();
-        let mut machine = self.machine.borrow_mut();
-        machine.note_own(account, spec.cost, decided, now);
+        let mut scheduler = self.scheduler.borrow_mut();
+        scheduler.note_own(account, spec.cost, decided, now);
     }
 
-    /// The first event of a request was seen.
+    /// Records that the first event of a request's answer was received.
     pub fn first_event(
         &self,
         ticket: Ticket,
     ) {
-        self.with(|machine, now| machine.first_event(ticket, now));
+        self.apply(|scheduler, now| scheduler.first_event(ticket, now));
     }
 
-    /// A request has ended, or is no longer wanted.
+    /// Records that a request ended or was withdrawn.
     pub fn ended(
         &self,
         ticket: Ticket,
         outcome: Outcome,
     ) {
         self.waiters.borrow_mut().remove(&ticket);
-        self.with(|machine, now| machine.ended(ticket, outcome, now));
+        self.apply(|scheduler, now| scheduler.ended(ticket, outcome, now));
     }
 
-    /// Takes over a request that runs.
+    /// Takes over a running request from another scheduler.
     pub fn adopt(
         &self,
         vm: u32,
@@ -289,10 +289,10 @@
             version: spec.version,
             has_begun: spec.has_begun,
         };
-        self.machine.borrow_mut().adopt(adopted, now);
+        self.scheduler.borrow_mut().adopt(adopted, now);
     }
 
-    /// Forgets all requests of a VM.
+    /// Removes all requests of a VM.
     pub fn forget_vm(
         &self,
         vm: u32,
@@ -300,10 +300,10 @@
         self.waiters
             .borrow_mut()
             .retain(|ticket, _| ticket.vm != vm);
-        self.with(|machine, now| machine.forget_vm(vm, now));
+        self.apply(|scheduler, now| scheduler.forget_vm(vm, now));
     }
 
-    /// Forgets the requests of all other VMs than `vm`: somebody else decides about them by now.
+    /// Removes the requests of all VMs except `vm`, after this VM stopped leading.
     pub fn forget_others(
         &self,
         vm: u32,
@@ -311,20 +311,20 @@
         self.waiters
             .borrow_mut()
             .retain(|ticket, _| ticket.vm == vm);
-        self.with(|machine, now| machine.forget_others(vm, now));
+        self.apply(|scheduler, now| scheduler.forget_others(vm, now));
     }
 
-    /// Takes the answer to an order.
+    /// Processes the result of an order.
     pub fn order_ended(
         &self,
         upstream: UpstreamId,
         order: Order,
         end: OrderEnd,
     ) {
-        self.with(|machine, now| machine.order_ended(upstream, order, end, now));
+        self.apply(|scheduler, now| scheduler.order_ended(upstream, order, end, now));
     }
 
-    /// Takes an engine's report.
+    /// Processes an engine's report; `None` if it could not be read.
     pub fn report(
         &self,
         upstream: UpstreamId,
@@ -334,19 +334,19 @@
             let mut names = self.names.borrow_mut();
             engine_facts(holdings, is_busy, &mut names)
         });
-        self.with(|machine, now| machine.report(upstream, facts.as_ref(), now));
+        self.apply(|scheduler, now| scheduler.report(upstream, facts.as_ref(), now));
     }
 
-    /// Whether this VM knows that an upstream takes no more work, whatever the scheduler says.
-    pub fn has_left(
+    /// Whether an upstream is leaving or its entry was removed.
+    pub fn is_leaving_or_removed(
         &self,
         upstream: &str,
     ) -> bool {
         let id = self.names.borrow_mut().upstream(upstream);
-        self.left.borrow().contains(&id) || self.machine.borrow().is_leaving(id)
+        self.removed_upstreams.borrow().contains(&id) || self.scheduler.borrow().is_leaving(id)
     }
 
-    /// The id and address of an upstream.
+    /// The name and address of an upstream.
     pub fn upstream(
         &self,
         id: UpstreamId,
@@ -355,41 +355,41 @@
         Some((self.names.borrow().upstream_name(id), address))
     }
 
-    /// The names, for whoever writes orders.
+    /// The table of names and ids.
     pub fn names(&self) -> std::cell::Ref<'_, Names> {
         self.names.borrow()
     }
 
-    /// Requests that wait and that run, for metrics.
+    /// The numbers of waiting and of running requests.
     pub fn load(&self) -> (usize, usize) {
-        let machine = self.machine.borrow();
-        (machine.waiting_len(), machine.running_len())
+        let scheduler = self.scheduler.borrow();
+        (scheduler.waiting_len(), scheduler.running_len())
     }
 
-    /// How long requests that don't wait any more did, by reason.
+    /// Total waiting times of requests that no longer wait, by reason.
     pub fn waits(&self) -> WaitTimes {
-        *self.machine.borrow().waits()
+        *self.scheduler.borrow().waits()
     }
 
-    /// Lets the machine take an event and carries out what it wants.
-    fn with<F>(
+    /// Passes an event to the scheduler and performs the resulting actions.
+    fn apply<F>(
         &self,
         f: F,
     ) where
         F: FnOnce(&mut Scheduler, Millis) -> Vec<Action>,
     {
         let now = self.clock.now();
-        let actions = f(&mut self.machine.borrow_mut(), now);
-        let acted = !actions.is_empty();
+        let actions = f(&mut self.scheduler.borrow_mut(), now);
+        let has_actions = !actions.is_empty();
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
-        if acted {
+        if has_actions {
             self.wake.notify_one();
         }
     }
 
-    fn act(
+    fn perform(
         &self,
         action: Action,
     ) {
@@ -415,8 +415,8 @@
                 upstream,
                 order,
                 after_seq,
-            } => self.send(EngineTask::Order(upstream, order, after_seq)),
-            Action::AskReport { upstream } => self.send(EngineTask::Report(upstream)),
+            } => self.queue_task(EngineTask::Order(upstream, order, after_seq)),
+            Action::AskReport { upstream } => self.queue_task(EngineTask::Report(upstream)),
         }
     }
 
@@ -431,7 +431,7 @@
             let upstream = id.to_string();
             self.answer(
                 ticket,
-                Verdict::Go {
+                Verdict::Assigned {
                     upstream,
                     address,
                     version,
@@ -441,7 +441,7 @@
         }
     }
 
-    /// A waiter that has gone has told its end by itself.
+    /// Sends a verdict to its waiter; one that was dropped has reported its end itself.
     fn answer(
         &self,
         ticket: Ticket,
@@ -452,11 +452,11 @@
         }
     }
 
-    fn send(
+    fn queue_task(
         &self,
         task: EngineTask,
     ) {
-        // The other end is gone only when the daemon ends.
+        // The receiver is dropped only when the daemon stops.
         let _closed = self.tasks.send(task);
     }
 }
--- a/crates/entry/src/scheduling/facts.rs
+++ b/crates/entry/src/scheduling/facts.rs
@@ -1,4 +1,4 @@
-//! What the store and engines say, in the scheduler's keys.
+//! Converts store entries and engine reports to the scheduler's types, with ids in place of names.
 
 use {
     super::Names,
@@ -9,7 +9,7 @@
     },
 };
 
-/// What engines of a service can hold, with names as keys.
+/// Converts the capacity limits of a service's engines.
 pub(super) fn engine_limits(
     spec: &EngineSpec,
     names: &mut Names,
@@ -28,8 +28,8 @@
     }
 }
 
-/// What an upstream's entry says, with names as keys.
-pub(super) fn facts_of(
+/// Converts an upstream's store entry.
+pub(super) fn upstream_facts(
     entry: &UpstreamEntry,
     names: &mut Names,
 ) -> UpstreamFacts {
@@ -47,7 +47,7 @@
     }
 }
 
-/// What an engine holds, by its entry or its report.
+/// Converts an engine's loaded models and adapters, from its store entry or its report.
 pub(super) fn engine_facts(
     holdings: &EngineHoldings,
     is_busy: bool,
--- a/crates/entry/src/scheduling/job_spec.rs
+++ b/crates/entry/src/scheduling/job_spec.rs
@@ -8,52 +8,52 @@
     },
 };
 
-/// A generation, with names in place of numbers.
+/// A generation request, with names in place of process-local ids.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationSpec {
-    /// The base model.
+    /// Name of the base model.
     pub model: String,
-    /// The adapter.
+    /// Name of the adapter; `None` for the base model alone.
     pub adapter: Option<String>,
-    /// How large it is.
+    /// Prompt and output sizes, in tokens.
     pub size: PromptSize,
-    /// The parts of its prompt.
+    /// The prompt's parts, for prefix reuse.
     pub parts: Vec<PromptPart>,
 }
 
-/// A request that wants an upstream, as VMs tell each other: with names, and times as what is left of them.
+/// A placement request as sent between VMs: with names in place of ids, and with remaining times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobSpec {
-    /// The attempt's number on its VM.
+    /// Number of the attempt, unique on its VM.
     pub number: u64,
-    /// The client account.
+    /// The client account whose rate limit applies; `None` if not limited.
     pub account: Option<String>,
-    /// What makes the caller known when it comes back.
+    /// Tag that identifies the caller when it retries after a refusal.
     pub caller: u64,
-    /// What it costs the account.
+    /// Cost charged to the account's rate limit.
     pub cost: u64,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The generation; none for a call.
+    /// The generation; `None` for a plain call.
     pub generation: Option<GenerationSpec>,
-    /// Its rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// What is left until it is late.
+    /// Remaining time until the latency objective is missed.
     pub objective: Millis,
-    /// The longest pause within its answer that is still in time, if it is a stream.
+    /// Longest gap within a streamed answer that meets the objective; `None` if not streamed.
     pub gap_objective: Option<Millis>,
-    /// What is left until nobody waits for it.
+    /// Remaining time until the caller stops waiting.
     pub deadline: Millis,
-    /// Which attempt it is, from 1 up.
+    /// Attempt count, from 1.
     pub attempt: u32,
-    /// Upstreams that have failed it.
+    /// Upstreams to avoid, because an earlier attempt failed there.
     pub avoid: Vec<String>,
-    /// Where the forwarding VM stands.
+    /// Data centre of the forwarding VM.
     pub data_centre: String,
 }
 
 impl JobSpec {
-    /// The same with this process's numbers and points in time.
+    /// Resolves names to this process's ids, and remaining times to points in time.
     pub fn resolve(
         &self,
         names: &mut Names,
@@ -88,15 +88,15 @@
     }
 }
 
-/// A request that runs, as a VM tells a scheduler that has just taken over.
+/// A running request, as a VM reports it to a new leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningSpec {
     /// The request.
     pub job: JobSpec,
-    /// Where it runs.
+    /// Id of the upstream that it runs on.
     pub upstream: String,
-    /// The adapter's version, where an operator has named one.
+    /// The adapter version required to run it, if an operator announced one.
     pub version: Option<u32>,
-    /// Whether its first event has been seen.
+    /// Whether the first event of its answer was received.
     pub has_begun: bool,
 }
--- a/crates/entry/src/scheduling/leader.rs
+++ b/crates/entry/src/scheduling/leader.rs
@@ -1,14 +1,14 @@
 use {jasmine_core::ids::Fence, std::net::SocketAddr};
 
-/// The VM that schedules.
+/// The VM that schedules the requests of all VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
-    /// Where other daemons reach it.
+    /// Address for calls from other entry VMs.
     pub address: SocketAddr,
-    /// Its fencing token; one that is elected later has a higher one.
+    /// Fencing token; higher for each later election.
     pub fence: Fence,
-    /// Whether it is about to stop: another one may take its place at once.
+    /// Whether it is stopping, so that another VM may take over at once.
     pub is_leaving: bool,
 }
--- a/crates/entry/src/scheduling/mod.rs
+++ b/crates/entry/src/scheduling/mod.rs
@@ -1,10 +1,10 @@
-//! Who decides where a request goes: this VM's own machine, or the one that leads.
+//! Assigns requests to upstreams, on the leading VM or locally while no leader is reachable.
 
 mod client;
 mod convert;
 mod desk;
 mod facts;
-mod handed_on;
+mod handover;
 mod job_spec;
 mod leader;
 mod names;
@@ -16,7 +16,7 @@
 pub use {
     client::Scheduling,
     desk::{Desk, Verdict},
-    handed_on::HandedOn,
+    handover::Handover,
     job_spec::{GenerationSpec, JobSpec, RunningSpec},
     leader::Leader,
     names::Names,
--- a/crates/entry/src/scheduling/names.rs
+++ b/crates/entry/src/scheduling/names.rs
@@ -3,75 +3,75 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// Numbers for names of one kind, given out as they are met.
+/// Assigns consecutive ids to names of one kind.
 #[derive(Clone, Debug, Default)]
-struct Table {
-    numbers: HashMap<Rc<str>, u32>,
+struct Interner {
+    ids: HashMap<Rc<str>, u32>,
     names: Vec<Rc<str>>,
 }
 
-impl Table {
-    fn number(
+impl Interner {
+    fn intern(
         &mut self,
         name: &str,
     ) -> u32 {
-        if let Some(&number) = self.numbers.get(name) {
-            return number;
+        if let Some(&id) = self.ids.get(name) {
+            return id;
         }
         let name: Rc<str> = name.into();
-        let number = self.names.len() as u32;
-        self.numbers.insert(Rc::clone(&name), number);
+        let id = self.names.len() as u32;
+        self.ids.insert(Rc::clone(&name), id);
         self.names.push(name);
-        number
+        id
     }
 
     fn name(
         &self,
-        number: u32,
+        id: u32,
     ) -> Rc<str> {
         self.names
-            .get(number as usize)
+            .get(id as usize)
             .map_or_else(|| "".into(), Rc::clone)
     }
 }
 
-/// The numbers that this process uses for the platform's names. Another process has other ones.
+/// Maps names of the platform to ids and back; the ids are valid in this process only.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    services: Table,
-    accounts: Table,
-    models: Table,
-    adapters: Table,
-    upstreams: Table,
-    data_centres: Table,
+    services: Interner,
+    accounts: Interner,
+    models: Interner,
+    adapters: Interner,
+    upstreams: Interner,
+    data_centres: Interner,
 }
 
 impl Names {
-    /// The number of a service.
+    /// Returns the id of a service, assigning one if needed.
     pub fn service(
         &mut self,
         name: &str,
     ) -> ServiceId {
-        ServiceId(self.services.number(name))
+        ServiceId(self.services.intern(name))
     }
 
-    /// The number of a client account.
+    /// Returns the id of a client account, assigning one if needed.
     pub fn account(
         &mut self,
         name: &str,
     ) -> AccountId {
-        AccountId(self.accounts.number(name))
+        AccountId(self.accounts.intern(name))
     }
 
-    /// The number of a base model.
+    /// Returns the id of a base model, assigning one if needed.
     pub fn model(
         &mut self,
         name: &str,
     ) -> ModelId {
-        ModelId(self.models.number(name))
+        ModelId(self.models.intern(name))
     }
 
-    /// The name of a base model.
+    /// Returns the name of a base model; empty for an unknown id.
     pub fn model_name(
         &self,
         id: ModelId,
@@ -79,16 +79,16 @@
         self.models.name(id.0)
     }
 
-    /// The number of an adapter of a base model.
+    /// Returns the id of an adapter of a base model, assigning one if needed.
     pub fn adapter(
         &mut self,
         model: &str,
         adapter: &str,
     ) -> AdapterId {
-        AdapterId(self.adapters.number(&format!("{model}/{adapter}")))
+        AdapterId(self.adapters.intern(&format!("{model}/{adapter}")))
     }
 
-    /// The name of an adapter, without its model's.
+    /// Returns the name of an adapter, without its model's name.
     pub fn adapter_name(
         &self,
         id: AdapterId,
@@ -98,15 +98,15 @@
         adapter.to_owned()
     }
 
-    /// The number of an upstream.
+    /// Returns the id of an upstream, assigning one if needed.
     pub fn upstream(
         &mut self,
         id: &str,
     ) -> UpstreamId {
-        UpstreamId(self.upstreams.number(id))
+        UpstreamId(self.upstreams.intern(id))
     }
 
-    /// The id of an upstream.
+    /// Returns the name of an upstream; empty for an unknown id.
     pub fn upstream_name(
         &self,
         id: UpstreamId,
@@ -114,11 +114,11 @@
         self.upstreams.name(id.0)
     }
 
-    /// The number of a data centre.
+    /// Returns the id of a data centre, assigning one if needed.
     pub fn data_centre(
         &mut self,
         name: &str,
     ) -> DataCentreId {
-        DataCentreId(self.data_centres.number(name) as u16)
+        DataCentreId(self.data_centres.intern(name) as u16)
     }
 }
--- a/crates/entry/src/scheduling/orders.rs
+++ b/crates/entry/src/scheduling/orders.rs
@@ -21,22 +21,21 @@
     tokio::{sync::mpsc, task::spawn_local},
 };
 
-/// How long an order or a report may take. Engines answer in a millisecond or two; a packet that is lost is sent
-/// again after a fifth of a second.
-const CALL_LIMIT: Millis = Millis(250);
+/// Timeout of an order or a report; leaves time for one TCP retransmission.
+const CALL_TIMEOUT: Millis = Millis(250);
 
-/// What orders are given with.
+/// Everything needed to send orders to engines.
 #[derive(Clone, Debug)]
 pub struct OrderContext {
-    /// Whose orders they are.
+    /// Supplies the fencing token and receives the results.
     pub scheduling: Rc<Scheduling>,
     /// Connections to engines.
     pub pool: Rc<Pool>,
-    /// What is counted.
+    /// Counts orders by result.
     pub metrics: Rc<EntryMetrics>,
 }
 
-/// Carries out what the machine wants of engines, for ever.
+/// Sends the scheduler's engine tasks concurrently and reports their results back; ends when the channel closes.
 pub async fn carry_out(
     cx: OrderContext,
     mut tasks: mpsc::UnboundedReceiver<EngineTask>,
@@ -71,14 +70,14 @@
         let (Some((id, address)), Some(fence)) = (target, self.scheduling.fence_for_order()) else {
             return OrderEnd::Unsent;
         };
-        let order = self.spell(order, after_seq, fence);
+        let order = self.engine_order(order, after_seq, fence);
         let answer = self
             .call(&id, address, "POST", ORDER_TARGET, &encode_order(&order))
             .await;
         let end = match answer {
             Err(CallError::Unsent) => OrderEnd::Unsent,
             Err(CallError::Unanswered) => OrderEnd::Lost,
-            Ok((status, _)) => self.end_of(decode_order_status(status)),
+            Ok((status, _)) => self.order_end(decode_order_status(status)),
         };
         Line::new("order_given")
             .with("upstream", &id)
@@ -91,7 +90,7 @@
         end
     }
 
-    fn end_of(
+    fn order_end(
         &self,
         answer: OrderAnswer,
     ) -> OrderEnd {
@@ -101,23 +100,23 @@
             OrderAnswer::Conflict => OrderEnd::Conflict,
             OrderAnswer::OtherUpstream => OrderEnd::OtherUpstream,
             OrderAnswer::Refused(_) => OrderEnd::Refused,
-            // Somebody else was elected; going on under this token would only be refused again.
+            // Another VM was elected: further orders under this token would be refused too.
             OrderAnswer::Fenced => {
                 self.scheduling
-                    .step_down("an engine has seen a higher token");
+                    .step_down("an engine has seen a higher fencing token");
                 OrderEnd::Refused
             }
         }
     }
 
-    fn spell(
+    fn engine_order(
         &self,
         order: Order,
         after_seq: u64,
         fence: jasmine_core::ids::Fence,
     ) -> EngineOrder {
         let names = self.scheduling.desk.names();
-        let spelled =
+        let build =
             |kind, model: ModelId, adapter: Option<AdapterVersion>, announced: bool| EngineOrder {
                 kind,
                 model: names.model_name(model).to_string(),
@@ -132,11 +131,11 @@
                 model,
                 adapter,
                 announced,
-            } => spelled(OrderKind::Load, model, Some(adapter), announced),
+            } => build(OrderKind::Load, model, Some(adapter), announced),
             Order::Unload { model, adapter } => {
-                spelled(OrderKind::Unload, model, Some(adapter), false)
+                build(OrderKind::Unload, model, Some(adapter), false)
             }
-            Order::LoadModel(model) => spelled(OrderKind::Load, model, None, false),
+            Order::LoadModel(model) => build(OrderKind::Load, model, None, false),
         }
     }
 
@@ -181,7 +180,7 @@
             target,
             headers: &headers,
             body,
-            limit: CALL_LIMIT,
+            limit: CALL_TIMEOUT,
             fresh: false,
         };
         call.make(&self.pool).await
--- a/crates/entry/src/scheduling/placement.rs
+++ b/crates/entry/src/scheduling/placement.rs
@@ -1,20 +1,21 @@
 use {
-    super::{Scheduling, convert::News},
+    super::{Scheduling, convert::RequestUpdate},
     jasmine_core::scheduler::{Outcome, WaitReason},
     std::{cell::Cell, net::SocketAddr, rc::Rc},
 };
 
-/// A place at an upstream that a request was given. Dropped without an end it counts as abandoned: the
-/// caller has gone, and what was reserved is free again.
+/// A slot at an upstream, reserved for a request.
+///
+/// Dropped without [`Placement::end`], it reports the request as abandoned, which releases the slot.
 #[derive(Debug)]
 pub struct Placement {
     scheduling: Rc<Scheduling>,
     number: u64,
     /// The upstream's id.
     pub upstream: String,
-    /// Where it listens.
+    /// The upstream's address.
     pub address: SocketAddr,
-    /// The adapter's version that may run it, where an operator has named one.
+    /// The adapter version required to run it, if an operator announced one.
     pub version: Option<u32>,
     /// What the request waited for longest.
     pub waited_for: WaitReason,
@@ -41,18 +42,20 @@
         }
     }
 
-    /// Tells that the first event of the answer was seen.
+    /// Reports that the first event of the answer was received.
     pub fn first_event(&self) {
-        self.scheduling.note(self.number, News::FirstEvent);
+        self.scheduling
+            .record_update(self.number, RequestUpdate::FirstEvent);
     }
 
-    /// Tells how it ended; only the first word counts.
+    /// Reports how the request ended; later calls have no effect.
     pub fn end(
         &self,
         outcome: Outcome,
     ) {
         if !self.has_ended.replace(true) {
-            self.scheduling.note(self.number, News::Ended(outcome));
+            self.scheduling
+                .record_update(self.number, RequestUpdate::Ended(outcome));
         }
     }
 }
--- a/crates/entry/src/scheduling/server.rs
+++ b/crates/entry/src/scheduling/server.rs
@@ -2,8 +2,8 @@
     super::{
         Desk, Scheduling, Verdict,
         convert::{
-            News, read_job, read_leader, read_news, read_rested, read_running, write_leader,
-            write_verdict,
+            RequestUpdate, read_idle_times, read_job, read_leader, read_running, read_update,
+            write_leader, write_verdict,
         },
     },
     crate::store::{Feed, KvStore, write_answer},
@@ -23,20 +23,20 @@
     },
 };
 
-/// Answers the other entry VMs.
+/// Serves the scheduler RPCs of the other entry VMs.
 #[derive(Debug)]
 pub struct SchedulerServer {
     scheduling: Rc<Scheduling>,
     feed: Rc<Feed>,
     store: KvStore,
-    /// The session of each VM under the token of this lead.
+    /// The session of each VM, by VM name, under `sessions_fence`.
     sessions: RefCell<HashMap<String, u32>>,
     next_session: Cell<u32>,
-    under: Cell<Option<Fence>>,
+    sessions_fence: Cell<Option<Fence>>,
 }
 
 impl SchedulerServer {
-    /// A server of this VM's machine, of what it knows of the store, and of its way there.
+    /// Creates a server of this VM's scheduler, its cached store changes and its access to the store.
     pub fn new(
         scheduling: Rc<Scheduling>,
         feed: Rc<Feed>,
@@ -48,34 +48,34 @@
             store,
             sessions: RefCell::default(),
             next_session: Cell::new(1),
-            under: Cell::new(None),
+            sessions_fence: Cell::new(None),
         }
     }
 
-    /// Opens a session for a VM, in place of the one that it had; none while this VM doesn't lead.
-    fn open(
+    /// Opens a session for a VM, replacing an earlier one; `None` unless this VM leads.
+    fn open_session(
         &self,
         vm: &str,
     ) -> Option<u32> {
         let fence = self.scheduling.fence()?;
-        if self.under.replace(Some(fence)) != Some(fence) {
+        if self.sessions_fence.replace(Some(fence)) != Some(fence) {
             self.sessions.borrow_mut().clear();
         }
         let session = self.next_session.replace(self.next_session.get() + 1);
-        let before = self.sessions.borrow_mut().insert(vm.to_owned(), session);
-        if let Some(before) = before {
-            self.scheduling.desk.forget_vm(before);
+        let previous = self.sessions.borrow_mut().insert(vm.to_owned(), session);
+        if let Some(previous) = previous {
+            self.scheduling.desk.forget_vm(previous);
         }
         Some(session)
     }
 
-    fn knows(
+    fn has_session(
         &self,
         session: u32,
     ) -> bool {
-        let leads = self.scheduling.fence().is_some();
-        leads
-            && self.under.get() == self.scheduling.fence()
+        let is_leading = self.scheduling.fence().is_some();
+        is_leading
+            && self.sessions_fence.get() == self.scheduling.fence()
             && self
                 .sessions
                 .borrow()
@@ -95,7 +95,7 @@
             results.get().init_leader(),
             self.scheduling.leader().as_ref(),
         );
-        let Some(session) = self.open(params.get_vm()?.to_str()?) else {
+        let Some(session) = self.open_session(params.get_vm()?.to_str()?) else {
             return Ok(());
         };
         for running in params.get_running()? {
@@ -113,11 +113,11 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let session = params.get_session();
-        if !self.knows(session) {
+        if !self.has_session(session) {
             return Ok(());
         }
         let spec = read_job(params.get_job()?)?;
-        let guard = Withdrawn {
+        let guard = WithdrawOnDrop {
             desk: &self.scheduling.desk,
             ticket: Ticket {
                 vm: session,
@@ -127,13 +127,16 @@
         };
         let verdict = self.scheduling.desk.place(session, &spec).await;
         guard.is_settled.set(true);
-        // The sender is dropped when the session ends; then there is nothing to run the request on here.
-        let lost = Verdict::Refused {
+        // The session ended: `known` is false and the follower ignores the verdict.
+        let session_ended = Verdict::Refused {
             refusal: Refusal::new(ErrorKind::NoUpstream),
             waited_for: WaitReason::NoUpstream,
         };
         results.get().set_known(verdict.is_ok());
-        write_verdict(results.get().init_verdict(), &verdict.unwrap_or(lost));
+        write_verdict(
+            results.get().init_verdict(),
+            &verdict.unwrap_or(session_ended),
+        );
         Ok(())
     }
 
@@ -144,20 +147,20 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let session = params.get_session();
-        let known = self.knows(session);
+        let known = self.has_session(session);
         results.get().set_known(known);
         if !known {
             return Ok(());
         }
-        for news in params.get_news()? {
-            let (number, what) = read_news(news)?;
+        for update in params.get_news()? {
+            let (number, update) = read_update(update)?;
             let ticket = Ticket {
                 vm: session,
                 number,
             };
-            match what {
-                News::FirstEvent => self.scheduling.desk.first_event(ticket),
-                News::Ended(outcome) => self.scheduling.desk.ended(ticket, outcome),
+            match update {
+                RequestUpdate::FirstEvent => self.scheduling.desk.first_event(ticket),
+                RequestUpdate::Ended(outcome) => self.scheduling.desk.ended(ticket, outcome),
             }
         }
         Ok(())
@@ -171,8 +174,8 @@
         let params = params.get()?;
         if let Some(leader) = read_leader(params.get_leader()?)? {
             if leader.is_leaving {
-                let rested = read_rested(params.get_rested()?)?;
-                self.scheduling.note_handed_on(leader.fence, rested);
+                let idle_times = read_idle_times(params.get_rested()?)?;
+                self.scheduling.set_handover(leader.fence, idle_times);
             }
             self.scheduling.consider(leader);
         }
@@ -201,7 +204,7 @@
         mut results: scheduler::RenewResults,
     ) -> Result<(), capnp::Error> {
         let lease = LeaseId(params.get()?.get_lease());
-        let (state, ttl) = match self.store.renew(lease, RENEWAL).await {
+        let (state, ttl) = match self.store.renew(lease, RENEWAL_TIMEOUT).await {
             Ok(Some(lease)) => (RenewalState::Renewed, lease.ttl),
             Ok(None) => (RenewalState::Ended, Millis::ZERO),
             Err(e) => {
@@ -226,7 +229,7 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let minor_after = Some(params.get_minor_after()).filter(|&revision| revision != 0);
-        let wait = Millis(params.get_wait_ms().into()).min(MOST_HELD);
+        let wait = Millis(params.get_wait_ms().into()).min(MAX_CHANGES_WAIT);
         let answer = self
             .feed
             .changes(params.get_after(), minor_after, wait)
@@ -236,19 +239,19 @@
     }
 }
 
-/// How long the store may take for a renewal that is passed on; the asker waits a little longer.
-const RENEWAL: Millis = Millis(250);
-/// The longest that a question for changes is held, whatever its asker says.
-const MOST_HELD: Millis = Millis(5_000);
+/// Timeout of the store for a forwarded lease renewal; shorter than that of the calling VM.
+const RENEWAL_TIMEOUT: Millis = Millis(250);
+/// Longest time for which a `changes` call waits, whatever the calling VM requests.
+const MAX_CHANGES_WAIT: Millis = Millis(5_000);
 
-/// A question whose asker takes it back by dropping its call: its caller has gone.
-struct Withdrawn<'a> {
+/// Withdraws a placement request if its call is dropped because the caller disconnected.
+struct WithdrawOnDrop<'a> {
     desk: &'a Desk,
     ticket: Ticket,
     is_settled: Cell<bool>,
 }
 
-impl Drop for Withdrawn<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if !self.is_settled.get() {
             self.desk.ended(self.ticket, Outcome::Abandoned);
--- a/crates/entry/src/scheduling/unplaced.rs
+++ b/crates/entry/src/scheduling/unplaced.rs
@@ -1,16 +1,16 @@
 use jasmine_core::{error::Refusal, scheduler::WaitReason};
 
-/// A request that gets no upstream.
+/// Refusal of a placement request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unplaced {
-    /// Why, and when its caller may come back.
+    /// The error kind and the retry delay.
     pub refusal: Refusal,
-    /// What it waited for longest.
+    /// What the request waited for longest.
     pub waited_for: WaitReason,
 }
 
 impl From<Refusal> for Unplaced {
-    /// It has not waited for anything but its turn.
+    /// Creates an error for a request that waited for nothing but its turn.
     fn from(refusal: Refusal) -> Self {
         Self {
             refusal,
--- a/crates/entry/tests/handed_on.rs
+++ b/crates/entry/tests/handed_on.rs
@@ -1,4 +1,4 @@
-//! Changes of the store that VMs have from one another.
+//! Relaying of store changes between VMs.
 
 mod deployment;
 
@@ -14,10 +14,10 @@
     },
 };
 
-/// Calls to the store a second, of twelve VMs: 16.9 where two of them follow it, 27.3 where all do, renewals included.
-const MOST_CALLS: f64 = 22.0;
+/// Calls to the store per second from twelve VMs, including lease renewals; exceeded if each VM reads it directly.
+const MAX_CALLS_PER_S: f64 = 22.0;
 
-/// A configuration in which `read` has moved to this path.
+/// A configuration in which the route `read` has this path.
 fn moved(
     version: u64,
     path: &str,
@@ -36,8 +36,7 @@
 
 #[test]
 fn few_read_the_store() {
-    // Twelve VMs in one data centre. If each followed the store by itself, what the store is asked would grow with the VMs,
-    // and each call has its price. Of these at most two do: the one that serves the others, and the one that schedules.
+    // Guards against store load that grows with the number of VMs: only the relay and the leader read the store.
     let (store, _upstreams) = platform(&["s-1"]);
     let vms: Vec<Vm> = (0..12).map(|_| Vm::start(&store)).collect();
     thread::sleep(Duration::from_millis(1_500));
@@ -46,19 +45,21 @@
         let path = format!("/moved-{version}/");
         store.put("op/config", &moved(version, &path));
         for vm in &vms {
-            until("it is in force", || is_served(vm, &path));
+            until("the configuration is applied", || is_served(vm, &path));
         }
         thread::sleep(Duration::from_millis(700));
     }
-    let a_second = (store.calls() - before) as f64 / began.elapsed().as_secs_f64();
-    println!("{a_second:.1} calls a second");
-    assert!(a_second < MOST_CALLS, "{a_second} calls a second");
+    let calls_per_s = (store.calls() - before) as f64 / began.elapsed().as_secs_f64();
+    println!("{calls_per_s:.1} calls per second");
+    assert!(
+        calls_per_s < MAX_CALLS_PER_S,
+        "{calls_per_s} calls per second"
+    );
 }
 
 #[test]
 fn a_reader_cut_off_from_the_store_is_left() {
-    // The VM that hands changes on is cut off from the store without a word. The others reach the store and would notice
-    // nothing but that no more changes come; a key that was withdrawn would go on working at all of them.
+    // Guards against stale configuration, such as a revoked key, on all VMs when the relay loses the store unnoticed.
     let (store, _upstreams) = platform(&["s-1"]);
     let links: Vec<Proxy> = (0..3)
         .map(|_| Proxy::start(SocketAddr::from(([127, 0, 0, 1], 0)), store.address()).unwrap())
@@ -73,7 +74,7 @@
         .collect();
     for vm in &vms {
         until("it is ready", || vm.is_ready());
-        until("somebody leads", || {
+        until("a leader is known", || {
             !vm.logged("lead_taken").is_empty() || !vm.logged("leader_followed").is_empty()
         });
     }
@@ -85,21 +86,21 @@
         let began = Instant::now();
         store.put("op/config", &moved(version, &path));
         for (_, vm) in vms.iter().enumerate().filter(|&(number, _)| number != cut) {
-            until("it is in force", || is_served(vm, &path));
+            until("the configuration is applied", || is_served(vm, &path));
         }
         let took = began.elapsed();
-        println!("in force after {} ms", took.as_millis());
+        println!("applied after {} ms", took.as_millis());
         assert!(took < Duration::from_secs(2), "{took:?}");
         link.set_mode(Fault::Pass);
         let vm = &vms[cut];
-        until("it follows again", || is_served(vm, &path));
+        until("it reads changes again", || is_served(vm, &path));
         thread::sleep(Duration::from_millis(3_300));
     }
 }
 
 #[test]
 fn a_frozen_reader_is_left() {
-    // The VM that hands changes on is frozen. Its connections stay open, and whoever waits for its word waits for ever.
+    // Guards against waiting forever for a suspended relay, whose connections stay open.
     let (store, _upstreams) = platform(&["s-1"]);
     let vms: Vec<Vm> = (0..3).map(|_| Vm::start(&store)).collect();
     thread::sleep(Duration::from_millis(1_500));
@@ -114,7 +115,7 @@
             .enumerate()
             .filter(|&(number, _)| number != frozen)
         {
-            until("it is in force", || is_served(vm, &path));
+            until("the configuration is applied", || is_served(vm, &path));
         }
         assert!(
             began.elapsed() < Duration::from_secs(2),
@@ -122,7 +123,7 @@
             began.elapsed()
         );
         vms[frozen].signal(Signal::SIGCONT);
-        until("it follows again", || is_served(&vms[frozen], &path));
+        until("it reads changes again", || is_served(&vms[frozen], &path));
         assert!(began.elapsed() < LIMIT);
         thread::sleep(Duration::from_millis(500));
     }
--- a/crates/entry/tests/killed_leader.rs
+++ b/crates/entry/tests/killed_leader.rs
@@ -1,4 +1,4 @@
-//! VMs that die, and what engines are told meanwhile.
+//! Crashed, suspended and restarted leaders, and the orders that engines receive.
 
 mod deployment;
 
@@ -19,8 +19,7 @@
 
 #[test]
 fn adapters_are_loaded_and_make_way() {
-    // Four adapters are asked for in turn on an engine that holds two. It is never ordered to hold a third: it
-    // would crash with everything that runs on it.
+    // Guards against ordering a third adapter on an engine with two adapter slots, which would crash it.
     let (store, _) = platform(&[]);
     let engine = EngineStandIn::start("e-1").unwrap();
     store.put(&engine.key(), &engine.entry("llm", "one"));
@@ -35,6 +34,7 @@
 
 #[test]
 fn lost_answers_to_orders_overfill_nothing() {
+    // Guards against ordering too many adapters when the engine's answers to earlier orders are lost.
     let (store, _) = platform(&[]);
     let engine = EngineStandIn::start("e-1").unwrap();
     store.put(&engine.key(), &engine.entry("llm", "one"));
@@ -49,13 +49,12 @@
 
 #[test]
 fn a_killed_leader_is_replaced() {
-    // The VM that schedules is killed. The others go on by themselves with what is loaded, one of them is elected
-    // under a higher fencing token, and adapters are loaded again.
+    // Guards against failed requests, missing loads and lower fencing tokens after the leader is killed.
     let (store, _upstreams) = platform(&["s-1"]);
     let engine = EngineStandIn::start("e-1").unwrap();
     store.put(&engine.key(), &engine.entry("llm", "one"));
     let mut leader = Vm::start(&store);
-    until("one leads", || !leader.logged("lead_taken").is_empty());
+    until("it leads", || !leader.logged("lead_taken").is_empty());
     let others = [Vm::start(&store), Vm::start(&store)];
     for other in &others {
         until("it follows", || !other.logged("leader_followed").is_empty());
@@ -66,12 +65,12 @@
     for other in &others {
         assert_eq!(other.ask(&Request::new("GET", "/read/")).status, 200);
     }
-    let took_lead = || {
+    let has_new_leader = || {
         others
             .iter()
             .any(|other| !other.logged("lead_taken").is_empty())
     };
-    until("another one leads", took_lead);
+    until("another VM leads", has_new_leader);
     for other in &others {
         assert_eq!(other.ask(&generation("a2")).status, 200);
     }
@@ -86,20 +85,19 @@
 
 #[test]
 fn a_frozen_leader_gives_no_more_orders() {
-    // The VM that schedules is frozen for longer than its lease and thaws. Another one leads by then; if both gave
-    // orders, each would count the engine's places without the other.
+    // Guards against orders from two leaders after the first is suspended for longer than its lease and resumes.
     let (store, _upstreams) = platform(&["s-1"]);
     let engine = EngineStandIn::start("e-1").unwrap();
     store.put(&engine.key(), &engine.entry("llm", "one"));
     let leader = Vm::start(&store);
-    until("one leads", || !leader.logged("lead_taken").is_empty());
+    until("it leads", || !leader.logged("lead_taken").is_empty());
     let other = Vm::start(&store);
     until("it follows", || !other.logged("leader_followed").is_empty());
     leader.signal(Signal::SIGSTOP);
     until("the other leads", || !other.logged("lead_taken").is_empty());
     assert_eq!(other.ask(&generation("a1")).status, 200);
     leader.signal(Signal::SIGCONT);
-    until("the first one knows", || {
+    until("the first one gives up leadership", || {
         !leader.logged("lead_lost").is_empty()
     });
     until("it follows", || {
@@ -107,39 +105,40 @@
     });
     thread::sleep(Duration::from_millis(100));
     assert_eq!(leader.ask(&generation("a2")).status, 200);
-    let holders: Vec<String> = engine
+    let fences: Vec<String> = engine
         .orders()
         .iter()
         .map(|order| order["fence"].to_string())
         .collect();
     assert!(
-        holders.windows(2).all(|two| two[0] <= two[1]),
-        "{holders:?}"
+        fences.windows(2).all(|pair| pair[0] <= pair[1]),
+        "{fences:?}"
     );
 }
 
 #[test]
 fn a_thawed_leader_is_not_followed() {
-    // A VM that has just taken the lead still has a question open to the frozen one that led before. The answer
-    // comes when that one thaws. If it counted, the new leader would follow the old one, the old one the new
-    // one, and nobody would lead, as the key in the store stays with the new one.
+    // Guards against a new leader following its suspended predecessor because of a late answer: each would follow the
+    // other, and no VM would lead.
     let (store, _upstreams) = platform(&["s-1"]);
     let mut leader = Vm::start(&store);
-    until("one leads", || !leader.logged("lead_taken").is_empty());
+    until("it leads", || !leader.logged("lead_taken").is_empty());
     let mut other = Vm::start(&store);
     until("it follows", || !other.logged("leader_followed").is_empty());
-    // The question is open for two thirds of the time.
+    // Repeated, as a call to the leader is not always pending when it is suspended.
     for _ in 0..3 {
-        let led = other.logged("lead_taken").len();
-        let followed = leader.logged("leader_followed").len();
+        let lead_count = other.logged("lead_taken").len();
+        let follow_count = leader.logged("leader_followed").len();
         leader.signal(Signal::SIGSTOP);
-        until("the other leads", || other.logged("lead_taken").len() > led);
+        until("the other leads", || {
+            other.logged("lead_taken").len() > lead_count
+        });
         leader.signal(Signal::SIGCONT);
-        until("the thawed one follows", || {
-            leader.logged("leader_followed").len() > followed
+        until("the resumed one follows", || {
+            leader.logged("leader_followed").len() > follow_count
         });
-        assert_eq!(other.logged("lead_taken").len(), led + 1);
-        // Nor does it take an old token again.
+        assert_eq!(other.logged("lead_taken").len(), lead_count + 1);
+        // No fencing token is used twice.
         let taken = leader.logged("lead_taken");
         let tokens: BTreeSet<_> = taken.iter().map(|line| fence_of(line)).collect();
         assert_eq!(tokens.len(), taken.len(), "{taken:?}");
@@ -153,9 +152,7 @@
 
 #[test]
 fn a_restarted_leader_leads_at_once() {
-    // All VMs are killed and start again. The store still has the key of the one that led, on a lease that nobody
-    // renews; if all waited for it to lapse, adapters would be loaded again two seconds later than need be. The
-    // VM that wrote it knows that its earlier run is over.
+    // Guards against waiting for the leader lease to expire when the VM that holds it has restarted.
     let (store, _upstreams) = platform(&["s-1"]);
     let first = Vm::start(&store);
     until("it leads", || !first.logged("lead_taken").is_empty());
--- a/crates/entry/tests/lead_changes.rs
+++ b/crates/entry/tests/lead_changes.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests that wait for a decision while the lead goes from one VM to another.
+//! Requests that wait for placement while the leader changes.
 
 use {
     jasmine_core::{
@@ -21,15 +21,16 @@
     },
 };
 
-/// The longest that anything here may take.
+/// Timeout of each step.
 const LIMIT: Duration = Duration::from_secs(5);
 
+/// A VM's scheduling without the rest of the daemon.
 struct Node {
     scheduling: Rc<Scheduling>,
     leader: Leader,
 }
 
-/// A VM that would lead under `fence`.
+/// Starts a VM whose `leader` record has the fencing token `fence`.
 async fn node(
     name: &str,
     fence: u64,
@@ -114,7 +115,9 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waited).await.expect("it came about");
+    timeout(LIMIT, waited)
+        .await
+        .expect("the condition holds in time");
 }
 
 fn run<F>(test: F)
@@ -126,8 +129,7 @@
 
 #[test]
 fn a_follower_asks_the_next_leader() {
-    // A request waits at the leader when another VM is elected. The old leader may have lost the store long ago:
-    // what it goes on assigning has left since, or nothing at all is assigned, and the caller waits in vain.
+    // Guards against a request that keeps waiting at the old leader after another VM is elected.
     run(async {
         let old = node("old", 1).await;
         let new = node("new", 2).await;
@@ -143,20 +145,22 @@
         new.scheduling.lead(Fence(2), RightsShare::TakenOver);
         old.scheduling.consider(new.leader.clone());
         follower.scheduling.consider(new.leader.clone());
-        let placed = timeout(LIMIT, asked).await.expect("decided").unwrap();
+        let placed = timeout(LIMIT, asked)
+            .await
+            .expect("decided in time")
+            .unwrap();
         assert_eq!(placed.expect("not refused").upstream, "s-new");
         assert_eq!(
             old.scheduling.desk.load(),
             (0, 0),
-            "nothing waits at the old one"
+            "no request is left at the old leader"
         );
     });
 }
 
 #[test]
 fn the_old_leader_asks_the_new_one() {
-    // The old leader's own callers wait at its own machine. Nothing there would ever tell them that another VM
-    // decides by now.
+    // Guards against the old leader's own requests waiting in its local scheduler after another VM is elected.
     run(async {
         let old = node("old", 1).await;
         let new = node("new", 2).await;
@@ -168,15 +172,17 @@
         new.scheduling.desk.set_upstream(&server("s-new"));
         new.scheduling.lead(Fence(2), RightsShare::TakenOver);
         old.scheduling.consider(new.leader.clone());
-        let placed = timeout(LIMIT, asked).await.expect("decided").unwrap();
+        let placed = timeout(LIMIT, asked)
+            .await
+            .expect("decided in time")
+            .unwrap();
         assert_eq!(placed.expect("not refused").upstream, "s-new");
     });
 }
 
 #[test]
 fn a_dead_leader_is_done_without() {
-    // The leader's VM loses power: nothing answers, not even with a reset. Requests that wait for its word would
-    // wait until their deadlines; the VM decides by itself with what it knows.
+    // Guards against waiting until the deadline for a leader that accepts connections but never answers.
     run(async {
         let follower = node("follower", 0).await;
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -189,7 +195,10 @@
         });
         let placed = timeout(LIMIT, follower.scheduling.place(job())).await;
         assert_eq!(
-            placed.expect("decided").expect("not refused").upstream,
+            placed
+                .expect("decided in time")
+                .expect("not refused")
+                .upstream,
             "s-own"
         );
     });
@@ -197,8 +206,7 @@
 
 #[test]
 fn an_older_leader_is_not_listened_to() {
-    // Word of a leader comes from the store and from other VMs, in any order. One that was elected earlier must
-    // not win over a later one, or two VMs would give orders by turns.
+    // Guards against following an earlier leader whose announcement arrives after that of a later one.
     run(async {
         let follower = node("follower", 0).await;
         let newer = node("newer", 9).await;
--- a/crates/entry/tests/no_leader.rs
+++ b/crates/entry/tests/no_leader.rs
@@ -1,4 +1,4 @@
-//! Requests that come while nobody leads.
+//! Requests that arrive while there is no leader.
 
 use {
     jasmine_core::{
@@ -17,7 +17,7 @@
     },
 };
 
-/// A VM among three hundred that has just started: its part of the account's rate is less than one request.
+/// A newly started VM among 300: its share of the account's rate limit is less than one request.
 fn started_vm() -> Rc<Scheduling> {
     let (tasks, _orders) = mpsc::unbounded_channel();
     let desk = Rc::new(Desk::new(SchedulerSettings::default(), tasks));
@@ -87,7 +87,7 @@
     LocalSet::new().block_on(&rt, test);
 }
 
-/// Guards against refusing nearly everybody for their rate in the second in which a leader is elected.
+/// Guards against rate-limit refusals of most requests during an election.
 #[test]
 fn an_election_is_waited_for() {
     run(async {
@@ -102,7 +102,7 @@
     });
 }
 
-/// Guards against sending everything to the few upstreams that a VM has read so far.
+/// Guards against sending all requests to the few upstreams that a VM has read so far.
 #[test]
 fn a_part_is_not_enough() {
     run(async {
@@ -119,7 +119,7 @@
     });
 }
 
-/// Guards against keeping callers whom nobody will be elected to serve: they are told when to come back.
+/// Guards against holding requests when no leader is elected: they are refused with a retry delay.
 #[test]
 fn a_missing_leader_is_not() {
     run(async {
--- a/crates/entry/tests/store_outages.rs
+++ b/crates/entry/tests/store_outages.rs
@@ -1,4 +1,4 @@
-//! The platform's store away, slow of memory, or full of what others wrote.
+//! Store outages, lost history and malformed entries.
 
 mod deployment;
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn callers_are_served_through_an_outage() {
-    // The store is away in each of its ways. What was known before holds; callers notice nothing.
+    // Guards against failed requests during a store outage: VMs keep the last known state.
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     for outage in [
@@ -34,15 +34,14 @@
     let mut next = deployment::config(9);
     next["routes"][0]["path_prefix"] = json!("/moved/");
     store.put("op/config", &next);
-    until("it follows again", || {
+    until("it reads changes again", || {
         vm.ask(&Request::new("GET", "/moved/")).status == 200
     });
 }
 
 #[test]
 fn a_start_without_the_store_waits_for_it() {
-    // A VM starts while the store is away. It has no configuration, so it can't tell a good key from a bad one:
-    // it isn't ready, and whoever comes is told that nothing ran.
+    // Guards against a VM that serves requests, or reports ready, before it has read its configuration.
     let (store, upstreams) = platform(&["s-1"]);
     store.set_outage(Outage::Silent);
     let vm = Vm::start_unready(&store);
@@ -58,7 +57,7 @@
 
 #[test]
 fn lost_history_is_read_anew() {
-    // The store drops its history while changes are made. Who only waits for what comes next misses them for good.
+    // Guards against missing changes for good when the store drops the history that contains them.
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     store.set_outage(Outage::Busy);
@@ -68,22 +67,21 @@
     store.put("op/config", &next);
     store.forget_history();
     store.set_outage(Outage::None);
-    until("the change is in force", || {
+    until("the change is applied", || {
         vm.ask(&Request::new("GET", "/moved/")).status == 200
     });
-    // Lines are written some ten milliseconds after they are made.
-    until("it is told", || !vm.logged("history_lost").is_empty());
+    // Log lines are written with a delay.
+    until("it is logged", || !vm.logged("history_lost").is_empty());
 }
 
 #[test]
 fn what_others_wrote_harms_nobody() {
-    // Entries of upstreams come from other writers too: bytes that are no JSON, fields that are missing or of
-    // another type, states that mean nothing. They name no upstream; the others hold.
+    // Guards against malformed upstream entries from other writers affecting the valid ones.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
-    let good = upstreams[0].entry("app", "one", "ready");
+    let valid = upstreams[0].entry("app", "one", "ready");
     let broken = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut entry = good.clone();
+        let mut entry = valid.clone();
         change(&mut entry);
         entry.to_string().into_bytes()
     };
@@ -110,8 +108,7 @@
 
 #[test]
 fn a_leaving_upstream_gets_nothing_new() {
-    // An upstream says that it leaves, another one's entry is gone without a word. Both would take requests for a
-    // moment longer and then break them off.
+    // Guards against new requests to an upstream that is draining or whose entry was removed.
     let (store, upstreams) = platform(&["s-1", "s-2", "s-3"]);
     let vm = Vm::start(&store);
     store.put(
@@ -120,16 +117,16 @@
     );
     store.remove(&upstreams[1].key());
     thread::sleep(Duration::from_millis(1_900));
-    let before = |upstream: &UpstreamStandIn| upstream.ran().len();
-    let (first, second) = (before(&upstreams[0]), before(&upstreams[1]));
+    let run_count = |upstream: &UpstreamStandIn| upstream.ran().len();
+    let (first, second) = (run_count(&upstreams[0]), run_count(&upstreams[1]));
     for _ in 0..10 {
         assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
     }
-    assert_eq!(before(&upstreams[0]), first);
-    assert_eq!(before(&upstreams[1]), second);
+    assert_eq!(run_count(&upstreams[0]), first);
+    assert_eq!(run_count(&upstreams[1]), second);
 }
 
-/// Guards against an upstream that left unseen among more entries than one page of the store holds.
+/// Guards against missing a removed upstream when the entries span several pages of the store.
 #[test]
 fn pages_tell_who_left() {
     let (store, upstreams) = platform(&["s-1", "s-2"]);
@@ -144,7 +141,9 @@
     store.remove(&upstreams[1].key());
     store.forget_history();
     store.set_outage(Outage::None);
-    until("it is known", || !vm.logged("upstream_gone").is_empty());
+    until("the removal is known", || {
+        !vm.logged("upstream_gone").is_empty()
+    });
     let before = upstreams[1].ran().len();
     for _ in 0..10 {
         assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
--- a/crates/entry/tests/unfenced_engines.rs
+++ b/crates/entry/tests/unfenced_engines.rs
@@ -1,4 +1,4 @@
-//! The lead where engines check no fencing tokens, so that whoever follows must let them rest.
+//! Leader changes where engines don't check fencing tokens: a new leader must wait before it orders an engine.
 
 mod deployment;
 
@@ -14,8 +14,8 @@
     },
 };
 
-/// How long an engine must have had no order from another VM.
-const GAP: Duration = Duration::from_secs(3);
+/// Minimum time between orders from different VMs to the same engine.
+const ORDER_GAP: Duration = Duration::from_secs(3);
 
 fn start(
     store: SocketAddr,
@@ -33,7 +33,7 @@
     let vm = Vm::start_with(store, &name, |settings| {
         settings["engines_check_fences"] = false.into();
         settings["first_start"] = is_first.into();
-        settings["order_gap_ms"] = (GAP.as_millis() as u64).into();
+        settings["order_gap_ms"] = (ORDER_GAP.as_millis() as u64).into();
     });
     until("it is ready", || vm.is_ready());
     vm
@@ -63,9 +63,8 @@
 
 #[test]
 fn a_leader_without_the_store_goes_on() {
-    // The VM that schedules loses its connection to the store, and nothing else. All others reach it. Had it to stop, an
-    // adapter that no engine has could not be loaded until another VM was elected and engines had rested: five seconds in
-    // which its callers wait. It has its lease renewed through a VM that reaches the store.
+    // Guards against a leader change, and delayed adapter loads, when only the leader loses the store: another VM renews
+    // its lease for it.
     let (store, _) = platform(&[]);
     let _engines = engines(&store);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -84,7 +83,7 @@
     link.set_mode(Fault::Cut);
     let began = Instant::now();
     let mut adapter = 2;
-    while began.elapsed() < GAP + Duration::from_secs(1) {
+    while began.elapsed() < ORDER_GAP + Duration::from_secs(1) {
         let asked = Instant::now();
         let answer = others[1].ask(&generation(&format!("a{adapter}")));
         assert_eq!(
@@ -104,15 +103,14 @@
     }
     assert!(
         others.iter().all(|other| !leads(other)),
-        "nobody else leads"
+        "no other VM leads"
     );
 }
 
 #[test]
 fn a_planned_stop_leaves_engines_to_order() {
-    // The VM that schedules is stopped as planned. Engines that had their last order just now must rest before another VM
-    // may order them; if all had, no adapter could be loaded for seconds on each restart. Half of them rest before the
-    // lead goes on, so a caller whose adapter is nowhere waits for a load only.
+    // Guards against a planned restart of the leader delaying all adapter loads by the order gap: half of the engines get
+    // no more orders before the handover.
     let (store, _) = platform(&[]);
     let engines = engines(&store);
     let leader = start(store.address(), "stop-leader");
@@ -127,7 +125,7 @@
     let mut slowest = Duration::ZERO;
     let mut adapter = 5;
     while !leads(&next) || began.elapsed() < Duration::from_millis(4_500) {
-        assert!(began.elapsed() < deployment::LIMIT, "the other one leads");
+        assert!(began.elapsed() < deployment::LIMIT, "the other VM leads");
         let asked = Instant::now();
         let answer = next.ask(&generation(&format!("a{adapter}")));
         assert_eq!(answer.status, 200, "a{adapter}: {}", answer.text());
@@ -138,22 +136,21 @@
     println!("slowest {slowest:?}");
     assert!(slowest < Duration::from_millis(1_500), "{slowest:?}");
     for engine in &engines {
-        assert_eq!(too_early(engine), Vec::<Duration>::new());
+        assert_eq!(short_order_gaps(engine), Vec::<Duration>::new());
         assert_eq!(engine.overfilled(), 0);
     }
 }
 
 #[test]
 fn after_a_power_loss_the_last_one_leads() {
-    // All VMs lose power for longer than the lease of the lead. If another VM led afterwards it would have to let engines
-    // rest, and whoever asks for an adapter that is nowhere would wait for seconds after everything is up again.
+    // Guards against another VM taking over after all VMs restart: it would have to wait for the order gap before loads.
     let (store, _) = platform(&[]);
     let engines = engines(&store);
     let names = ["power-1", "power-2", "power-3"];
     let mut vms = Vec::new();
     for name in names {
         let vm = start(store.address(), name);
-        until("somebody leads", || {
+        until("a leader is known", || {
             leads(&vm) || !vm.logged("leader_followed").is_empty()
         });
         vms.push(vm);
@@ -164,7 +161,7 @@
     }
     drop(vms);
     thread::sleep(Duration::from_millis(1_500));
-    let back: Vec<Vm> = thread::scope(|scope| {
+    let restarted: Vec<Vm> = thread::scope(|scope| {
         let starting: Vec<_> = names
             .iter()
             .map(|name| scope.spawn(|| start_as(store.address(), name, false)))
@@ -172,24 +169,24 @@
         let started = starting.into_iter().map(|vm| vm.join().unwrap());
         started.collect()
     });
-    until("one leads", || back.iter().any(leads));
-    assert!(leads(&back[first]), "the one that led before");
+    until("one leads", || restarted.iter().any(leads));
+    assert!(leads(&restarted[first]), "the previous leader leads again");
     let asked = Instant::now();
-    assert_eq!(back[0].ask(&generation("a9")).status, 200);
+    assert_eq!(restarted[0].ask(&generation("a9")).status, 200);
     let took = asked.elapsed();
     assert!(took < Duration::from_millis(1_500), "{took:?}");
     for engine in &engines {
-        assert_eq!(too_early(engine), Vec::<Duration>::new());
+        assert_eq!(short_order_gaps(engine), Vec::<Duration>::new());
     }
 }
 
-/// The times between the orders of two VMs that were too short for an engine to rest.
-fn too_early(engine: &EngineStandIn) -> Vec<Duration> {
+/// Times between orders from different VMs that are shorter than the order gap.
+fn short_order_gaps(engine: &EngineStandIn) -> Vec<Duration> {
     let orders = engine.received();
     orders
         .windows(2)
-        .filter(|two| two[0].holder != two[1].holder)
-        .map(|two| two[1].at.duration_since(two[0].at))
-        .filter(|&rested| rested < GAP)
+        .filter(|pair| pair[0].holder != pair[1].holder)
+        .map(|pair| pair[1].at.duration_since(pair[0].at))
+        .filter(|&gap| gap < ORDER_GAP)
         .collect()
 }
