--- a/crates/entry/src/scheduling/client/following.rs
+++ b/crates/entry/src/scheduling/client/following.rs
@@ -55,12 +55,11 @@
     pub(super) async fn broadcast_leaving(
         &self,
         leader: &Leader,
-        idle_times: &[(String, Millis)],
+        idle: &[(String, Millis)],
     ) {
         let others = self.vms().into_iter().filter(|(vm, _)| *vm != self.me);
-        let announcements = others.map(|(vm, address)| async move {
-            announce_to(&vm, address, leader, idle_times).await
-        });
+        let announcements = others
+            .map(|(vm, address)| async move { announce_to(&vm, address, leader, idle).await });
         join_all(announcements).await;
     }
 
