--- a/crates/entry/src/scheduling/desk.rs
+++ b/crates/entry/src/scheduling/desk.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        JobSpec, Names, RunningSpec,
+        JobSpec, NameInterner, RunningSpec,
         facts::{engine_facts, engine_limits, upstream_facts},
     },
     crate::clock::Clock,
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct Desk {
     clock: Clock,
-    names: RefCell<Names>,
+    names: RefCell<NameInterner>,
     scheduler: RefCell<Scheduler>,
     waiters: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     addresses: RefCell<HashMap<UpstreamId, SocketAddr>>,
@@ -356,7 +356,7 @@
     }
 
     /// The table of names and ids.
-    pub fn names(&self) -> std::cell::Ref<'_, Names> {
+    pub fn names(&self) -> std::cell::Ref<'_, NameInterner> {
         self.names.borrow()
     }
 
--- a/crates/entry/src/scheduling/facts.rs
+++ b/crates/entry/src/scheduling/facts.rs
@@ -1,7 +1,7 @@
 //! Converts store entries and engine reports to the scheduler's types, with ids in place of names.
 
 use {
-    super::Names,
+    super::NameInterner,
     jasmine_core::{
         ids::AdapterVersion,
         ingress::{EngineHoldings, EngineSpec, HeldAdapter, UpstreamEntry, UpstreamState},
@@ -12,7 +12,7 @@
 /// Converts the capacity limits of a service's engines.
 pub(super) fn engine_limits(
     spec: &EngineSpec,
-    names: &mut Names,
+    names: &mut NameInterner,
 ) -> EngineLimits {
     EngineLimits {
         slots: spec.slots,
@@ -31,7 +31,7 @@
 /// Converts an upstream's store entry.
 pub(super) fn upstream_facts(
     entry: &UpstreamEntry,
-    names: &mut Names,
+    names: &mut NameInterner,
 ) -> UpstreamFacts {
     UpstreamFacts {
         service: names.service(&entry.service),
@@ -51,7 +51,7 @@
 pub(super) fn engine_facts(
     holdings: &EngineHoldings,
     is_busy: bool,
-    names: &mut Names,
+    names: &mut NameInterner,
 ) -> EngineFacts {
     let mut version = |model: &str, held: &HeldAdapter| {
         let adapter = names.adapter(model, &held.name);
--- a/crates/entry/src/scheduling/job_spec.rs
+++ b/crates/entry/src/scheduling/job_spec.rs
@@ -1,5 +1,5 @@
 use {
-    super::Names,
+    super::NameInterner,
     jasmine_core::{
         clock::Millis,
         ingress::{PromptPart, PromptSize},
@@ -56,7 +56,7 @@
     /// Resolves names to this process's ids, and remaining times to points in time.
     pub fn resolve(
         &self,
-        names: &mut Names,
+        names: &mut NameInterner,
         now: Millis,
     ) -> Job {
         let work = match &self.generation {
--- a/crates/entry/src/scheduling/mod.rs
+++ b/crates/entry/src/scheduling/mod.rs
@@ -7,7 +7,7 @@
 mod handover;
 mod job_spec;
 mod leader;
-mod names;
+mod name_interner;
 mod orders;
 mod placement;
 mod server;
@@ -19,7 +19,7 @@
     handover::Handover,
     job_spec::{GenerationSpec, JobSpec, RunningSpec},
     leader::Leader,
-    names::Names,
+    name_interner::NameInterner,
     orders::{OrderContext, carry_out},
     placement::Placement,
     server::SchedulerServer,
--- a/crates/entry/src/scheduling/names.rs
+++ b/crates/entry/src/scheduling/name_interner.rs
@@ -37,7 +37,7 @@
 
 /// Maps names of the platform to ids and back; the ids are valid in this process only.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameInterner {
     services: Interner,
     accounts: Interner,
     models: Interner,
@@ -46,7 +46,7 @@
     data_centres: Interner,
 }
 
-impl Names {
+impl NameInterner {
     /// Returns the id of a service, assigning one if needed.
     pub fn service(
         &mut self,
