--- a/crates/entry/src/scheduling/client/following.rs
+++ b/crates/entry/src/scheduling/client/following.rs
@@ -5,7 +5,7 @@
     crate::scheduling::{
         Leader,
         convert::{
-            RequestUpdate, read_leader, write_idle_times, write_leader, write_running, write_update,
+            JobUpdate, read_leader, write_idle_times, write_leader, write_running, write_update,
         },
     },
     futures::future::join_all,
@@ -259,7 +259,7 @@
 async fn call_tell(
     link: &SchedulerLink,
     session: u32,
-    updates: &[(u64, RequestUpdate)],
+    updates: &[(u64, JobUpdate)],
 ) -> Result<bool, LinkError> {
     link.call(Millis::ZERO, |client| async move {
         let mut req = client.tell_request();
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Desk, Handover, JobSpec, Leader, Placement, RunningSpec, Unplaced, Verdict,
-        convert::{RequestUpdate, read_verdict, write_job},
+        convert::{JobUpdate, read_verdict, write_job},
     },
     crate::clock::Clock,
     jasmine_core::{
@@ -92,7 +92,7 @@
     mode_changed: watch::Sender<u64>,
     next_number: Cell<u64>,
     running: RefCell<HashMap<u64, Running>>,
-    outbox: RefCell<Vec<(u64, RequestUpdate)>>,
+    outbox: RefCell<Vec<(u64, JobUpdate)>>,
     update_queued: Notify,
     /// Notified when a call ends: its slot may be needed at once.
     urgent_update_queued: Notify,
@@ -194,7 +194,7 @@
                     pending.is_settled.set(true);
                     if self.is_stale_assignment(&upstream) {
                         // A leader cut off from the store may not know yet that this upstream is leaving.
-                        self.record_update(spec.number, RequestUpdate::Ended(Outcome::Abandoned));
+                        self.record_update(spec.number, JobUpdate::Ended(Outcome::Abandoned));
                         avoid.push(upstream);
                         sleep(STALE_ASSIGNMENT_DELAY.to_std()).await;
                         continue;
@@ -256,7 +256,7 @@
     pub(super) fn record_update(
         &self,
         number: u64,
-        update: RequestUpdate,
+        update: JobUpdate,
     ) {
         let ticket = Ticket {
             vm: LOCAL_VM,
@@ -264,13 +264,13 @@
         };
         let mut is_urgent = false;
         match update {
-            RequestUpdate::FirstEvent => {
+            JobUpdate::FirstEvent => {
                 if let Some(running) = self.running.borrow_mut().get_mut(&number) {
                     running.spec.has_begun = true;
                 }
                 self.desk.first_event(ticket);
             }
-            RequestUpdate::Ended(outcome) => {
+            JobUpdate::Ended(outcome) => {
                 let running = self.running.borrow_mut().remove(&number);
                 is_urgent = running.is_none_or(|running| running.spec.job.generation.is_none());
                 self.desk.ended(ticket, outcome);
@@ -462,7 +462,7 @@
 impl Drop for PendingPlacement<'_> {
     fn drop(&mut self) {
         if !self.is_settled.get() {
-            let update = RequestUpdate::Ended(Outcome::Abandoned);
+            let update = JobUpdate::Ended(Outcome::Abandoned);
             self.scheduling.record_update(self.number, update);
         }
     }
--- a/crates/entry/src/scheduling/convert.rs
+++ b/crates/entry/src/scheduling/convert.rs
@@ -15,7 +15,7 @@
 
 /// A forwarded request's progress, as reported to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RequestUpdate {
+pub(super) enum JobUpdate {
     /// The first event of its answer was received.
     FirstEvent,
     /// It has ended.
@@ -176,38 +176,38 @@
 pub(super) fn write_update(
     mut to: news::Builder<'_>,
     number: u64,
-    update: RequestUpdate,
+    update: JobUpdate,
 ) {
     to.set_number(number);
     let (kind, took) = match update {
-        RequestUpdate::FirstEvent => (EndKind::FirstEvent, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::Answered { took }) => (EndKind::Answered, took),
-        RequestUpdate::Ended(Outcome::Failed) => (EndKind::Failed, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::Shed) => (EndKind::Shed, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::NotLoaded) => (EndKind::NotLoaded, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::OtherUpstream) => (EndKind::OtherUpstream, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::Unreachable) => (EndKind::Unreachable, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::Lost) => (EndKind::Lost, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::Silent) => (EndKind::Silent, Millis::ZERO),
-        RequestUpdate::Ended(Outcome::Abandoned) => (EndKind::Abandoned, Millis::ZERO),
+        JobUpdate::FirstEvent => (EndKind::FirstEvent, Millis::ZERO),
+        JobUpdate::Ended(Outcome::Answered { took }) => (EndKind::Answered, took),
+        JobUpdate::Ended(Outcome::Failed) => (EndKind::Failed, Millis::ZERO),
+        JobUpdate::Ended(Outcome::Shed) => (EndKind::Shed, Millis::ZERO),
+        JobUpdate::Ended(Outcome::NotLoaded) => (EndKind::NotLoaded, Millis::ZERO),
+        JobUpdate::Ended(Outcome::OtherUpstream) => (EndKind::OtherUpstream, Millis::ZERO),
+        JobUpdate::Ended(Outcome::Unreachable) => (EndKind::Unreachable, Millis::ZERO),
+        JobUpdate::Ended(Outcome::Lost) => (EndKind::Lost, Millis::ZERO),
+        JobUpdate::Ended(Outcome::Silent) => (EndKind::Silent, Millis::ZERO),
+        JobUpdate::Ended(Outcome::Abandoned) => (EndKind::Abandoned, Millis::ZERO),
     };
     to.set_kind(kind);
     to.set_took_ms(took.0 as u32);
 }
 
-pub(super) fn read_update(from: news::Reader<'_>) -> Result<(u64, RequestUpdate), capnp::Error> {
+pub(super) fn read_update(from: news::Reader<'_>) -> Result<(u64, JobUpdate), capnp::Error> {
     let took = Millis(from.get_took_ms().into());
     let update = match from.get_kind()? {
-        EndKind::FirstEvent => RequestUpdate::FirstEvent,
-        EndKind::Answered => RequestUpdate::Ended(Outcome::Answered { took }),
-        EndKind::Failed => RequestUpdate::Ended(Outcome::Failed),
-        EndKind::Shed => RequestUpdate::Ended(Outcome::Shed),
-        EndKind::NotLoaded => RequestUpdate::Ended(Outcome::NotLoaded),
-        EndKind::OtherUpstream => RequestUpdate::Ended(Outcome::OtherUpstream),
-        EndKind::Unreachable => RequestUpdate::Ended(Outcome::Unreachable),
-        EndKind::Lost => RequestUpdate::Ended(Outcome::Lost),
-        EndKind::Silent => RequestUpdate::Ended(Outcome::Silent),
-        EndKind::Abandoned => RequestUpdate::Ended(Outcome::Abandoned),
+        EndKind::FirstEvent => JobUpdate::FirstEvent,
+        EndKind::Answered => JobUpdate::Ended(Outcome::Answered { took }),
+        EndKind::Failed => JobUpdate::Ended(Outcome::Failed),
+        EndKind::Shed => JobUpdate::Ended(Outcome::Shed),
+        EndKind::NotLoaded => JobUpdate::Ended(Outcome::NotLoaded),
+        EndKind::OtherUpstream => JobUpdate::Ended(Outcome::OtherUpstream),
+        EndKind::Unreachable => JobUpdate::Ended(Outcome::Unreachable),
+        EndKind::Lost => JobUpdate::Ended(Outcome::Lost),
+        EndKind::Silent => JobUpdate::Ended(Outcome::Silent),
+        EndKind::Abandoned => JobUpdate::Ended(Outcome::Abandoned),
     };
     Ok((from.get_number(), update))
 }
--- a/crates/entry/src/scheduling/placement.rs
+++ b/crates/entry/src/scheduling/placement.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Scheduling, convert::RequestUpdate},
+    super::{Scheduling, convert::JobUpdate},
     jasmine_core::scheduler::{Outcome, WaitReason},
     std::{cell::Cell, net::SocketAddr, rc::Rc},
 };
@@ -45,7 +45,7 @@
     /// Reports that the first event of the answer was received.
     pub fn first_event(&self) {
         self.scheduling
-            .record_update(self.number, RequestUpdate::FirstEvent);
+            .record_update(self.number, JobUpdate::FirstEvent);
     }
 
     /// Reports how the request ended; later calls have no effect.
@@ -55,7 +55,7 @@
     ) {
         if !self.has_ended.replace(true) {
             self.scheduling
-                .record_update(self.number, RequestUpdate::Ended(outcome));
+                .record_update(self.number, JobUpdate::Ended(outcome));
         }
     }
 }
--- a/crates/entry/src/scheduling/server.rs
+++ b/crates/entry/src/scheduling/server.rs
@@ -2,7 +2,7 @@
     super::{
         Desk, Scheduling, Verdict,
         convert::{
-            RequestUpdate, read_idle_times, read_job, read_leader, read_running, read_update,
+            JobUpdate, read_idle_times, read_job, read_leader, read_running, read_update,
             write_leader, write_verdict,
         },
     },
@@ -159,8 +159,8 @@
                 number,
             };
             match update {
-                RequestUpdate::FirstEvent => self.scheduling.desk.first_event(ticket),
-                RequestUpdate::Ended(outcome) => self.scheduling.desk.ended(ticket, outcome),
+                JobUpdate::FirstEvent => self.scheduling.desk.first_event(ticket),
+                JobUpdate::Ended(outcome) => self.scheduling.desk.ended(ticket, outcome),
             }
         }
         Ok(())
