--- a/crates/entry/src/scheduling/facts.rs
+++ b/crates/entry/src/scheduling/facts.rs
@@ -1,7 +1,7 @@
-//! What the store and engines say, in the scheduler's keys.
+//! Converts store entries and engine reports to the scheduler's types, with ids in place of names.
 
 use {
-    super::Names,
+    super::NameInterner,
     jasmine_core::{
         ids::AdapterVersion,
         ingress::{EngineHoldings, EngineSpec, HeldAdapter, UpstreamEntry, UpstreamState},
@@ -9,10 +9,10 @@
     },
 };
 
-/// What engines of a service can hold, with names as keys.
+/// Converts the capacity limits of a service's engines.
 pub(super) fn engine_limits(
     spec: &EngineSpec,
-    names: &mut Names,
+    names: &mut NameInterner,
 ) -> EngineLimits {
     EngineLimits {
         slots: spec.slots,
@@ -28,10 +28,10 @@
     }
 }
 
-/// What an upstream's entry says, with names as keys.
-pub(super) fn facts_of(
+/// Converts an upstream's store entry.
+pub(super) fn upstream_facts(
     entry: &UpstreamEntry,
-    names: &mut Names,
+    names: &mut NameInterner,
 ) -> UpstreamFacts {
     UpstreamFacts {
         service: names.service(&entry.service),
@@ -47,11 +47,11 @@
     }
 }
 
-/// What an engine holds, by its entry or its report.
+/// Converts an engine's loaded models and adapters, from its store entry or its report.
 pub(super) fn engine_facts(
     holdings: &EngineHoldings,
     is_busy: bool,
-    names: &mut Names,
+    names: &mut NameInterner,
 ) -> EngineFacts {
     let mut version = |model: &str, held: &HeldAdapter| {
         let adapter = names.adapter(model, &held.name);
