--- a/crates/conf/tests/settings_docs.rs
+++ b/crates/conf/tests/settings_docs.rs
@@ -68,7 +68,7 @@
         let answer = kind.answer();
         let retry = match answer.retry_after {
             RetryAfter::Never => "none".to_owned(),
-            RetryAfter::Decided => "as worked out".to_owned(),
+            RetryAfter::FromRefusal => "as worked out".to_owned(),
             RetryAfter::Secs(secs) => format!("{secs} s"),
         };
         let cells = [
--- a/crates/controller/src/daemon/stop.rs
+++ b/crates/controller/src/daemon/stop.rs
@@ -30,7 +30,7 @@
 async fn leave(cx: &Rc<ControllerContext>) {
     sleep(cx.settings.stop.grace_ms.to_std()).await;
     cx.assignment.hand_over_all().await;
-    let held = cx.budget.give_all_back();
+    let held = cx.budget.release_all();
     if let Err(e) = cx.holdings.release(cx.me, held).await {
         Line::new("rights_not_released").with("error", e).warn();
     }
--- a/crates/controller/src/epochs/own_epoch.rs
+++ b/crates/controller/src/epochs/own_epoch.rs
@@ -49,7 +49,7 @@
             (false, Some(entered)) if entered < epoch => {
                 // The others go on without what this run held: it was taken for gone.
                 Line::new("rights_forfeited").with("epoch", epoch).warn();
-                self.budget.forfeit();
+                self.budget.discard_all();
                 return;
             }
             (false, _) => return,
--- a/crates/controller/src/follow/duty.rs
+++ b/crates/controller/src/follow/duty.rs
@@ -1,6 +1,6 @@
 use {
     crate::fleet::MemberRecord,
-    jasmine_core::{ids::VmId, placement::rendezvous},
+    jasmine_core::{ids::VmId, placement::rendezvous_score},
 };
 
 /// Controllers of one data centre that watch the store themselves.
@@ -24,7 +24,7 @@
         let mut ranked: Vec<(f64, VmId)> = members
             .into_iter()
             .filter(|member| member.data_centre == data_centre && !member.leaving)
-            .map(|member| (rendezvous(0, u64::from(member.vm.0), 1), member.vm))
+            .map(|member| (rendezvous_score(0, u64::from(member.vm.0), 1), member.vm))
             .collect();
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         ranked.truncate(WATCHERS);
--- a/crates/controller/src/peers/peer_links.rs
+++ b/crates/controller/src/peers/peer_links.rs
@@ -5,7 +5,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{Epoch, Holder, Revision, UpstreamId, VmId},
-        rights::{Ask, Given},
+        rights::{OutgoingTakeRequest, TakeResponse},
     },
     jasmine_wire::{
         convert::{read_given, write_peer, write_take},
@@ -175,8 +175,8 @@
     /// Asks another controller for rights; `None` where no answer came.
     pub async fn take_rights(
         &self,
-        ask: &Ask,
-    ) -> Option<Given> {
+        ask: &OutgoingTakeRequest,
+    ) -> Option<TakeResponse> {
         let request = ask.request;
         let address = self.address(ask.to.vm)?;
         self.link(address)
--- a/crates/controller/src/peers/peer_server.rs
+++ b/crates/controller/src/peers/peer_server.rs
@@ -46,7 +46,10 @@
         params: rights_holder::TakeRightsParams,
         mut results: rights_holder::TakeRightsResults,
     ) -> Result<(), capnp::Error> {
-        let given = self.cx.budget.give(&read_take(params.get()?)?);
+        let given = self
+            .cx
+            .budget
+            .handle_take_request(&read_take(params.get()?)?);
         write_given(results.get(), &given);
         Ok(())
     }
--- a/crates/controller/src/rights/load_budget.rs
+++ b/crates/controller/src/rights/load_budget.rs
@@ -3,8 +3,8 @@
     jasmine_core::{
         ids::{AccountId, Epoch, Holder},
         rights::{
-            Admission, Ask, CallerTag, Given, Limit, Right, RightsLedger, RightsSettings,
-            TakeRequest,
+            Admission, CallerTag, Limit, OutgoingTakeRequest, Right, RightsLedger, RightsSettings,
+            TakeRequest, TakeResponse,
         },
     },
     std::{cell::RefCell, rc::Rc},
@@ -101,21 +101,23 @@
     }
 
     /// Drops everything: others have been told that this holder is gone.
-    pub fn forfeit(&self) {
+    pub fn discard_all(&self) {
         self.ledger.replace(new_ledger(self.me, self.clock));
     }
 
     /// Stops and returns what was held.
-    pub fn give_all_back(&self) -> Vec<Right> {
-        self.ledger.borrow_mut().give_all_back(self.clock.now())
+    pub fn release_all(&self) -> Vec<Right> {
+        self.ledger.borrow_mut().release_all(self.clock.now())
     }
 
     /// Answers another controller.
-    pub fn give(
+    pub fn handle_take_request(
         &self,
         request: &TakeRequest,
-    ) -> Given {
-        self.ledger.borrow_mut().give(request, self.clock.now())
+    ) -> TakeResponse {
+        self.ledger
+            .borrow_mut()
+            .handle_take_request(request, self.clock.now())
     }
 
     /// Takes up to `loads` from the budget, asking others for what is missing; says how many.
@@ -137,7 +139,9 @@
                         granted += 1;
                     }
                     Admission::Refused(_) => return granted,
-                    Admission::Ask { shortfall } => break self.whom_to_ask(shortfall),
+                    Admission::NeedsRights { shortfall } => {
+                        break self.create_take_requests(shortfall);
+                    }
                 }
             };
             if asks.is_empty() {
@@ -150,7 +154,7 @@
 
     /// Sends again what was not answered.
     pub async fn resend(&self) {
-        let asks = self.ledger.borrow_mut().unanswered(self.clock.now());
+        let asks = self.ledger.borrow_mut().due_resends(self.clock.now());
         futures::future::join_all(asks.iter().map(|ask| self.ask(ask))).await;
     }
 
@@ -161,24 +165,24 @@
             .try_admit(WEIGHT_STORE, 1, tag, self.clock.now())
     }
 
-    fn whom_to_ask(
+    fn create_take_requests(
         &self,
         shortfall: u64,
-    ) -> Vec<Ask> {
+    ) -> Vec<OutgoingTakeRequest> {
         self.ledger
             .borrow_mut()
-            .whom_to_ask(WEIGHT_STORE, shortfall, self.clock.now())
+            .create_take_requests(WEIGHT_STORE, shortfall, self.clock.now())
     }
 
     async fn ask(
         &self,
-        ask: &Ask,
+        ask: &OutgoingTakeRequest,
     ) {
         if let Some(given) = self.links.take_rights(ask).await {
             let now = self.clock.now();
             self.ledger
                 .borrow_mut()
-                .receive(ask.request.transfer, &given, now);
+                .handle_take_response(ask.request.transfer, &given, now);
         }
     }
 }
--- a/crates/core/benches/placement.rs
+++ b/crates/core/benches/placement.rs
@@ -14,7 +14,7 @@
             ModelId, Role, UpstreamId, VmId,
         },
         ownership::{AcquireOutcome, Ask, OwnerEvent, OwnerMachine, OwnerSettings, Ownership},
-        placement::{EngineSlot, Instance, preferred},
+        placement::{EngineCandidate, Instance, preferred},
         routing::{
             EngineView, Finish, Route, Router, RouterSettings, SpecKind, Target, UpstreamSpec,
         },
@@ -226,8 +226,8 @@
 
 fn decisions(c: &mut Criterion) {
     for size in &FLEET_SIZES {
-        let slots: Vec<EngineSlot> = (0..size.engines / size.models)
-            .map(|engine| EngineSlot {
+        let slots: Vec<EngineCandidate> = (0..size.engines / size.models)
+            .map(|engine| EngineCandidate {
                 upstream: UpstreamId(engine),
                 data_centre: DataCentreId((engine % 21) as u16),
                 weight: SLOTS,
--- a/crates/core/benches/rights_and_queue.rs
+++ b/crates/core/benches/rights_and_queue.rs
@@ -17,10 +17,10 @@
             Budget, EpochAction, EpochMachine, HoldingsRecord, LiveVm, MembershipSettings,
             StoreView, Versioned,
         },
-        queue::{FairQueue, Priority, QueueSettings, Target, Waiting},
+        queue::{FairQueue, Priority, QueueSettings, QueuedRequest, Target},
         rights::{
-            Admission, Ask, CallerTag, Limit, Right, RightsLedger, RightsSettings, SHARE_WHOLE,
-            TakeRequest,
+            Admission, CallerTag, FULL_SHARE, Limit, OutgoingTakeRequest, Right, RightsLedger,
+            RightsSettings, TakeRequest,
         },
     },
     std::hint::black_box,
@@ -53,9 +53,9 @@
         ledger.set_limit(account, LIMIT, Millis::ZERO);
         let grant = Right {
             account,
-            rate_share: SHARE_WHOLE / 8,
-            room_share: SHARE_WHOLE / 8,
-            tokens: LIMIT.burst_milli() / 8,
+            rate_share: FULL_SHARE / 8,
+            burst_share: FULL_SHARE / 8,
+            tokens: LIMIT.burst_millitokens() / 8,
         };
         ledger.apply_grants(Epoch(1), &[grant], Millis::ZERO);
     }
@@ -71,7 +71,7 @@
     for account in (1..=accounts).map(AccountId) {
         for round in 0..u64::from(holders) {
             let now = Millis(round * 1000);
-            for ask in ledger.whom_to_ask(account, 1000, now) {
+            for ask in ledger.create_take_requests(account, 1000, now) {
                 answer(ledger, &ask, now);
             }
         }
@@ -80,15 +80,15 @@
 
 fn answer(
     ledger: &mut RightsLedger,
-    ask: &Ask,
+    ask: &OutgoingTakeRequest,
     now: Millis,
 ) {
-    let given = jasmine_core::rights::Given {
+    let given = jasmine_core::rights::TakeResponse {
         epoch: Epoch(1),
         right: Right::none(ask.request.account),
         spare: 0,
     };
-    ledger.receive(ask.request.transfer, &given, now);
+    ledger.handle_take_response(ask.request.transfer, &given, now);
 }
 
 fn rights(c: &mut Criterion) {
@@ -120,7 +120,7 @@
                     needed: 1000,
                     demand: 10,
                 };
-                black_box(ledger.give(&request, Millis(2_000_000 + transfer)))
+                black_box(ledger.handle_take_request(&request, Millis(2_000_000 + transfer)))
             });
         });
         let mut round = 0;
@@ -129,13 +129,13 @@
                 round += 1;
                 let account = AccountId(round as u32 % accounts + 1);
                 let now = Millis(100_000_000 + round * 1000);
-                for ask in ledger.whom_to_ask(account, 1000, now) {
+                for ask in ledger.create_take_requests(account, 1000, now) {
                     answer(&mut ledger, &ask, now);
                 }
             });
         });
         c.bench_function(&format!("rebalance all accounts, {name}"), |b| {
-            b.iter(|| black_box(ledger.rebalance(Millis(u64::MAX / 2))));
+            b.iter(|| black_box(ledger.prefetch(Millis(u64::MAX / 2))));
         });
     }
 }
@@ -149,7 +149,7 @@
         let mut n = 0;
         let mut push = move |queue: &mut FairQueue| {
             n += 1;
-            let waiting = Waiting {
+            let waiting = QueuedRequest {
                 request: RequestId(n),
                 account: AccountId(n as u32 % accounts),
                 priority: Priority::Normal,
@@ -220,7 +220,7 @@
             .map(|account| Right {
                 account: AccountId(account),
                 rate_share: 1000,
-                room_share: 1000,
+                burst_share: 1000,
                 tokens: 1000,
             })
             .collect(),
--- a/crates/core/examples/skewed_load/run.rs
+++ b/crates/core/examples/skewed_load/run.rs
@@ -4,8 +4,8 @@
         clock::Millis,
         ids::{AccountId, Epoch, Holder, Incarnation, Role, TransferId, VmId},
         rights::{
-            Admission, Ask, CallerTag, Charge, Given, Limit, Right, RightsLedger, RightsSettings,
-            SHARE_WHOLE, home_rank,
+            Admission, CallerTag, Charge, FULL_SHARE, Limit, OutgoingTakeRequest, Right,
+            RightsLedger, RightsSettings, TakeResponse, home_rank,
         },
     },
     rand::{Rng, SeedableRng},
@@ -43,8 +43,8 @@
 #[derive(Debug)]
 enum Event {
     Arrive(Request),
-    Ask(Ask),
-    Answer(Holder, TransferId, Given),
+    OutgoingTakeRequest(OutgoingTakeRequest),
+    Answer(Holder, TransferId, TakeResponse),
     GiveUp(CallerTag),
     Settle(usize, Charge, u64),
     Tick,
@@ -83,9 +83,9 @@
         let even = homes.len() as u64;
         let grant = Right {
             account: ACCOUNT,
-            rate_share: SHARE_WHOLE / even,
-            room_share: SHARE_WHOLE / even,
-            tokens: LIMIT.burst_milli() / even,
+            rate_share: FULL_SHARE / even,
+            burst_share: FULL_SHARE / even,
+            tokens: LIMIT.burst_millitokens() / even,
         };
         let ledgers = holders
             .iter()
@@ -107,7 +107,7 @@
             seq: 0,
             waiting: BTreeMap::new(),
             dead: None,
-            ideal: (LIMIT.burst_milli(), Millis::ZERO),
+            ideal: (LIMIT.burst_millitokens(), Millis::ZERO),
             rng: ChaCha8Rng::seed_from_u64(7),
             figures: Figures::default(),
         }
@@ -124,7 +124,7 @@
             match event {
                 _ if now > Millis::from_secs(SECONDS + 10) => break,
                 Event::Arrive(request) => self.arrive(request, now),
-                Event::Ask(ask) => self.ask(&ask, now),
+                Event::OutgoingTakeRequest(ask) => self.ask(&ask, now),
                 Event::Answer(to, transfer, given) => self.answer(to, transfer, &given, now),
                 Event::GiveUp(caller) => self.give_up(caller, now),
                 Event::Settle(vm, charge, actual) => self.ledgers[vm].settle(charge, actual, now),
@@ -206,9 +206,9 @@
                 self.refuse(request, refusal.retry_after_secs(), now);
                 true
             }
-            Admission::Ask { shortfall } => {
-                for ask in ledger.whom_to_ask(ACCOUNT, shortfall, now) {
-                    self.send(Event::Ask(ask), now);
+            Admission::NeedsRights { shortfall } => {
+                for ask in ledger.create_take_requests(ACCOUNT, shortfall, now) {
+                    self.send(Event::OutgoingTakeRequest(ask), now);
                 }
                 false
             }
@@ -241,13 +241,13 @@
 
     fn ask(
         &mut self,
-        ask: &Ask,
+        ask: &OutgoingTakeRequest,
         now: Millis,
     ) {
         if self.dead == Some(index(ask.to)) {
             return;
         }
-        let given = self.ledgers[index(ask.to)].give(&ask.request, now);
+        let given = self.ledgers[index(ask.to)].handle_take_request(&ask.request, now);
         let answer = Event::Answer(ask.request.from, ask.request.transfer, given);
         self.send(answer, now);
     }
@@ -256,14 +256,14 @@
         &mut self,
         to: Holder,
         transfer: TransferId,
-        given: &Given,
+        given: &TakeResponse,
         now: Millis,
     ) {
         let vm = index(to);
         if self.dead == Some(vm) {
             return;
         }
-        self.ledgers[vm].receive(transfer, given, now);
+        self.ledgers[vm].handle_take_response(transfer, given, now);
         let waiting: Vec<Request> = self
             .waiting
             .values()
@@ -284,7 +284,7 @@
     ) {
         if let Some(request) = self.waiting.remove(&caller) {
             let ledger = &mut self.ledgers[request.vm];
-            let refusal = ledger.refuse_after_ask(ACCOUNT, request.cost, caller, now);
+            let refusal = ledger.refuse_with_retry(ACCOUNT, request.cost, caller, now);
             self.refuse(&request, refusal.retry_after_secs(), now);
         }
     }
@@ -294,10 +294,10 @@
         now: Millis,
     ) {
         for vm in 0..self.ledgers.len() {
-            let mut asks = self.ledgers[vm].rebalance(now);
-            asks.extend(self.ledgers[vm].unanswered(now));
+            let mut asks = self.ledgers[vm].prefetch(now);
+            asks.extend(self.ledgers[vm].due_resends(now));
             for ask in asks {
-                self.send(Event::Ask(ask), now);
+                self.send(Event::OutgoingTakeRequest(ask), now);
             }
         }
         self.at(now + Millis(250), Event::Tick);
@@ -328,14 +328,14 @@
             ledger.set_peers(alive.iter().map(|&vm| holder(vm as u32 + 1)));
             for right in ledger.enter_epoch(Epoch(2), now).unwrap_or_default() {
                 rate += right.rate_share;
-                room += right.room_share;
+                room += right.burst_share;
             }
         }
         let even = alive.len() as u64;
         let grant = Right {
             account: ACCOUNT,
-            rate_share: (SHARE_WHOLE - rate) / even,
-            room_share: (SHARE_WHOLE - room) / even,
+            rate_share: (FULL_SHARE - rate) / even,
+            burst_share: (FULL_SHARE - room) / even,
             tokens: 0,
         };
         for vm in alive {
@@ -377,7 +377,7 @@
         now: Millis,
     ) -> bool {
         let (level, at) = self.ideal;
-        let level = (level + now.since(at).0 * LIMIT.rate).min(LIMIT.burst_milli());
+        let level = (level + now.since(at).0 * LIMIT.rate).min(LIMIT.burst_millitokens());
         let takes = level >= cost * 1000;
         self.ideal = (if takes { level - cost * 1000 } else { level }, now);
         takes
--- a/crates/core/src/decayed.rs
+++ b/crates/core/src/decaying_sum.rs
@@ -4,12 +4,12 @@
 
 /// A sum that decays exponentially with a given half-life.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Decayed {
+pub(crate) struct DecayingSum {
     value: f64,
     at: Millis,
 }
 
-impl Decayed {
+impl DecayingSum {
     /// Adds `amount` at `now`.
     pub(crate) fn add(
         &mut self,
--- a/crates/core/src/error/answer.rs
+++ b/crates/core/src/error/answer.rs
@@ -19,7 +19,7 @@
     /// Retrying the same request can't succeed.
     Never,
     /// The delay is set by the [`Refusal`](super::Refusal).
-    Decided,
+    FromRefusal,
     /// Default delay in seconds.
     Secs(u32),
 }
--- a/crates/core/src/error/error_kind.rs
+++ b/crates/core/src/error/error_kind.rs
@@ -1,7 +1,7 @@
 use super::{
     Answer,
     Execution::{self, Incomplete, NotRun, OutcomeUnknown},
-    RetryAfter::{self, Decided, Never, Secs},
+    RetryAfter::{self, FromRefusal, Never, Secs},
 };
 
 /// All errors that a request or an edit can return.
@@ -128,10 +128,10 @@
             Self::NotPermitted => answer_of(403, NotRun, Never, "not_permitted"),
             Self::ModelNotFound => answer_of(404, NotRun, Never, "model_not_found"),
             Self::ServiceNotFound => answer_of(404, NotRun, Never, "service_not_found"),
-            Self::RateLimited => answer_of(429, NotRun, Decided, "rate_limited"),
+            Self::RateLimited => answer_of(429, NotRun, FromRefusal, "rate_limited"),
             Self::LargerThanBurst => answer_of(400, NotRun, Never, "larger_than_burst"),
-            Self::QueueFull => answer_of(429, NotRun, Decided, "queue_full"),
-            Self::CannotMeetDeadline => answer_of(503, NotRun, Decided, "cannot_meet_deadline"),
+            Self::QueueFull => answer_of(429, NotRun, FromRefusal, "queue_full"),
+            Self::CannotMeetDeadline => answer_of(503, NotRun, FromRefusal, "cannot_meet_deadline"),
             Self::NoUpstream => answer_of(503, NotRun, Secs(2), "no_upstream"),
             Self::AdapterLoadFailed => answer_of(503, NotRun, Secs(5), "adapter_load_failed"),
             Self::ConfigUnavailable => answer_of(503, NotRun, Secs(5), "config_unavailable"),
--- a/crates/core/src/error/refusal.rs
+++ b/crates/core/src/error/refusal.rs
@@ -38,7 +38,7 @@
             (RetryAfter::Never, _) => None,
             (_, Some(delay)) => Some(delay.0.div_ceil(1000).max(1)),
             (RetryAfter::Secs(secs), None) => Some(u64::from(secs)),
-            (RetryAfter::Decided, None) => Some(1),
+            (RetryAfter::FromRefusal, None) => Some(1),
         }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,7 @@
 //! execute, so scripts and property tests run the same code as production.
 
 pub mod clock;
-mod decayed;
+mod decaying_sum;
 pub mod error;
 pub mod feed;
 pub mod forward;
--- a/crates/core/src/membership/reissue.rs
+++ b/crates/core/src/membership/reissue.rs
@@ -2,7 +2,7 @@
     super::{Budget, EpochRecord, HolderGrants, HoldingsRecord},
     crate::{
         ids::{AccountId, Holder},
-        rights::{Right, SHARE_WHOLE, home_rank},
+        rights::{FULL_SHARE, Right, home_rank},
     },
     std::collections::BTreeMap,
 };
@@ -37,7 +37,7 @@
             let part = Right {
                 account: right.account,
                 rate_share: right.rate_share / n,
-                room_share: right.room_share / n,
+                burst_share: right.burst_share / n,
                 tokens: right.tokens / n,
             };
             if !part.is_none() {
@@ -59,9 +59,9 @@
 pub fn full_right(budget: &Budget) -> Right {
     Right {
         account: budget.account,
-        rate_share: SHARE_WHOLE,
-        room_share: SHARE_WHOLE,
-        tokens: budget.limit.burst_milli(),
+        rate_share: FULL_SHARE,
+        burst_share: FULL_SHARE,
+        tokens: budget.limit.burst_millitokens(),
     }
 }
 
@@ -81,13 +81,13 @@
     let (rate, room) = held.fold((0_u64, 0_u64), |(rate, room), right| {
         (
             rate.saturating_add(right.rate_share),
-            room.saturating_add(right.room_share),
+            room.saturating_add(right.burst_share),
         )
     });
     Right {
         account,
-        rate_share: SHARE_WHOLE.saturating_sub(rate),
-        room_share: SHARE_WHOLE.saturating_sub(room),
+        rate_share: FULL_SHARE.saturating_sub(rate),
+        burst_share: FULL_SHARE.saturating_sub(room),
         tokens: freed,
     }
 }
--- a/crates/core/src/ownership/account_waits.rs
+++ b/crates/core/src/ownership/account_waits.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{clock::Millis, decayed::Decayed, ids::AccountId},
+    crate::{clock::Millis, decaying_sum::DecayingSum, ids::AccountId},
     std::collections::BTreeMap,
 };
 
@@ -14,8 +14,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Waits {
-    total_ms: Decayed,
-    count: Decayed,
+    total_ms: DecayingSum,
+    count: DecayingSum,
 }
 
 impl AccountWaits {
--- a/crates/core/src/ownership/assign.rs
+++ b/crates/core/src/ownership/assign.rs
@@ -1,6 +1,6 @@
 use crate::{
     ids::{DataCentreId, UpstreamId, VmId},
-    placement::rendezvous,
+    placement::rendezvous_score,
 };
 
 /// A controller that can own engines.
@@ -38,5 +38,5 @@
     upstream: UpstreamId,
     vm: VmId,
 ) -> f64 {
-    rendezvous(u64::from(upstream.0), u64::from(vm.0), 1)
+    rendezvous_score(u64::from(upstream.0), u64::from(vm.0), 1)
 }
--- a/crates/core/src/ownership/owned_engine.rs
+++ b/crates/core/src/ownership/owned_engine.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         clock::Millis,
-        decayed::Decayed,
+        decaying_sum::DecayingSum,
         ids::{AccountId, AdapterVersion, Fence, Holder, UpstreamId, VmId},
         placement::Instance,
     },
@@ -37,7 +37,7 @@
     pub(super) copies: BTreeMap<CopyKey, EngineCopy>,
     pub(super) pending_loads: BTreeMap<AdapterVersion, PendingLoad>,
     pub(super) backoffs: BTreeMap<AdapterVersion, Backoff>,
-    pub(super) demand: HashMap<AdapterVersion, Decayed>,
+    pub(super) demand: HashMap<AdapterVersion, DecayingSum>,
     /// Copies with an unload of unknown outcome; their names must not be loaded again.
     pub(super) blocked_keys: BTreeSet<CopyKey>,
     /// Recently unloaded copies and when; a lagging report may still list them.
--- a/crates/core/src/placement/engine_slot.rs
+++ b/crates/core/src/placement/engine_candidate.rs
@@ -2,7 +2,7 @@
 
 /// An engine as a candidate for the placement of adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineSlot {
+pub struct EngineCandidate {
     /// The upstream id of the engine.
     pub upstream: UpstreamId,
     /// The data centre of the engine.
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,11 +1,11 @@
 //! Adapter placement: instance names and the preferred engines of each adapter.
 
-mod engine_slot;
+mod engine_candidate;
 mod instance;
 mod preferred;
 
 pub use {
-    engine_slot::EngineSlot,
+    engine_candidate::EngineCandidate,
     instance::Instance,
-    preferred::{preferred, rendezvous, rendezvous_hash},
+    preferred::{preferred, rendezvous_hash, rendezvous_score},
 };
--- a/crates/core/src/placement/preferred.rs
+++ b/crates/core/src/placement/preferred.rs
@@ -1,5 +1,5 @@
 use {
-    super::EngineSlot,
+    super::EngineCandidate,
     crate::ids::{AdapterVersion, UpstreamId},
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
@@ -8,7 +8,7 @@
 ///
 /// All processes with the same candidates choose the same winner, and adding or removing a
 /// candidate moves only the keys of that candidate.
-pub fn rendezvous(
+pub fn rendezvous_score(
     key: u64,
     candidate: u64,
     weight: u32,
@@ -19,7 +19,7 @@
     -f64::from(weight) / unit.ln()
 }
 
-/// Rendezvous hash; orders candidates of equal weight like [`rendezvous`].
+/// Rendezvous hash; orders candidates of equal weight like [`rendezvous_score`].
 pub fn rendezvous_hash(
     key: u64,
     candidate: u64,
@@ -34,10 +34,10 @@
 /// few copies as possible.
 pub fn preferred(
     adapter: AdapterVersion,
-    engines: &[EngineSlot],
+    engines: &[EngineCandidate],
     k: usize,
 ) -> Vec<UpstreamId> {
-    let mut ranked: Vec<(f64, EngineSlot)> = engines
+    let mut ranked: Vec<(f64, EngineCandidate)> = engines
         .iter()
         .filter(|engine| engine.weight > 0)
         .map(|&engine| (score(adapter, engine), engine))
@@ -48,9 +48,9 @@
 
 fn score(
     adapter: AdapterVersion,
-    engine: EngineSlot,
+    engine: EngineCandidate,
 ) -> f64 {
-    rendezvous(
+    rendezvous_score(
         u64::from(adapter.adapter.0),
         u64::from(engine.upstream.0),
         engine.weight,
@@ -59,10 +59,10 @@
 
 /// Chooses the best engines in rounds, at most one per data centre in each round.
 fn choose_across_data_centres(
-    ranked: &[(f64, EngineSlot)],
+    ranked: &[(f64, EngineCandidate)],
     k: usize,
 ) -> Vec<UpstreamId> {
-    let mut remaining: Vec<EngineSlot> = ranked.iter().map(|&(_, engine)| engine).collect();
+    let mut remaining: Vec<EngineCandidate> = ranked.iter().map(|&(_, engine)| engine).collect();
     let mut chosen = Vec::with_capacity(k.min(remaining.len()));
     while chosen.len() < k && !remaining.is_empty() {
         let mut used_data_centres = Vec::new();
--- a/crates/core/src/queue/account_queue.rs
+++ b/crates/core/src/queue/account_queue.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AccountShare, Target, Waiting,
+        AccountShare, QueuedRequest, Target,
         pool::{Backlog, Pool},
     },
     crate::clock::Millis,
@@ -20,7 +20,7 @@
     pub share: AccountShare,
     /// Virtual counter: served cost divided by weight, in thousandths of a token.
     pub counter: u64,
-    by_target: HashMap<Target, BTreeMap<Position, Waiting>>,
+    by_target: HashMap<Target, BTreeMap<Position, QueuedRequest>>,
     /// The first request of each target.
     heads: BTreeMap<Position, Target>,
     backlogs: BTreeMap<Pool, Backlog>,
@@ -47,7 +47,7 @@
     pub fn insert(
         &mut self,
         position: Position,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ) {
         let queue = self.by_target.entry(waiting.target).or_default();
         let head = queue.first_key_value().map(|(&head, _)| head);
@@ -72,7 +72,7 @@
         &mut self,
         position: Position,
         target: Target,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         let queue = self.by_target.get_mut(&target)?;
         let waiting = queue.remove(&position)?;
         if self.heads.remove(&position).is_some() {
@@ -98,7 +98,7 @@
         can_run: &mut F,
     ) -> Option<(Position, Target)>
     where
-        F: FnMut(&Waiting) -> bool,
+        F: FnMut(&QueuedRequest) -> bool,
     {
         self.heads
             .iter()
@@ -115,8 +115,8 @@
     }
 
     /// All waiting requests in service order.
-    pub fn in_order(&self) -> Vec<Waiting> {
-        let mut all: Vec<(Position, Waiting)> = self
+    pub fn in_order(&self) -> Vec<QueuedRequest> {
+        let mut all: Vec<(Position, QueuedRequest)> = self
             .by_target
             .values()
             .flatten()
--- a/crates/core/src/queue/estimate.rs
+++ b/crates/core/src/queue/estimate.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Priority, Waiting,
+        Priority, QueuedRequest,
         account_queue::AccountQueue,
         pool::{Pool, PoolState},
     },
@@ -40,7 +40,7 @@
     account_queue: &AccountQueue,
     pools: &BTreeMap<Pool, PoolState>,
     now: Millis,
-) -> Vec<Waiting> {
+) -> Vec<QueuedRequest> {
     let mut cost_ahead: BTreeMap<Pool, u64> = BTreeMap::new();
     let mut late_requests = Vec::new();
     for waiting in account_queue.in_order() {
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AccountShare, Enqueued, QueueSettings, Target, Waiting,
+        AccountShare, Enqueued, QueueSettings, QueuedRequest, Target,
         account_queue::{AccountQueue, Position},
         estimate,
         pool::{Pool, PoolState},
@@ -84,7 +84,7 @@
         &mut self,
         account: AccountId,
         now: Millis,
-    ) -> Vec<Waiting> {
+    ) -> Vec<QueuedRequest> {
         let requests: Vec<RequestId> = self
             .locations
             .iter()
@@ -107,13 +107,13 @@
     /// when it would miss its deadline at the observed service rate.
     pub fn push(
         &mut self,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         now: Millis,
     ) -> Result<Enqueued, Refusal> {
         let priority_delay = self.settings.priority_delay(waiting.priority);
         let position = (now + priority_delay, self.next_seq);
         let deadline = waiting.deadline.min(now + self.settings.max_wait);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             deadline,
             ..waiting
         };
@@ -150,9 +150,9 @@
         &mut self,
         now: Millis,
         mut can_run: F,
-    ) -> Option<Waiting>
+    ) -> Option<QueuedRequest>
     where
-        F: FnMut(&Waiting) -> bool,
+        F: FnMut(&QueuedRequest) -> bool,
     {
         let (account, position, target) = self.active.iter().find_map(|&(_, account)| {
             self.accounts[&account]
@@ -215,7 +215,7 @@
         &mut self,
         request: RequestId,
         now: Millis,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         let location = *self.locations.get(&request)?;
         let waiting = self.dequeue(location.account, location.position, location.target)?;
         let pool = self.pools.get_mut(&Pool::of(location.target));
@@ -229,14 +229,14 @@
     pub fn expire(
         &mut self,
         now: Millis,
-    ) -> Vec<Waiting> {
+    ) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         while let Some(&(deadline, request)) = self.deadlines.first()
             && deadline <= now
         {
             expired.extend(self.cancel(request, now));
         }
-        if self.settings.judges_by_rate
+        if self.settings.refuses_by_estimate
             && now.since(self.last_deadline_scan) >= DEADLINE_SCAN_INTERVAL
         {
             self.last_deadline_scan = now;
@@ -280,7 +280,7 @@
     /// Checks whether a request can be queued, and returns its expected wait.
     fn check_admission(
         &self,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         now: Millis,
     ) -> Result<Millis, Refusal> {
         let pool = Pool::of(waiting.target);
@@ -297,7 +297,7 @@
                     .min(self.settings.max_wait);
                 Err(Refusal::after(ErrorKind::QueueFull, delay))
             }
-            wait if self.settings.judges_by_rate && wait >= left => {
+            wait if self.settings.refuses_by_estimate && wait >= left => {
                 let late = wait.since(left).min(self.settings.max_wait);
                 Err(Refusal::after(ErrorKind::CannotMeetDeadline, late))
             }
@@ -334,7 +334,7 @@
         account: AccountId,
         position: Position,
         target: Target,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         let account_queue = self.accounts.get_mut(&account)?;
         let waiting = account_queue.remove(position, target)?;
         let pool = Pool::of(target);
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -22,6 +22,6 @@
 pub use {
     fair_queue::FairQueue,
     priority::Priority,
-    queued_request::{Enqueued, Target, Waiting},
+    queued_request::{Enqueued, QueuedRequest, Target},
     settings::{AccountShare, QueueSettings},
 };
--- a/crates/core/src/queue/queued_request.rs
+++ b/crates/core/src/queue/queued_request.rs
@@ -19,7 +19,7 @@
 
 /// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The id of the request.
     pub request: RequestId,
     /// The client account that the request is charged to.
--- a/crates/core/src/queue/settings.rs
+++ b/crates/core/src/queue/settings.rs
@@ -14,7 +14,7 @@
     /// Whether to refuse requests that would miss their deadlines at the observed service rate.
     ///
     /// Disable it if adapter loads make the observed rate unreliable.
-    pub judges_by_rate: bool,
+    pub refuses_by_estimate: bool,
 }
 
 impl QueueSettings {
@@ -38,7 +38,7 @@
             max_queued: 10_000,
             normal_delay: Millis(1000),
             low_delay: Millis(5000),
-            judges_by_rate: true,
+            refuses_by_estimate: true,
         }
     }
 }
--- a/crates/core/src/rights/account_rights.rs
+++ b/crates/core/src/rights/account_rights.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        CallerTag, Limit, MILLI, Right, RightsSettings, SHARE_WHOLE, TakeRequest, bucket::Bucket,
-        demand::Demand, peers::PeerSelector, reservations::RetryReservations,
+        CallerTag, FULL_SHARE, Limit, MILLITOKENS_PER_TOKEN, Right, RightsSettings, TakeRequest,
+        bucket::Bucket, demand::Demand, peers::PeerSelector, reservations::RetryReservations,
     },
     crate::{
         clock::Millis,
@@ -87,7 +87,7 @@
             .saturating_add(self.bucket.debt())
             .saturating_sub(self.bucket.tokens());
         let delay = time_to_earn(missing, self.bucket.rate());
-        let can_reserve = delay <= settings.horizon
+        let can_reserve = delay <= settings.max_reservation_delay
             && millitokens <= self.bucket.capacity()
             && self.reservations.len() < settings.max_reservations;
         if can_reserve {
@@ -95,7 +95,10 @@
             return Refusal::after(ErrorKind::RateLimited, delay);
         }
         // Too large or too late to reserve here: use the rate of the whole fleet.
-        let fleet_delay = time_to_earn(missing, self.bucket.limit().map_or(0, Limit::rate_milli));
+        let fleet_delay = time_to_earn(
+            missing,
+            self.bucket.limit().map_or(0, Limit::rate_millitokens),
+        );
         Refusal::after(ErrorKind::RateLimited, delay.min(fleet_delay))
     }
 
@@ -108,9 +111,9 @@
         now: Millis,
     ) -> Right {
         let own_demand = self.demand.per_second(now) + self.reservations.per_second(now);
-        let asker_demand = request.demand.saturating_mul(MILLI);
+        let asker_demand = request.demand.saturating_mul(MILLITOKENS_PER_TOKEN);
         let tokens = self.tokens_to_give(request.needed, own_demand, asker_demand, settings, now);
-        let min_share = SHARE_WHOLE / holders.max(1) / settings.min_share_divisor.max(1);
+        let min_share = FULL_SHARE / holders.max(1) / settings.min_share_divisor.max(1);
         let rate_share = self.rate_share_to_give(own_demand, asker_demand, min_share);
         let is_large = request.needed.saturating_mul(2) >= self.burst();
         let min_kept = match own_demand {
@@ -121,7 +124,7 @@
         Right {
             account: request.account,
             rate_share,
-            room_share: self.burst_share_to_give(tokens, rate_share, min_kept, request.needed),
+            burst_share: self.burst_share_to_give(tokens, rate_share, min_kept, request.needed),
             tokens,
         }
     }
@@ -152,8 +155,14 @@
         min_share: u64,
     ) -> u64 {
         let rate = self.bucket.limit().map_or(0, |limit| limit.rate);
-        let own_share = share_of(with_headroom(own_demand), rate.saturating_mul(MILLI));
-        let their_share = share_of(with_headroom(asker_demand), rate.saturating_mul(MILLI));
+        let own_share = share_of(
+            with_headroom(own_demand),
+            rate.saturating_mul(MILLITOKENS_PER_TOKEN),
+        );
+        let their_share = share_of(
+            with_headroom(asker_demand),
+            rate.saturating_mul(MILLITOKENS_PER_TOKEN),
+        );
         self.bucket
             .rate_share()
             .saturating_sub(own_share)
@@ -172,7 +181,7 @@
         min_kept: u64,
         needed: u64,
     ) -> u64 {
-        let burst_share = self.bucket.room_share();
+        let burst_share = self.bucket.burst_share();
         let for_tokens = share_of(tokens, self.burst());
         let for_rate = u128::from(burst_share) * u128::from(rate_share)
             / u128::from(self.bucket.rate_share().max(1));
@@ -188,7 +197,7 @@
 
     /// The account's fleet-wide burst, in millitokens.
     pub fn burst(&self) -> u64 {
-        self.bucket.limit().map_or(0, Limit::burst_milli)
+        self.bucket.limit().map_or(0, Limit::burst_millitokens)
     }
 }
 
@@ -207,11 +216,11 @@
     millitokens.saturating_mul(HEADROOM_PERCENT) / 100
 }
 
-/// Converts `part` of `whole` to a share of [`SHARE_WHOLE`], rounded up.
+/// Converts `part` of `whole` to a share of [`FULL_SHARE`], rounded up.
 fn share_of(
     part: u64,
     whole: u64,
 ) -> u64 {
     let share = (u128::from(part) << 32).div_ceil(u128::from(whole.max(1)));
-    share.min(u128::from(SHARE_WHOLE)) as u64
+    share.min(u128::from(FULL_SHARE)) as u64
 }
--- a/crates/core/src/rights/admission.rs
+++ b/crates/core/src/rights/admission.rs
@@ -22,7 +22,7 @@
     /// The request may run; its cost is charged.
     Admitted(Charge),
     /// This holder is short of tokens that peers may have.
-    Ask {
+    NeedsRights {
         /// Missing millitokens.
         shortfall: u64,
     },
@@ -32,9 +32,9 @@
 
 /// Whether an admission may use reserved tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum ReservedTokens {
     /// May use all tokens, including those reserved for retries of refused callers.
-    First,
+    Use,
     /// Must leave the reserved tokens, and this many tokens more.
-    Leaving(u64),
+    Keep(u64),
 }
--- a/crates/core/src/rights/bucket.rs
+++ b/crates/core/src/rights/bucket.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Limit, Right, part_of},
+    super::{Limit, Right, scale_by_share},
     crate::{clock::Millis, ids::AccountId},
     std::collections::BTreeMap,
 };
@@ -17,7 +17,7 @@
 pub struct Bucket {
     limit: Option<Limit>,
     rate_share: u64,
-    room_share: u64,
+    burst_share: u64,
     /// Negative while there is debt from requests that used more than their charge.
     tokens: i64,
     /// Fraction of a millitoken, in units of 2^-32.
@@ -100,7 +100,7 @@
         right: &Right,
     ) {
         self.rate_share += right.rate_share;
-        self.room_share += right.room_share;
+        self.burst_share += right.burst_share;
         self.tokens = self.tokens.saturating_add_unsigned(right.tokens);
         self.clamp_to_capacity();
     }
@@ -113,11 +113,11 @@
         let taken = Right {
             account: wanted.account,
             rate_share: wanted.rate_share.min(self.rate_share),
-            room_share: wanted.room_share.min(self.room_share),
+            burst_share: wanted.burst_share.min(self.burst_share),
             tokens: wanted.tokens.min(self.tokens()),
         };
         self.rate_share -= taken.rate_share;
-        self.room_share -= taken.room_share;
+        self.burst_share -= taken.burst_share;
         self.tokens -= taken.tokens as i64;
         self.clamp_to_capacity();
         taken
@@ -131,7 +131,7 @@
         Right {
             account,
             rate_share: self.rate_share,
-            room_share: self.room_share,
+            burst_share: self.burst_share,
             tokens: self.tokens(),
         }
     }
@@ -161,25 +161,28 @@
 
     /// Capacity in millitokens.
     pub fn capacity(&self) -> u64 {
-        part_of(self.limit.map_or(0, Limit::burst_milli), self.room_share)
+        scale_by_share(
+            self.limit.map_or(0, Limit::burst_millitokens),
+            self.burst_share,
+        )
     }
 
     /// Refill rate in millitokens per second.
     pub fn rate(&self) -> u64 {
-        let rate = self
-            .limit
-            .map_or(0, |limit| limit.rate.saturating_mul(super::MILLI));
-        part_of(rate, self.rate_share)
+        let rate = self.limit.map_or(0, |limit| {
+            limit.rate.saturating_mul(super::MILLITOKENS_PER_TOKEN)
+        });
+        scale_by_share(rate, self.rate_share)
     }
 
-    /// Share of the account's rate, in units of [`super::SHARE_WHOLE`].
+    /// Share of the account's rate, in units of [`super::FULL_SHARE`].
     pub const fn rate_share(&self) -> u64 {
         self.rate_share
     }
 
-    /// Share of the account's burst, in units of [`super::SHARE_WHOLE`].
-    pub const fn room_share(&self) -> u64 {
-        self.room_share
+    /// Share of the account's burst, in units of [`super::FULL_SHARE`].
+    pub const fn burst_share(&self) -> u64 {
+        self.burst_share
     }
 
     fn clamp_to_capacity(&mut self) {
--- a/crates/core/src/rights/ledger.rs
+++ b/crates/core/src/rights/ledger.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        Admission, Ask, CallerTag, Charge, Claim, Given, Limit, MILLI, Right, RightsSettings,
-        TakeRequest,
+        Admission, CallerTag, Charge, Limit, MILLITOKENS_PER_TOKEN, OutgoingTakeRequest,
+        ReservedTokens, Right, RightsSettings, TakeRequest, TakeResponse,
         account_rights::AccountRights,
         pending_requests::PendingRequests,
         transfer_log::{LookUp, TransferLog},
@@ -17,9 +17,9 @@
 /// The rate rights of one holder to all accounts.
 ///
 /// The daemon calls [`Self::try_admit`] for each request. If peers may have the missing tokens, it
-/// sends them the messages from [`Self::whom_to_ask`], passes their responses to the ledger and
+/// sends them the messages from [`Self::create_take_requests`], passes their responses to the ledger and
 /// tries again. When no peer is left to ask or the wait takes too long, it calls
-/// [`Self::refuse_after_ask`].
+/// [`Self::refuse_with_retry`].
 #[derive(Clone, Debug)]
 pub struct RightsLedger {
     me: Holder,
@@ -100,13 +100,13 @@
         caller: CallerTag,
         now: Millis,
     ) -> Admission {
-        self.try_admit_as(Claim::Leaving(0), account, cost, caller, now)
+        self.try_admit_with(ReservedTokens::Keep(0), account, cost, caller, now)
     }
 
     /// Like [`Self::try_admit`], with explicit access to reserved tokens.
-    pub fn try_admit_as(
+    pub fn try_admit_with(
         &mut self,
-        reserve: Claim,
+        reserve: ReservedTokens,
         account: AccountId,
         cost: u64,
         caller: CallerTag,
@@ -119,15 +119,15 @@
             return Admission::Refused(Refusal::new(ErrorKind::RateLimited));
         };
         rights.advance(&self.settings, now);
-        let millitokens = cost.saturating_mul(MILLI);
+        let millitokens = cost.saturating_mul(MILLITOKENS_PER_TOKEN);
         if millitokens > rights.burst() {
             return Admission::Refused(Refusal::new(ErrorKind::LargerThanBurst));
         }
         let reserved = match reserve {
-            Claim::First => 0,
-            Claim::Leaving(tokens) => rights
+            ReservedTokens::Use => 0,
+            ReservedTokens::Keep(tokens) => rights
                 .reserved_before(caller)
-                .saturating_add(tokens.saturating_mul(MILLI)),
+                .saturating_add(tokens.saturating_mul(MILLITOKENS_PER_TOKEN)),
         };
         let required = millitokens.saturating_add(reserved);
         let tokens = rights.bucket.tokens();
@@ -144,15 +144,15 @@
                     tokens: cost,
                 })
             }
-            None if self.can_ask_peers(account, now) => Admission::Ask {
+            None if self.can_ask_peers(account, now) => Admission::NeedsRights {
                 shortfall: required - tokens,
             },
-            None => Admission::Refused(self.refuse_after_ask(account, cost, caller, now)),
+            None => Admission::Refused(self.refuse_with_retry(account, cost, caller, now)),
         }
     }
 
     /// Refuses a request with a retry time, and reserves tokens for the retry where possible.
-    pub fn refuse_after_ask(
+    pub fn refuse_with_retry(
         &mut self,
         account: AccountId,
         cost: u64,
@@ -162,7 +162,7 @@
         let Some(rights) = self.accounts.get_mut(&account) else {
             return Refusal::new(ErrorKind::RateLimited);
         };
-        let millitokens = cost.saturating_mul(MILLI);
+        let millitokens = cost.saturating_mul(MILLITOKENS_PER_TOKEN);
         if millitokens > rights.burst() {
             return Refusal::new(ErrorKind::LargerThanBurst);
         }
@@ -180,19 +180,19 @@
     ) {
         if let Some(rights) = self.accounts.get_mut(&charge.account) {
             rights.bucket.refill(now);
-            let charged = charge.tokens.saturating_mul(MILLI);
-            let actual = actual.saturating_mul(MILLI);
+            let charged = charge.tokens.saturating_mul(MILLITOKENS_PER_TOKEN);
+            let actual = actual.saturating_mul(MILLITOKENS_PER_TOKEN);
             rights.bucket.settle(charge.number, charged, actual);
         }
     }
 
     /// Creates the requests to send to peers for `shortfall` missing millitokens.
-    pub fn whom_to_ask(
+    pub fn create_take_requests(
         &mut self,
         account: AccountId,
         shortfall: u64,
         now: Millis,
-    ) -> Vec<Ask> {
+    ) -> Vec<OutgoingTakeRequest> {
         let (Some(epoch), Some(rights)) = (self.epoch, self.accounts.get_mut(&account)) else {
             return Vec::new();
         };
@@ -213,9 +213,11 @@
                 epoch,
                 account,
                 needed,
-                demand: demand.saturating_add(shortfall).div_ceil(MILLI),
+                demand: demand
+                    .saturating_add(shortfall)
+                    .div_ceil(MILLITOKENS_PER_TOKEN),
             };
-            let ask = Ask { to, request };
+            let ask = OutgoingTakeRequest { to, request };
             self.pending.add(ask, now);
             asks.push(ask);
         }
@@ -226,20 +228,20 @@
     ///
     /// The giver may already have subtracted the rights, which only a response to the same transfer
     /// can deliver.
-    pub fn unanswered(
+    pub fn due_resends(
         &mut self,
         now: Millis,
-    ) -> Vec<Ask> {
-        self.pending.unanswered(&self.settings, now)
+    ) -> Vec<OutgoingTakeRequest> {
+        self.pending.due_resends(&self.settings, now)
     }
 
     /// Prefetches tokens for accounts that are in use here and run low.
     ///
     /// Idle peers earn tokens too, and lose those that exceed the capacity of their buckets.
-    pub fn rebalance(
+    pub fn prefetch(
         &mut self,
         now: Millis,
-    ) -> Vec<Ask> {
+    ) -> Vec<OutgoingTakeRequest> {
         let prefetch_window = self.settings.prefetch_window.0;
         let mut low_accounts = Vec::new();
         for (&account, rights) in &mut self.accounts {
@@ -255,18 +257,18 @@
         }
         low_accounts
             .into_iter()
-            .flat_map(|account| self.whom_to_ask(account, 0, now))
+            .flat_map(|account| self.create_take_requests(account, 0, now))
             .collect()
     }
 
     /// Handles a peer's request; the returned rights have been subtracted here.
-    pub fn give(
+    pub fn handle_take_request(
         &mut self,
         request: &TakeRequest,
         now: Millis,
-    ) -> Given {
+    ) -> TakeResponse {
         let epoch = self.epoch.unwrap_or_default();
-        let empty = Given {
+        let empty = TakeResponse {
             epoch,
             right: Right::none(request.account),
             spare: 0,
@@ -286,7 +288,7 @@
         rights.advance(&self.settings, now);
         let offer = rights.offer(request, holders, &self.settings, now);
         let right = rights.bucket.take(&offer);
-        let response = Given {
+        let response = TakeResponse {
             epoch,
             right,
             spare: rights.spare(&self.settings, now),
@@ -299,10 +301,10 @@
     /// Adds the rights of a peer's response and returns whether there were any.
     ///
     /// Each transfer is applied at most once, and only in the epoch in which it was requested.
-    pub fn receive(
+    pub fn handle_take_response(
         &mut self,
         transfer: TransferId,
-        response: &Given,
+        response: &TakeResponse,
         now: Millis,
     ) -> bool {
         let Some(ask) = self.pending.take(transfer) else {
@@ -374,7 +376,7 @@
     }
 
     /// Closes the ledger and returns all rights for the final report.
-    pub fn give_all_back(
+    pub fn release_all(
         &mut self,
         now: Millis,
     ) -> Vec<Right> {
@@ -382,12 +384,12 @@
             rights.advance(&self.settings, now);
         }
         let held = self.held();
-        self.forfeit();
+        self.discard_all();
         held
     }
 
     /// Closes the ledger and drops all rights, because they are reissued to other holders.
-    pub fn forfeit(&mut self) {
+    pub fn discard_all(&mut self) {
         self.is_closed = true;
         self.accounts.clear();
         self.pending.clear();
--- a/crates/core/src/rights/limit.rs
+++ b/crates/core/src/rights/limit.rs
@@ -1,4 +1,4 @@
-use super::MILLI;
+use super::MILLITOKENS_PER_TOKEN;
 
 /// Fleet-wide rate limit of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -11,12 +11,12 @@
 
 impl Limit {
     /// The rate in millitokens per second.
-    pub const fn rate_milli(self) -> u64 {
-        self.rate.saturating_mul(MILLI)
+    pub const fn rate_millitokens(self) -> u64 {
+        self.rate.saturating_mul(MILLITOKENS_PER_TOKEN)
     }
 
     /// The burst in millitokens.
-    pub const fn burst_milli(self) -> u64 {
-        self.burst.saturating_mul(MILLI)
+    pub const fn burst_millitokens(self) -> u64 {
+        self.burst.saturating_mul(MILLITOKENS_PER_TOKEN)
     }
 }
--- a/crates/core/src/rights/mod.rs
+++ b/crates/core/src/rights/mod.rs
@@ -40,11 +40,11 @@
 mod transfer_log;
 
 pub use {
-    admission::{Admission, CallerTag, Charge, Claim},
+    admission::{Admission, CallerTag, Charge, ReservedTokens},
     home::home_rank,
     ledger::RightsLedger,
     limit::Limit,
-    right::{MILLI, Right, SHARE_WHOLE, part_of},
+    right::{FULL_SHARE, MILLITOKENS_PER_TOKEN, Right, scale_by_share},
     settings::RightsSettings,
-    transfer::{Ask, Given, TakeRequest},
+    transfer::{OutgoingTakeRequest, TakeRequest, TakeResponse},
 };
--- a/crates/core/src/rights/pending_requests.rs
+++ b/crates/core/src/rights/pending_requests.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Ask, RightsSettings},
+    super::{OutgoingTakeRequest, RightsSettings},
     crate::{
         clock::Millis,
         ids::{AccountId, Holder, TransferId},
@@ -10,7 +10,7 @@
 /// A request for rights that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
-    ask: Ask,
+    ask: OutgoingTakeRequest,
     sent_at: Millis,
     resends: u32,
 }
@@ -32,7 +32,7 @@
     /// Adds a request that is sent at `now`.
     pub fn add(
         &mut self,
-        ask: Ask,
+        ask: OutgoingTakeRequest,
         now: Millis,
     ) {
         let pending = PendingRequest {
@@ -47,16 +47,16 @@
     pub fn take(
         &mut self,
         transfer: TransferId,
-    ) -> Option<Ask> {
+    ) -> Option<OutgoingTakeRequest> {
         self.requests.remove(&transfer).map(|pending| pending.ask)
     }
 
     /// Returns the requests that are due to be sent again, with exponential backoff.
-    pub fn unanswered(
+    pub fn due_resends(
         &mut self,
         settings: &RightsSettings,
         now: Millis,
-    ) -> Vec<Ask> {
+    ) -> Vec<OutgoingTakeRequest> {
         let mut requests = Vec::new();
         for pending in self.requests.values_mut() {
             let doublings = pending.resends.min(settings.max_backoff_doublings);
--- a/crates/core/src/rights/right.rs
+++ b/crates/core/src/rights/right.rs
@@ -4,10 +4,10 @@
 };
 
 /// The share that stands for an account's whole rate or burst.
-pub const SHARE_WHOLE: u64 = 1 << 32;
+pub const FULL_SHARE: u64 = 1 << 32;
 
 /// Millitokens per token.
-pub const MILLI: u64 = 1000;
+pub const MILLITOKENS_PER_TOKEN: u64 = 1000;
 
 /// A part of an account's rate, burst and tokens that a holder can own, transfer and report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -15,11 +15,11 @@
 pub struct Right {
     /// The account that the right belongs to.
     pub account: AccountId,
-    /// Share of the rate, in units of [`SHARE_WHOLE`].
+    /// Share of the rate, in units of [`FULL_SHARE`].
     pub rate_share: u64,
-    /// Share of the burst, in units of [`SHARE_WHOLE`].
+    /// Share of the burst, in units of [`FULL_SHARE`].
     #[serde(rename = "room_share")]
-    pub room_share: u64,
+    pub burst_share: u64,
     /// Millitokens, at most the share of the burst.
     pub tokens: u64,
 }
@@ -30,19 +30,19 @@
         Self {
             account,
             rate_share: 0,
-            room_share: 0,
+            burst_share: 0,
             tokens: 0,
         }
     }
 
     /// Whether the right is empty.
     pub const fn is_none(&self) -> bool {
-        self.rate_share == 0 && self.room_share == 0 && self.tokens == 0
+        self.rate_share == 0 && self.burst_share == 0 && self.tokens == 0
     }
 }
 
-/// Scales `amount` by a share of [`SHARE_WHOLE`], rounded down.
-pub const fn part_of(
+/// Scales `amount` by a share of [`FULL_SHARE`], rounded down.
+pub const fn scale_by_share(
     amount: u64,
     share: u64,
 ) -> u64 {
--- a/crates/core/src/rights/settings.rs
+++ b/crates/core/src/rights/settings.rs
@@ -26,7 +26,7 @@
     /// How long tokens stay reserved after the retry time.
     pub reservation_grace: Millis,
     /// Maximum delay of a retry for which tokens are reserved.
-    pub horizon: Millis,
+    pub max_reservation_delay: Millis,
     /// Maximum number of reservations of one account.
     pub max_reservations: usize,
 }
@@ -45,7 +45,7 @@
             resend_interval: Millis(250),
             min_share_divisor: 32,
             reservation_grace: Millis(1500),
-            horizon: Millis::from_secs(10),
+            max_reservation_delay: Millis::from_secs(10),
             max_reservations: 1024,
         }
     }
--- a/crates/core/src/rights/transfer.rs
+++ b/crates/core/src/rights/transfer.rs
@@ -22,7 +22,7 @@
 
 /// The response to a [`TakeRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct TakeResponse {
     /// The giver's epoch; the right is empty if the epochs differ.
     pub epoch: Epoch,
     /// The right, already subtracted at the giver.
@@ -33,7 +33,7 @@
 
 /// A [`TakeRequest`] and its recipient.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct OutgoingTakeRequest {
     /// The peer to ask.
     pub to: Holder,
     /// The request to send.
--- a/crates/core/src/rights/transfer_log.rs
+++ b/crates/core/src/rights/transfer_log.rs
@@ -1,5 +1,5 @@
 use {
-    super::Given,
+    super::TakeResponse,
     crate::ids::{Holder, TransferId},
     std::collections::{HashMap, VecDeque},
 };
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Asker {
-    responses: VecDeque<(TransferId, Given)>,
+    responses: VecDeque<(TransferId, TakeResponse)>,
     /// The highest transfer whose response was evicted.
     last_evicted: Option<TransferId>,
 }
@@ -29,7 +29,7 @@
     /// The request is new.
     New,
     /// The request was handled with this response.
-    Handled(Given),
+    Handled(TakeResponse),
     /// The request may have been handled; its response was evicted.
     Evicted,
 }
@@ -57,7 +57,7 @@
         &mut self,
         from: Holder,
         transfer: TransferId,
-        given: Given,
+        given: TakeResponse,
     ) {
         let asker = self.askers.entry(from).or_default();
         asker.responses.push_back((transfer, given));
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -8,7 +8,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::{AccountId, AdapterVersion, ModelId, UpstreamId},
-        placement::{Instance, preferred, rendezvous},
+        placement::{Instance, preferred, rendezvous_score},
     },
 };
 
@@ -156,7 +156,8 @@
             return Some(least.spec.upstream);
         };
         let bound = cost(&least) + self.settings.cost_tolerance;
-        let affinity = |engine: &&Engine| rendezvous(prefix, u64::from(engine.spec.upstream.0), 1);
+        let affinity =
+            |engine: &&Engine| rendezvous_score(prefix, u64::from(engine.spec.upstream.0), 1);
         usable()
             .filter(|engine| cost(engine) <= bound)
             .max_by(|a, b| affinity(a).total_cmp(&affinity(b)))
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -7,7 +7,7 @@
     crate::{
         clock::Millis,
         ids::{AdapterVersion, Fence, ModelId, ServiceId, UpstreamId},
-        placement::{EngineSlot, Instance},
+        placement::{EngineCandidate, Instance},
     },
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
@@ -19,7 +19,7 @@
     pub(super) engines: BTreeMap<UpstreamId, Engine>,
     pub(super) by_model: BTreeMap<ModelId, Vec<UpstreamId>>,
     /// Adapter slots of the engines of each base model.
-    pub(super) slots: BTreeMap<ModelId, Vec<EngineSlot>>,
+    pub(super) slots: BTreeMap<ModelId, Vec<EngineCandidate>>,
     pub(super) by_service: BTreeMap<ServiceId, Vec<UpstreamId>>,
     pub(super) adapters: HashMap<AdapterVersion, AdapterEntry>,
     /// Adapters for which this gateway holds a grant or has a pending acquire request.
@@ -68,7 +68,7 @@
             match spec.kind {
                 SpecKind::Engine { model, slots, .. } => {
                     self.by_model.entry(model).or_default().push(spec.upstream);
-                    let slot = EngineSlot {
+                    let slot = EngineCandidate {
                         upstream: spec.upstream,
                         data_centre: spec.data_centre,
                         weight: if spec.leaving { 0 } else { slots },
--- a/crates/core/src/scheduler/choose/load.rs
+++ b/crates/core/src/scheduler/choose/load.rs
@@ -4,7 +4,7 @@
     super::{AdapterCopies, ORDER_ROUND_TRIP_MS, SelectionContext, ServingOption},
     crate::{
         ids::{AdapterVersion, ModelId},
-        placement::rendezvous,
+        placement::rendezvous_score,
         scheduler::{
             Generation, Job, WaitReason,
             engine::Engine,
@@ -58,7 +58,7 @@
         } else {
             cold_load_penalty(copies)
         };
-        let affinity_score = rendezvous(u64::from(wanted.adapter.0), u64::from(up.id.0), 1);
+        let affinity_score = rendezvous_score(u64::from(wanted.adapter.0), u64::from(up.id.0), 1);
         let affinity_penalty = MAX_AFFINITY_PENALTY_MS / (1.0 + affinity_score);
         let cost = base + extra + load_penalty + eviction_cost + affinity_penalty;
         let option = if engine.takes_orders(self.now) && engine.reserved.is_none() {
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -1,4 +1,4 @@
-use crate::{clock::Millis, decayed::Decayed};
+use crate::{clock::Millis, decaying_sum::DecayingSum};
 
 /// Half-life of recorded successes and failures.
 const HALF_LIFE: Millis = Millis(3_000);
@@ -14,8 +14,8 @@
 /// A passing health check doesn't show that some of its requests fail.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
-    failures: Decayed,
-    successes: Decayed,
+    failures: DecayingSum,
+    successes: DecayingSum,
     consecutive_unreachable: u32,
     paused_until: Millis,
 }
--- a/crates/core/src/scheduler/local_usage.rs
+++ b/crates/core/src/scheduler/local_usage.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{clock::Millis, decayed::Decayed, ids::AccountId},
+    crate::{clock::Millis, decaying_sum::DecayingSum, ids::AccountId},
     std::collections::BTreeMap,
 };
 
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountUsage {
-    tokens: Decayed,
+    tokens: DecayingSum,
     refused_at: Option<Millis>,
 }
 
@@ -29,8 +29,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct LocalUsage {
     accounts: BTreeMap<AccountId, AccountUsage>,
-    total_tokens: Decayed,
-    total_requests: Decayed,
+    total_tokens: DecayingSum,
+    total_requests: DecayingSum,
     last_allowance_at: Option<Millis>,
 }
 
--- a/crates/core/src/scheduler/machine/admission.rs
+++ b/crates/core/src/scheduler/machine/admission.rs
@@ -6,7 +6,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::{AccountId, AdapterVersion, RequestId, ServiceId},
-        queue::{Priority, Target, Waiting},
+        queue::{Priority, QueuedRequest, Target},
         rights::Charge,
         scheduler::{Job, Work, repeat_budget::RepeatBudget},
     },
@@ -90,10 +90,10 @@
         request: RequestId,
         job: &Job,
         now: Millis,
-    ) -> Waiting {
+    ) -> QueuedRequest {
         let min_time = self.min_service_time(job);
         let send_deadline = Millis(job.deadline.0.saturating_sub(min_time.0));
-        Waiting {
+        QueuedRequest {
             request,
             account: job.account.unwrap_or(NO_ACCOUNT),
             priority: priority_class(job.priority),
--- a/crates/core/src/scheduler/machine/decisions.rs
+++ b/crates/core/src/scheduler/machine/decisions.rs
@@ -7,7 +7,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::{AdapterVersion, RequestId, UpstreamId},
-        queue::Waiting,
+        queue::QueuedRequest,
         scheduler::{
             Job, Outcome, SchedulerAction as Action,
             choose::{Choice, SelectionContext},
@@ -140,7 +140,7 @@
         now: Millis,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        for Waiting { request, .. } in self.queue.expire(now) {
+        for QueuedRequest { request, .. } in self.queue.expire(now) {
             let Some(entry) = self.entries.get(&request) else {
                 continue;
             };
--- a/crates/core/src/scheduler/machine/mod.rs
+++ b/crates/core/src/scheduler/machine/mod.rs
@@ -84,7 +84,7 @@
             retry_budgets: HashMap::new(),
             taken_over_at: None,
             queue: FairQueue::new(QueueSettings {
-                judges_by_rate: false,
+                refuses_by_estimate: false,
                 ..QueueSettings::default()
             }),
             entries: HashMap::new(),
--- a/crates/core/src/scheduler/place.rs
+++ b/crates/core/src/scheduler/place.rs
@@ -1,6 +1,6 @@
 use crate::{
     clock::Millis,
-    decayed::Decayed,
+    decaying_sum::DecayingSum,
     ids::{AdapterVersion, ModelId},
 };
 
@@ -35,7 +35,7 @@
     pub adapter: AdapterVersion,
     pub state: ResidentState,
     /// Recent requests, decayed.
-    pub demand: Decayed,
+    pub demand: DecayingSum,
     /// Requests rejected since the adapter was last known to be loaded.
     pub late_count: u32,
     /// When the engine accepted the order to load it.
@@ -52,7 +52,7 @@
             model,
             adapter,
             state,
-            demand: Decayed::default(),
+            demand: DecayingSum::default(),
             late_count: 0,
             accepted_at: None,
         }
--- a/crates/core/src/scheduler/prefill_estimator.rs
+++ b/crates/core/src/scheduler/prefill_estimator.rs
@@ -82,14 +82,14 @@
     ) {
         let expected = self.prefill_time().time_for(tokens);
         let ms = (took.0 as f64).clamp(expected * SAMPLE_BOUNDS.0, expected * SAMPLE_BOUNDS.1);
-        let decayed = Self {
+        let decaying_sum = Self {
             weight: self.weight * SAMPLE_DECAY,
             tokens: self.tokens * SAMPLE_DECAY,
             ms: self.ms * SAMPLE_DECAY,
             tokens_squared: self.tokens_squared * SAMPLE_DECAY,
             tokens_ms: self.tokens_ms * SAMPLE_DECAY,
         };
-        *self = decayed.with(tokens, ms, 1.0);
+        *self = decaying_sum.with(tokens, ms, 1.0);
     }
 
     /// Least-squares fit through the samples; slope and intercept are not negative.
--- a/crates/core/src/scheduler/rights.rs
+++ b/crates/core/src/scheduler/rights.rs
@@ -5,8 +5,8 @@
         error::{ErrorKind, Refusal},
         ids::{AccountId, Epoch, Holder, Incarnation, Role, VmId},
         rights::{
-            Admission, Charge, Claim, Limit, MILLI, Right, RightsLedger, RightsSettings,
-            SHARE_WHOLE,
+            Admission, Charge, FULL_SHARE, Limit, MILLITOKENS_PER_TOKEN, ReservedTokens, Right,
+            RightsLedger, RightsSettings,
         },
     },
     std::collections::BTreeMap,
@@ -150,20 +150,20 @@
         now: Millis,
     ) -> Result<Option<Charge>, Refusal> {
         let claim = match job.work {
-            Work::Call => Claim::First,
-            Work::Generation(_) => Claim::Leaving(self.call_reserve(account, job.cost, now)),
+            Work::Call => ReservedTokens::Use,
+            Work::Generation(_) => ReservedTokens::Keep(self.call_reserve(account, job.cost, now)),
         };
         let ledger = &mut self.ledger;
-        match ledger.try_admit_as(claim, account, job.cost, job.caller, now) {
+        match ledger.try_admit_with(claim, account, job.cost, job.caller, now) {
             Admission::Admitted(charge) => Ok(Some(charge)),
             // The cost exceeds the burst, so no refill is enough; reported as a rate limit.
             Admission::Refused(refusal) if refusal.kind == ErrorKind::LargerThanBurst => {
                 Err(Refusal::new(ErrorKind::RateLimited))
             }
             Admission::Refused(refusal) => Err(refusal),
-            Admission::Ask { .. } => Err(self
+            Admission::NeedsRights { .. } => Err(self
                 .ledger
-                .refuse_after_ask(account, job.cost, job.caller, now)),
+                .refuse_with_retry(account, job.cost, job.caller, now)),
         }
     }
 
@@ -214,7 +214,7 @@
         holder,
         RightsSettings {
             sharing: false,
-            horizon: RESERVATION_HORIZON,
+            max_reservation_delay: RESERVATION_HORIZON,
             ..RightsSettings::default()
         },
     );
@@ -232,8 +232,8 @@
     now: Millis,
 ) {
     let part = match share {
-        RightsShare::Fresh | RightsShare::TakenOver => SHARE_WHOLE,
-        RightsShare::Part(parts) => SHARE_WHOLE / parts.max(1),
+        RightsShare::Fresh | RightsShare::TakenOver => FULL_SHARE,
+        RightsShare::Part(parts) => FULL_SHARE / parts.max(1),
     };
     let max_usage = limit.rate * LIMIT_WINDOW_SECS + limit.burst;
     let tokens = match share {
@@ -245,12 +245,12 @@
     };
     let tokens = tokens.min(limit.burst);
     // Tokens need room, which is expressed as a share of the burst.
-    let room = SHARE_WHOLE * tokens / limit.burst.max(1);
+    let room = FULL_SHARE * tokens / limit.burst.max(1);
     let right = Right {
         account,
         rate_share: part,
-        room_share: part.max(room),
-        tokens: tokens * MILLI,
+        burst_share: part.max(room),
+        tokens: tokens * MILLITOKENS_PER_TOKEN,
     };
     ledger.apply_grants(Epoch(1), &[right], now);
 }
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -12,7 +12,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{AccountId, ModelId, RequestId, ServiceId},
-        queue::{AccountShare, FairQueue, Priority, QueueSettings, Target, Waiting},
+        queue::{AccountShare, FairQueue, Priority, QueueSettings, QueuedRequest, Target},
     },
     rand::SeedableRng,
     rand_chacha::ChaCha8Rng,
@@ -60,7 +60,7 @@
         within: u64,
         target: Target,
     ) -> String {
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request: RequestId(self.next),
             account: AccountId(account),
             priority,
@@ -88,7 +88,7 @@
             });
             match popped {
                 Some(waiting) => {
-                    let Waiting {
+                    let QueuedRequest {
                         request,
                         account,
                         priority,
@@ -209,7 +209,7 @@
     now: Millis,
     next: u64,
     busy: u32,
-    waiting: BTreeMap<RequestId, (Waiting, Millis)>,
+    waiting: BTreeMap<RequestId, (QueuedRequest, Millis)>,
     accepted: usize,
     removed: usize,
 }
@@ -291,7 +291,7 @@
         model: u32,
     ) {
         let priority = [Priority::High, Priority::Normal, Priority::Low][usize::from(class)];
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request: RequestId(self.next),
             account: AccountId(account),
             priority,
@@ -314,8 +314,8 @@
 
     fn pop(&mut self) {
         let busy = self.busy;
-        let can_run = |waiting: &Waiting| waiting.target != Target::Base(ModelId(busy));
-        let position = |&(waiting, at): &(Waiting, Millis)| {
+        let can_run = |waiting: &QueuedRequest| waiting.target != Target::Base(ModelId(busy));
+        let position = |&(waiting, at): &(QueuedRequest, Millis)| {
             (
                 at + PRIORITY_DELAY[waiting.priority as usize],
                 waiting.request,
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn queue_orders() {
+fn random_events_keep_queue_order() {
     let orders = std::env::var("JASMINE_ORDERS")
         .ok()
         .and_then(|number| number.parse().ok());
@@ -366,7 +366,7 @@
 /// Guards against an account that sends more requests getting more than its weighted share.
 /// Four accounts of weights 1 to 4 are always backlogged, one with far more requests.
 #[test]
-fn weighted_parts() {
+fn accounts_are_served_by_weight() {
     let mut model = Model::new();
     let mut served = [0_u64; 4];
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -3,14 +3,14 @@
 use jasmine_core::{
     ids::{AdapterId, AdapterVersion, DataCentreId, Fence, UpstreamId, VmId},
     ownership::{Candidate, assign},
-    placement::{EngineSlot, Instance, preferred},
+    placement::{EngineCandidate, Instance, preferred},
 };
 
 const ADAPTERS: u32 = 3000;
 
-fn engines(count: u32) -> Vec<EngineSlot> {
+fn engines(count: u32) -> Vec<EngineCandidate> {
     (0..count)
-        .map(|engine| EngineSlot {
+        .map(|engine| EngineCandidate {
             upstream: UpstreamId(engine),
             data_centre: DataCentreId((engine % 3) as u16),
             weight: 8,
@@ -25,14 +25,14 @@
     }
 }
 
-fn homes(engines: &[EngineSlot]) -> Vec<UpstreamId> {
+fn homes(engines: &[EngineCandidate]) -> Vec<UpstreamId> {
     (0..ADAPTERS)
         .map(|number| preferred(adapter(number), engines, 1)[0])
         .collect()
 }
 
 #[test]
-fn even_spread() {
+fn adapters_spread_evenly() {
     let homes = homes(&engines(9));
     for engine in 0..9 {
         let count = homes.iter().filter(|home| home.0 == engine).count();
@@ -42,7 +42,7 @@
 
 /// Guards against removing an engine moving the adapters of other engines, which causes reloads.
 #[test]
-fn little_movement() {
+fn removed_engine_moves_only_its_adapters() {
     let all = engines(9);
     let (before, after) = (homes(&all), homes(&all[..8]));
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
@@ -52,7 +52,7 @@
 
 /// Guards against copies of an adapter sharing a data centre, whose loss would unload the adapter.
 #[test]
-fn separate_data_centres() {
+fn copies_in_separate_data_centres() {
     for number in 0..ADAPTERS {
         let chosen = preferred(adapter(number), &engines(9), 3);
         let mut places: Vec<u32> = chosen.iter().map(|engine| engine.0 % 3).collect();
@@ -82,7 +82,7 @@
 
 /// Guards against owners in another data centre, which lose their engines when a link fails.
 #[test]
-fn near_owner() {
+fn owners_in_the_data_centre_of_the_engine() {
     let live: Vec<Candidate> = (0..7)
         .map(|vm| Candidate {
             vm: VmId(vm),
--- a/crates/core/tests/support/checks.rs
+++ b/crates/core/tests/support/checks.rs
@@ -8,7 +8,7 @@
         clock::Millis,
         ids::{AccountId, Holder},
         membership::Budget,
-        rights::SHARE_WHOLE,
+        rights::FULL_SHARE,
     },
     std::fmt::Write as _,
 };
@@ -23,7 +23,7 @@
             .flat_map(|daemon| daemon.ledger.held())
             .filter(|right| right.account == account)
             .fold((0, 0), |(rate, room), right| {
-                (rate + right.rate_share, room + right.room_share)
+                (rate + right.rate_share, room + right.burst_share)
             })
     }
 
@@ -32,11 +32,11 @@
         for account in ACCOUNTS {
             let (rate, room) = self.held(account);
             assert!(
-                rate <= SHARE_WHOLE,
+                rate <= FULL_SHARE,
                 "account {account}: {rate} of the rate is held"
             );
             assert!(
-                room <= SHARE_WHOLE,
+                room <= FULL_SHARE,
                 "account {account}: {room} of the burst is held"
             );
         }
@@ -79,7 +79,7 @@
         assert!(!record.closing, "the epoch is finalised");
         for Budget { account, .. } in budgets(&self.limits) {
             let (rate, room) = self.held(account);
-            let lost = SHARE_WHOLE - rate.min(room);
+            let lost = FULL_SHARE - rate.min(room);
             assert!(
                 lost < 1000,
                 "account {account}: {lost} of the rights are lost"
@@ -112,13 +112,13 @@
         for daemon in self.daemons() {
             let held = daemon.ledger.held();
             if let Some(right) = held.iter().find(|right| right.account == account) {
-                let percent = |share| 100.0 * share as f64 / SHARE_WHOLE as f64;
+                let percent = |share| 100.0 * share as f64 / FULL_SHARE as f64;
                 let _ = writeln!(
                     out,
                     "vm {}: rate {:.1} %, room {:.1} %, tokens {:.1}",
                     daemon.holder.vm,
                     percent(right.rate_share),
-                    percent(right.room_share),
+                    percent(right.burst_share),
                     right.tokens as f64 / 1000.0,
                 );
             }
--- a/crates/core/tests/support/daemon.rs
+++ b/crates/core/tests/support/daemon.rs
@@ -5,7 +5,9 @@
         error::ErrorKind,
         ids::{AccountId, Holder},
         membership::EpochRecord,
-        rights::{Admission, Ask, CallerTag, Charge, Right, RightsLedger, RightsSettings},
+        rights::{
+            Admission, CallerTag, Charge, OutgoingTakeRequest, Right, RightsLedger, RightsSettings,
+        },
     },
 };
 
@@ -59,7 +61,7 @@
         caller: CallerTag,
         now: Millis,
         ran: &mut Vec<Usage>,
-    ) -> (Outcome, Vec<Ask>) {
+    ) -> (Outcome, Vec<OutgoingTakeRequest>) {
         let asking = Asking {
             account,
             cost,
@@ -75,7 +77,7 @@
         &mut self,
         now: Millis,
         ran: &mut Vec<Usage>,
-    ) -> (Vec<Outcome>, Vec<Ask>) {
+    ) -> (Vec<Outcome>, Vec<OutgoingTakeRequest>) {
         let (mut outcomes, mut asks) = (Vec::new(), Vec::new());
         for asking in std::mem::take(&mut self.asking) {
             let (outcome, more) = match now.since(asking.since) {
@@ -131,7 +133,7 @@
         asking: Asking,
         now: Millis,
         ran: &mut Vec<Usage>,
-    ) -> (Outcome, Vec<Ask>) {
+    ) -> (Outcome, Vec<OutgoingTakeRequest>) {
         let Asking {
             account,
             cost,
@@ -150,9 +152,9 @@
                 });
                 (Outcome::Admitted, Vec::new())
             }
-            Admission::Ask { shortfall } => {
+            Admission::NeedsRights { shortfall } => {
                 self.asking.push(asking);
-                let asks = self.ledger.whom_to_ask(account, shortfall, now);
+                let asks = self.ledger.create_take_requests(account, shortfall, now);
                 (Outcome::Pending, asks)
             }
             Admission::Refused(refusal) => (
@@ -173,7 +175,7 @@
             caller,
             ..
         } = asking;
-        let refusal = self.ledger.refuse_after_ask(account, cost, caller, now);
+        let refusal = self.ledger.refuse_with_retry(account, cost, caller, now);
         Outcome::Refused(refusal.kind, refusal.retry_after)
     }
 }
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -14,7 +14,7 @@
             Budget, EpochAction, EpochMachine, HoldingsRecord, LiveVm, MembershipSettings,
             ReleasedRecord, StoreView,
         },
-        rights::{Ask, CallerTag, Given, Limit, RightsSettings, SHARE_WHOLE},
+        rights::{CallerTag, FULL_SHARE, Limit, OutgoingTakeRequest, RightsSettings, TakeResponse},
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -276,8 +276,8 @@
                 more.into_iter()
                     .filter(|outcome| *outcome != Outcome::Pending),
             );
-            let again = daemon.ledger.unanswered(now);
-            let ahead = daemon.ledger.rebalance(now);
+            let again = daemon.ledger.due_resends(now);
+            let ahead = daemon.ledger.prefetch(now);
             let all = asks.into_iter().chain(again).chain(ahead);
             self.messages.extend(all.map(Message::Request));
             let Some(epoch) = &at.view.epoch else {
--- a/crates/core/tests/support/lifecycle.rs
+++ b/crates/core/tests/support/lifecycle.rs
@@ -58,7 +58,7 @@
             return;
         };
         for daemon in &mut left.daemons {
-            let rights = daemon.ledger.give_all_back(self.now);
+            let rights = daemon.ledger.release_all(self.now);
             let holder = daemon.holder;
             if self.store.up && !left.frozen {
                 self.store.release(ReleasedRecord { holder, rights });
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -2,15 +2,15 @@
     super::{Event, Fleet, MessageFate, daemon::Outcome},
     jasmine_core::{
         ids::{Holder, TransferId},
-        rights::{Ask, Given},
+        rights::{OutgoingTakeRequest, TakeResponse},
     },
 };
 
 /// A message between two daemons.
 #[derive(Clone, Copy, Debug)]
 pub enum Message {
-    Request(Ask),
-    Response(Holder, TransferId, Given),
+    Request(OutgoingTakeRequest),
+    Response(Holder, TransferId, TakeResponse),
 }
 
 impl Message {
@@ -83,13 +83,13 @@
         };
         match message {
             Message::Request(ask) => {
-                let given = daemon.ledger.give(&ask.request, now);
+                let given = daemon.ledger.handle_take_request(&ask.request, now);
                 let answer = Message::Response(ask.request.from, ask.request.transfer, given);
                 self.messages.push_back(answer);
                 Vec::new()
             }
             Message::Response(_, transfer, given) => {
-                daemon.ledger.receive(*transfer, given, now);
+                daemon.ledger.handle_take_response(*transfer, given, now);
                 let (outcomes, asks) = daemon.retry(now, &mut self.ran);
                 self.messages.extend(asks.into_iter().map(Message::Request));
                 outcomes
--- a/crates/core/tests/support/reference.rs
+++ b/crates/core/tests/support/reference.rs
@@ -37,7 +37,7 @@
     pub fn new(limit: Limit) -> Self {
         Self {
             limit,
-            level: i128::from(limit.burst_milli()),
+            level: i128::from(limit.burst_millitokens()),
             at: Millis::ZERO,
         }
     }
@@ -68,7 +68,7 @@
         now: Millis,
     ) {
         let earned = i128::from(now.since(self.at).0) * i128::from(self.limit.rate);
-        self.level = (self.level + earned).min(i128::from(self.limit.burst_milli()));
+        self.level = (self.level + earned).min(i128::from(self.limit.burst_millitokens()));
         self.at = now;
     }
 }
--- a/crates/entry/src/caller/refusal.rs
+++ b/crates/entry/src/caller/refusal.rs
@@ -46,7 +46,7 @@
     fn retry_after(self) -> Option<Millis> {
         let answer = self.0.kind.answer();
         match (answer.execution, answer.retry_after) {
-            (Execution::NotRun, RetryAfter::Decided | RetryAfter::Secs(_)) => {
+            (Execution::NotRun, RetryAfter::FromRefusal | RetryAfter::Secs(_)) => {
                 Some(self.0.retry_after.unwrap_or(USUAL_RETRY))
             }
             _ => None,
--- a/crates/gateway/src/brain/admission.rs
+++ b/crates/gateway/src/brain/admission.rs
@@ -6,7 +6,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::{AccountId, RequestId},
-        queue::{self, Waiting},
+        queue::{self, QueuedRequest},
         rights,
         routing::Target,
     },
@@ -80,12 +80,14 @@
                 }
                 self.enqueue(request, now);
             }
-            rights::Admission::Ask { .. } if now.since(since) >= self.ask_limit(account, now) => {
-                let refusal = self.ledger.refuse_after_ask(account, cost, caller, now);
+            rights::Admission::NeedsRights { .. }
+                if now.since(since) >= self.ask_limit(account, now) =>
+            {
+                let refusal = self.ledger.refuse_with_retry(account, cost, caller, now);
                 self.refuse(request, refusal);
             }
-            rights::Admission::Ask { shortfall } => {
-                let asks = self.ledger.whom_to_ask(account, shortfall, now);
+            rights::Admission::NeedsRights { shortfall } => {
+                let asks = self.ledger.create_take_requests(account, shortfall, now);
                 self.effects
                     .extend(asks.into_iter().map(Effect::TakeRights));
                 self.wait_for_rights(request, account, since);
@@ -175,7 +177,7 @@
         };
         let admission = running.admission;
         running.waiting_since = now;
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request,
             account: admission.account,
             priority: admission.priority,
--- a/crates/gateway/src/brain/configuration.rs
+++ b/crates/gateway/src/brain/configuration.rs
@@ -216,7 +216,7 @@
                 .with("epoch", answer.newest)
                 .with("newer_run", newer_run)
                 .error();
-            self.ledger.forfeit();
+            self.ledger.discard_all();
             self.readiness.ask_to_stop();
             return None;
         }
@@ -297,10 +297,10 @@
         &mut self,
         transfer: jasmine_core::ids::TransferId,
         account: AccountId,
-        given: &jasmine_core::rights::Given,
+        given: &jasmine_core::rights::TakeResponse,
     ) {
         let now = self.clock.now();
-        self.ledger.receive(transfer, given, now);
+        self.ledger.handle_take_response(transfer, given, now);
         self.retry_account(account, now);
         self.dispatch(now);
     }
--- a/crates/gateway/src/brain/dispatch.rs
+++ b/crates/gateway/src/brain/dispatch.rs
@@ -61,7 +61,7 @@
             loads,
             ..
         } = self;
-        let can_run = |waiting: &jasmine_core::queue::Waiting| {
+        let can_run = |waiting: &jasmine_core::queue::QueuedRequest| {
             let Some(running) = running.get(&waiting.request) else {
                 offers
                     .refused
--- a/crates/gateway/src/brain/effect.rs
+++ b/crates/gateway/src/brain/effect.rs
@@ -1,7 +1,7 @@
 use jasmine_core::{
     ids::{AccountId, AdapterVersion, Fence, UpstreamId},
     placement::Instance,
-    rights::Ask,
+    rights::OutgoingTakeRequest,
     routing::RouterAction,
 };
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Ask a peer for rights.
-    TakeRights(Ask),
+    TakeRights(OutgoingTakeRequest),
     /// Ask an engine's owner for an adapter.
     Acquire {
         /// The engine.
--- a/crates/gateway/src/brain/links.rs
+++ b/crates/gateway/src/brain/links.rs
@@ -9,7 +9,7 @@
         },
         ownership::AcquireOutcome,
         placement::Instance,
-        rights::{Ask, Given, Right},
+        rights::{OutgoingTakeRequest, Right, TakeResponse},
         routing::EngineView,
     },
     jasmine_wire::{
@@ -290,8 +290,8 @@
     pub async fn take_rights(
         &self,
         address: SocketAddr,
-        ask: Ask,
-    ) -> Result<Given, LinkError> {
+        ask: OutgoingTakeRequest,
+    ) -> Result<TakeResponse, LinkError> {
         let request = ask.request;
         self.gateway(address)
             .call(Millis::ZERO, move |client| async move {
--- a/crates/gateway/src/brain/peer_server.rs
+++ b/crates/gateway/src/brain/peer_server.rs
@@ -27,7 +27,9 @@
         mut results: rights_holder::TakeRightsResults,
     ) -> Result<(), capnp::Error> {
         let request = read_take(params.get()?)?;
-        let given = self.core.decide(|state| state.give(&request));
+        let given = self
+            .core
+            .decide(|state| state.handle_take_request(&request));
         write_given(results.get(), &given);
         Ok(())
     }
--- a/crates/gateway/src/brain/state.rs
+++ b/crates/gateway/src/brain/state.rs
@@ -6,7 +6,7 @@
         clock::Millis,
         ids::{AccountId, AdapterVersion, DataCentreId, Epoch, Holder, RequestId, VmId},
         queue::{FairQueue, QueueSettings},
-        rights::{Given, Right, RightsLedger, RightsSettings, TakeRequest},
+        rights::{Right, RightsLedger, RightsSettings, TakeRequest, TakeResponse},
         routing::{Router, RouterSettings},
     },
     std::{
@@ -114,17 +114,17 @@
     }
 
     /// Answers a peer that asks for rights.
-    pub fn give(
+    pub fn handle_take_request(
         &mut self,
         request: &TakeRequest,
-    ) -> Given {
-        self.ledger.give(request, self.clock.now())
+    ) -> TakeResponse {
+        self.ledger.handle_take_request(request, self.clock.now())
     }
 
     /// Stops for good: the epoch and all that was held.
     pub fn give_back(&mut self) -> (Epoch, Vec<Right>) {
         let epoch = self.epoch();
-        (epoch, self.ledger.give_all_back(self.clock.now()))
+        (epoch, self.ledger.release_all(self.clock.now()))
     }
 
     /// The VMs to be asked for a confirmation of the configuration, those unheard for longest first.
@@ -160,8 +160,8 @@
         self.readiness.set_settled(self.settling.is_settled(now));
         let actions = self.router.tick(now);
         self.effects.extend(actions.into_iter().map(Effect::from));
-        let mut asks = self.ledger.unanswered(now);
-        asks.extend(self.ledger.rebalance(now));
+        let mut asks = self.ledger.due_resends(now);
+        asks.extend(self.ledger.prefetch(now));
         self.effects
             .extend(asks.into_iter().map(Effect::TakeRights));
         let recent = |at: Millis| now.since(at) < LOADS_KEPT;
--- a/crates/gateway/tests/gateway/support/fake_controller.rs
+++ b/crates/gateway/tests/gateway/support/fake_controller.rs
@@ -1,7 +1,7 @@
 use {
     capnp::Error,
     jasmine_conf::tree::{Edit, EditId, EditLog, Tree, TreeBody},
-    jasmine_core::{ids::Revision, rights::SHARE_WHOLE},
+    jasmine_core::{ids::Revision, rights::FULL_SHARE},
     jasmine_testkit::client::post_json,
     jasmine_wire::{
         convert::{read_peer, read_rights, write_right},
@@ -51,7 +51,7 @@
     pub others: BTreeMap<u32, SocketAddr>,
     /// Whether the epoch has gone on without the gateway.
     pub left_out: bool,
-    /// The part of each account's rights that it grants, of [`SHARE_WHOLE`].
+    /// The part of each account's rights that it grants, of [`FULL_SHARE`].
     pub share: Option<u64>,
 }
 
@@ -198,7 +198,7 @@
         // The first look finds no epoch yet.
         epoch.set_epoch(u64::from(params.get_have() > 0 && !told.left_out));
         epoch.set_newest(1 + u64::from(told.left_out));
-        let share = told.share.unwrap_or(SHARE_WHOLE);
+        let share = told.share.unwrap_or(FULL_SHARE);
         if told.left_out {
             return Ok(());
         }
@@ -207,7 +207,7 @@
             let right = jasmine_core::rights::Right {
                 account: account.id,
                 rate_share: share,
-                room_share: share,
+                burst_share: share,
                 tokens: account.burst * 1000,
             };
             write_right(grants.reborrow().get(i), &right);
--- a/crates/testkit/src/decisions/baseline.rs
+++ b/crates/testkit/src/decisions/baseline.rs
@@ -7,7 +7,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::{AdapterVersion, Fence, UpstreamId},
-        placement::{Instance, rendezvous},
+        placement::{Instance, rendezvous_score},
     },
     std::collections::{BTreeMap, VecDeque},
 };
@@ -124,7 +124,7 @@
 }
 
 fn hashed(adapter: AdapterVersion) -> usize {
-    let score = |engine: &usize| rendezvous(u64::from(adapter.adapter.0), *engine as u64, 1);
+    let score = |engine: &usize| rendezvous_score(u64::from(adapter.adapter.0), *engine as u64, 1);
     (0..ENGINES)
         .max_by(|a, b| score(a).total_cmp(&score(b)))
         .unwrap_or(0)
--- a/crates/testkit/src/decisions/fleet.rs
+++ b/crates/testkit/src/decisions/fleet.rs
@@ -16,8 +16,10 @@
             Report, assign,
         },
         placement::Instance,
-        queue::{self, AccountShare, FairQueue, Priority, QueueSettings, Waiting},
-        rights::{Admission, CallerTag, Right, RightsLedger, RightsSettings, SHARE_WHOLE, part_of},
+        queue::{self, AccountShare, FairQueue, Priority, QueueSettings, QueuedRequest},
+        rights::{
+            Admission, CallerTag, FULL_SHARE, Right, RightsLedger, RightsSettings, scale_by_share,
+        },
         routing::{EngineView, Finish, Router, RouterSettings, SpecKind, UpstreamSpec},
     },
     std::collections::{BTreeMap, VecDeque},
@@ -178,10 +180,11 @@
             let (g, cost) = (arrival.vm, u64::from(arrival.tokens));
             match self.try_admit(world, id) {
                 Admission::Admitted(_) => {}
-                Admission::Ask { .. } => {
+                Admission::NeedsRights { .. } => {
                     let caller = CallerTag(arrival.tag);
                     let ledger = &mut self.gateways[g].ledger;
-                    let refusal = ledger.refuse_after_ask(arrival.account, cost, caller, world.now);
+                    let refusal =
+                        ledger.refuse_with_retry(arrival.account, cost, caller, world.now);
                     world.refuse(id, refusal);
                     continue;
                 }
@@ -191,7 +194,7 @@
                 }
             }
             world.admit(id);
-            let waiting = Waiting {
+            let waiting = QueuedRequest {
                 request: RequestId(id as u64),
                 account: arrival.account,
                 priority: Priority::Normal,
@@ -218,17 +221,19 @@
             .ledger
             .try_admit(account, cost, caller, world.now);
         for _ in 0..ROUNDS {
-            let Admission::Ask { shortfall } = last else {
+            let Admission::NeedsRights { shortfall } = last else {
                 return last;
             };
             let asks = self.gateways[g]
                 .ledger
-                .whom_to_ask(account, shortfall, world.now);
+                .create_take_requests(account, shortfall, world.now);
             for ask in asks {
                 let to = ask.to.vm.0 as usize;
-                let given = self.gateways[to].ledger.give(&ask.request, world.now);
+                let given = self.gateways[to]
+                    .ledger
+                    .handle_take_request(&ask.request, world.now);
                 let ledger = &mut self.gateways[g].ledger;
-                ledger.receive(ask.request.transfer, &given, world.now);
+                ledger.handle_take_response(ask.request.transfer, &given, world.now);
             }
             last = self.gateways[g]
                 .ledger
@@ -360,7 +365,7 @@
     );
     ledger.set_peers((0..VMS).map(holder));
     ledger.enter_epoch(Epoch(1), Millis::ZERO);
-    let share = SHARE_WHOLE / VMS as u64;
+    let share = FULL_SHARE / VMS as u64;
     let mut grants = Vec::new();
     for account in (0..RATES.len() as u32).map(AccountId) {
         queue.set_share(account, AccountShare::default());
@@ -368,8 +373,8 @@
         grants.push(Right {
             account,
             rate_share: share,
-            room_share: share,
-            tokens: part_of(limit(account).burst_milli(), share),
+            burst_share: share,
+            tokens: scale_by_share(limit(account).burst_millitokens(), share),
         });
     }
     ledger.apply_grants(Epoch(1), &grants, Millis::ZERO);
--- a/crates/wire/src/convert/right.rs
+++ b/crates/wire/src/convert/right.rs
@@ -8,7 +8,7 @@
     Right {
         account: AccountId(reader.get_account()),
         rate_share: reader.get_rate_share(),
-        room_share: reader.get_room_share(),
+        burst_share: reader.get_room_share(),
         tokens: reader.get_tokens(),
     }
 }
@@ -25,7 +25,7 @@
 ) {
     builder.set_account(right.account.0);
     builder.set_rate_share(right.rate_share);
-    builder.set_room_share(right.room_share);
+    builder.set_room_share(right.burst_share);
     builder.set_tokens(right.tokens);
 }
 
--- a/crates/wire/src/convert/take.rs
+++ b/crates/wire/src/convert/take.rs
@@ -3,7 +3,7 @@
     crate::jasmine_capnp::rights_holder::{take_rights_params, take_rights_results},
     jasmine_core::{
         ids::{AccountId, Epoch, TransferId},
-        rights::{Given, TakeRequest},
+        rights::{TakeRequest, TakeResponse},
     },
 };
 
@@ -41,8 +41,8 @@
 /// # Errors
 ///
 /// Where the message is damaged.
-pub fn read_given(results: take_rights_results::Reader<'_>) -> Result<Given, capnp::Error> {
-    Ok(Given {
+pub fn read_given(results: take_rights_results::Reader<'_>) -> Result<TakeResponse, capnp::Error> {
+    Ok(TakeResponse {
         epoch: Epoch(results.get_epoch()),
         right: read_right(results.get_right()?),
         spare: results.get_spare(),
@@ -52,7 +52,7 @@
 /// Writes what is given.
 pub fn write_given(
     mut results: take_rights_results::Builder<'_>,
-    given: &Given,
+    given: &TakeResponse,
 ) {
     results.set_epoch(given.epoch.0);
     results.set_spare(given.spare);
