--- a/crates/controller/src/ownership/orders.rs
+++ b/crates/controller/src/ownership/orders.rs
@@ -99,7 +99,7 @@
         fence: Fence,
     ) -> Option<EngineTarget> {
         let now = self.clock.now();
-        if !self.machine.borrow().may_order(upstream, fence, now) {
+        if !self.machine.borrow().can_send_order(upstream, fence, now) {
             return None;
         }
         self.orders.set(self.orders.get() + 1);
--- a/crates/controller/src/ownership/owner_desk.rs
+++ b/crates/controller/src/ownership/owner_desk.rs
@@ -10,7 +10,8 @@
         clock::Millis,
         ids::{Fence, Holder, UpstreamId},
         ownership::{
-            AcquireOutcome, Ask, OwnerAction, OwnerEvent, OwnerMachine, OwnerSettings, Ownership,
+            AcquireOutcome, AcquireRequest, OwnerAction, OwnerEvent, OwnerMachine, OwnerSettings,
+            Ownership,
         },
         placement::Instance,
     },
@@ -168,7 +169,7 @@
             .with("upstream", upstream)
             .with("fence", fence)
             .info();
-        self.handle(OwnerEvent::Gained(Ownership {
+        self.handle(OwnerEvent::OwnershipGained(Ownership {
             upstream,
             fence,
             checks_fencing: target.checks_fencing,
@@ -187,13 +188,13 @@
         if self.engines.borrow_mut().remove(&upstream).is_some() {
             Line::new("engine_lost").with("upstream", upstream).info();
         }
-        self.handle(OwnerEvent::Lost(upstream));
+        self.handle(OwnerEvent::OwnershipLost(upstream));
     }
 
     /// Asks the machine for an adapter version on behalf of a gateway.
     pub async fn acquire(
         self: &Rc<Self>,
-        ask: Ask,
+        ask: AcquireRequest,
     ) -> AcquireOutcome {
         let (tx, rx) = oneshot::channel();
         let limit = ask.wait + REPLY_MARGIN;
@@ -237,7 +238,7 @@
                 self.renewals.borrow_mut().push(upstream);
                 self.renew.raise();
             }
-            OwnerAction::AskBudget(loads) => {
+            OwnerAction::RequestBudget(loads) => {
                 spawn_local(Rc::clone(self).ask_budget(loads));
             }
             OwnerAction::Reply { to, ask, outcome } => {
--- a/crates/controller/src/peers/peer_server.rs
+++ b/crates/controller/src/peers/peer_server.rs
@@ -6,7 +6,7 @@
         ids::{
             AccountId, AdapterId, AdapterVersion, Epoch, Fence, Holder, Revision, Role, UpstreamId,
         },
-        ownership::{self, Ask, OwnerEvent, Poll, Release},
+        ownership::{self, AcquireRequest, OwnerEvent, Poll, Release},
     },
     jasmine_wire::{
         convert::{read_instances, read_peer, read_rights, read_take, write_given, write_instance},
@@ -166,7 +166,7 @@
         mut results: controller::AcquireResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let ask = Ask {
+        let ask = AcquireRequest {
             from: read_peer(params.get_from()?)?,
             ask: params.get_ask(),
             upstream: UpstreamId(params.get_upstream()),
--- a/crates/core/benches/placement.rs
+++ b/crates/core/benches/placement.rs
@@ -13,10 +13,13 @@
             AccountId, AdapterId, AdapterVersion, DataCentreId, Fence, Holder, Incarnation,
             ModelId, Role, UpstreamId, VmId,
         },
-        ownership::{AcquireOutcome, Ask, OwnerEvent, OwnerMachine, OwnerSettings, Ownership},
+        ownership::{
+            AcquireOutcome, AcquireRequest, OwnerEvent, OwnerMachine, OwnerSettings, Ownership,
+        },
         placement::{EngineCandidate, Instance, preferred},
         routing::{
-            EngineView, Finish, Route, Router, RouterSettings, SpecKind, Target, UpstreamSpec,
+            EngineView, RequestOutcome, Route, Router, RouterSettings, Target, UpstreamSpec,
+            UpstreamSpecKind,
         },
     },
     std::{
@@ -114,12 +117,12 @@
         .map(|engine| UpstreamSpec {
             upstream: UpstreamId(engine),
             data_centre: DataCentreId((engine % 21) as u16),
-            kind: SpecKind::Engine {
+            kind: UpstreamSpecKind::Engine {
                 model: model(size, engine),
                 slots: SLOTS,
                 max_batch: 32,
             },
-            leaving: false,
+            is_draining: false,
         })
         .collect();
     router.set_upstreams(&specs);
@@ -140,7 +143,7 @@
             boot: 1,
             resident: resident.collect(),
         };
-        router.observe(view, NOW);
+        router.update_view(view, NOW);
     }
     for number in 0..200 {
         let target = Target::Adapter(model(size, number), adapter(number));
@@ -152,7 +155,7 @@
             };
             let owner = Fence(1);
             let granted = AcquireOutcome::Granted { instance, owner };
-            router.acquired(upstream, adapter(number), ask, granted, NOW);
+            router.handle_acquire_outcome(upstream, adapter(number), ask, granted, NOW);
         }
     }
     router
@@ -173,7 +176,7 @@
             checks_fencing: false,
             slots: SLOTS,
         };
-        owner.handle(OwnerEvent::Gained(own), NOW);
+        owner.handle(OwnerEvent::OwnershipGained(own), NOW);
         for slot in 0..SLOTS {
             for vm in 0..size.gateways.min(17) {
                 acquire(
@@ -196,7 +199,7 @@
     number: u32,
     ask: u64,
 ) {
-    let ask = Ask {
+    let ask = AcquireRequest {
         from: Holder {
             vm: VmId(vm),
             role: Role::Gateway,
@@ -281,7 +284,7 @@
     target: Target,
 ) {
     if let Route::Send { upstream, instance } = router.route(target, Some(9), ACCOUNT, NOW) {
-        router.finished(upstream, instance, Finish::Done, NOW);
+        router.finished(upstream, instance, RequestOutcome::Done, NOW);
     }
 }
 
--- a/crates/core/src/feed/mod.rs
+++ b/crates/core/src/feed/mod.rs
@@ -12,7 +12,7 @@
 mod vm_rank;
 
 pub use {
-    recent_changes::{Change, MAX_MINOR, RecentChanges, Since},
+    recent_changes::{Change, ChangesSince, MAX_MINOR_CHANGES, RecentChanges},
     source_choice::{Source, SourceChoice, SourceFailure},
     vm_rank::VmRank,
 };
--- a/crates/core/src/feed/recent_changes.rs
+++ b/crates/core/src/feed/recent_changes.rs
@@ -4,7 +4,7 @@
 const CHANGE_RETENTION: Millis = Millis(10_000);
 
 /// Maximum number of minor changes in one response, which bounds its size.
-pub const MAX_MINOR: usize = 64;
+pub const MAX_MINOR_CHANGES: usize = 64;
 
 /// A change of one key.
 #[derive(Clone, Debug)]
@@ -12,12 +12,12 @@
     /// The store revision of the change.
     pub revision: u64,
     /// The new state of the key.
-    pub what: T,
+    pub value: T,
 }
 
 /// The changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Since<T> {
+pub enum ChangesSince<T> {
     /// The changes, in order of revision.
     Changes(Vec<T>),
     /// The history since that revision is no longer available.
@@ -66,7 +66,7 @@
     }
 
     /// Records a change; `false` if the same or a later one of the key is known.
-    pub fn note(
+    pub fn record_change(
         &mut self,
         key: &str,
         change: Change<T>,
@@ -123,15 +123,15 @@
 
     /// Returns the keys whose last major change is later than `after`.
     ///
-    /// With `minor_after`, also returns the first [`MAX_MINOR`] other keys with any change later than
+    /// With `minor_after`, also returns the first [`MAX_MINOR_CHANGES`] other keys with any change later than
     /// that revision; old minor changes may be missing.
     pub fn since(
         &self,
         after: u64,
         minor_after: Option<u64>,
-    ) -> Since<T> {
+    ) -> ChangesSince<T> {
         if after < self.complete_after {
-            return Since::Gone;
+            return ChangesSince::Gone;
         }
         let is_major = |known: &KnownChange<T>| known.major_revision > after;
         let is_minor =
@@ -142,11 +142,11 @@
         let mut minor = 0;
         new.retain(|known| {
             minor += usize::from(!is_major(known));
-            is_major(known) || minor <= MAX_MINOR
+            is_major(known) || minor <= MAX_MINOR_CHANGES
         });
-        Since::Changes(
+        ChangesSince::Changes(
             new.into_iter()
-                .map(|known| known.last.what.clone())
+                .map(|known| known.last.value.clone())
                 .collect(),
         )
     }
--- a/crates/core/src/feed/source_choice.rs
+++ b/crates/core/src/feed/source_choice.rs
@@ -67,7 +67,7 @@
     where
         I: IntoIterator<Item = VmRank>,
     {
-        let store_is_good = self.is_store_good(now);
+        let store_is_good = self.is_store_available(now);
         let mut order: Vec<VmRank> = others.into_iter().collect();
         order.push(self.me);
         order.sort_unstable();
@@ -82,7 +82,7 @@
     }
 
     /// Whether the store has not failed recently.
-    pub fn is_store_good(
+    pub fn is_store_available(
         &self,
         now: Millis,
     ) -> bool {
@@ -94,7 +94,7 @@
     /// It reads the store directly unless the store has failed recently. `others` are the VMs that may have
     /// changes, the most likely first. If none of them serves, the store is retried early, so that
     /// configuration changes after an outage are not delayed.
-    pub fn choose_scheduling<I>(
+    pub fn choose_for_scheduler<I>(
         &self,
         others: I,
         now: Millis,
@@ -102,7 +102,7 @@
     where
         I: IntoIterator<Item = VmRank>,
     {
-        if self.is_store_good(now) {
+        if self.is_store_available(now) {
             return Some(Source::Store);
         }
         let serves = others
@@ -129,7 +129,7 @@
     }
 
     /// Records that a VM does not serve yet; the scheduling VM retries it soon.
-    pub fn vm_begins(
+    pub fn vm_starting(
         &mut self,
         vm: VmRank,
         now: Millis,
@@ -164,7 +164,7 @@
     }
 
     /// Records that the store responded.
-    pub const fn store_answered(&mut self) {
+    pub const fn store_responded(&mut self) {
         self.store_failed_until = Millis::ZERO;
     }
 }
--- a/crates/core/src/forward/attempts.rs
+++ b/crates/core/src/forward/attempts.rs
@@ -39,12 +39,12 @@
     }
 
     /// Number of the next attempt, starting at 1.
-    pub const fn next_number(&self) -> u32 {
+    pub const fn next_attempt(&self) -> u32 {
         self.runs + self.not_run + 1
     }
 
     /// Records how an attempt ended and returns whether another one is allowed.
-    pub const fn note(
+    pub const fn record_end(
         &mut self,
         end: AttemptEnd,
     ) -> bool {
--- a/crates/core/src/forward/event.rs
+++ b/crates/core/src/forward/event.rs
@@ -22,7 +22,7 @@
     /// The upstream failed; the request may have run.
     Failed,
     /// The response belongs to another request.
-    Crossed,
+    WrongRequest,
 }
 
 /// An input of a [`super::ForwardMachine`].
@@ -66,7 +66,7 @@
         /// The attempt.
         attempt: Attempt,
         /// Number of generated tokens, if the upstream reported it.
-        made: Option<u64>,
+        generated_tokens: Option<u64>,
     },
     /// The connection was lost, or invalid data arrived.
     Lost {
--- a/crates/core/src/forward/machine.rs
+++ b/crates/core/src/forward/machine.rs
@@ -107,8 +107,11 @@
             Event::Part { attempt, part } if self.is_waiting_for(attempt, State::Receiving) => {
                 self.handle_part(part, now)
             }
-            Event::End { attempt, made } if self.is_waiting_for(attempt, State::Receiving) => {
-                self.handle_end(made, now)
+            Event::End {
+                attempt,
+                generated_tokens,
+            } if self.is_waiting_for(attempt, State::Receiving) => {
+                self.handle_end(generated_tokens, now)
             }
             Event::Lost { attempt } if attempt == self.attempt => self.handle_connection_lost(now),
             Event::CallerSlow => {
@@ -204,11 +207,13 @@
                 self.state = State::Routing;
                 self.refuse(Refusal::new(ErrorKind::BadRequest))
             }
-            (State::Sent, Head::Crossed) if self.plan.repeat == Repeat::Once => {
+            (State::Sent, Head::WrongRequest) if self.plan.repeat == Repeat::Once => {
                 self.refuse(Refusal::new(ErrorKind::UpstreamInvalid))
             }
-            (State::Sent, Head::StreamGone | Head::Failed | Head::Crossed) => self.run_again(),
-            (State::Resuming, Head::Crossed | Head::Busy | Head::Failed) => self.resume_later(now),
+            (State::Sent, Head::StreamGone | Head::Failed | Head::WrongRequest) => self.run_again(),
+            (State::Resuming, Head::WrongRequest | Head::Busy | Head::Failed) => {
+                self.resume_later(now)
+            }
             (State::Resuming, Head::StreamGone | Head::NotLoaded | Head::Rejected) => {
                 self.run_again()
             }
@@ -235,13 +240,17 @@
 
     fn handle_end(
         &mut self,
-        made: Option<u64>,
+        generated_tokens: Option<u64>,
         now: Millis,
     ) -> Vec<Action> {
-        match made {
+        match generated_tokens {
             // Tokens were lost in transit; the engine still has them.
-            Some(made) if made > self.offset() => self.handle_connection_lost(now),
-            Some(made) if made < self.offset() => self.fail(ErrorKind::UpstreamInvalid),
+            Some(generated_tokens) if generated_tokens > self.offset() => {
+                self.handle_connection_lost(now)
+            }
+            Some(generated_tokens) if generated_tokens < self.offset() => {
+                self.fail(ErrorKind::UpstreamInvalid)
+            }
             _ => {
                 self.finish();
                 vec![Action::Finish]
--- a/crates/core/src/forward/plan.rs
+++ b/crates/core/src/forward/plan.rs
@@ -27,7 +27,7 @@
     /// Part by part as it arrives.
     Streamed,
     /// At once when it is complete.
-    Whole,
+    Buffered,
 }
 
 /// Parameters of the forwarding of one request.
@@ -40,9 +40,9 @@
     /// The time at which the request fails if it has not completed.
     pub deadline: Millis,
     /// Maximum wait for the head of a response.
-    pub head_gap: Millis,
+    pub head_timeout: Millis,
     /// Maximum pause between two parts of a response.
-    pub part_gap: Millis,
+    pub part_timeout: Millis,
     /// Maximum number of attempts, and of consecutive resumptions without progress.
     pub max_attempts: u32,
 }
@@ -57,7 +57,7 @@
     ) -> Option<Millis> {
         match self.repeat {
             Repeat::Once => None,
-            Repeat::Idempotent => Some(last_activity + self.head_gap),
+            Repeat::Idempotent => Some(last_activity + self.head_timeout),
         }
     }
 
@@ -70,7 +70,7 @@
     ) -> Option<Millis> {
         match self.repeat {
             Repeat::Once => None,
-            Repeat::Idempotent => Some(last_activity + self.part_gap),
+            Repeat::Idempotent => Some(last_activity + self.part_timeout),
         }
     }
 }
--- a/crates/core/src/forward/recovery.rs
+++ b/crates/core/src/forward/recovery.rs
@@ -94,7 +94,7 @@
             actions.push(Action::Cancel);
         }
         // A streamed response has delivered at most its opening, which is not repeated.
-        if self.plan.delivery == Delivery::Whole {
+        if self.plan.delivery == Delivery::Buffered {
             actions.push(Action::Discard);
             self.delivered = Progress::default();
         }
--- a/crates/core/src/ingress/account.rs
+++ b/crates/core/src/ingress/account.rs
@@ -6,7 +6,7 @@
     /// Tokens, as declared by the caller.
     Tokens {
         /// Tokens charged for a request that declares none.
-        unstated: u64,
+        default_tokens: u64,
     },
     /// Requests.
     Requests,
@@ -32,7 +32,7 @@
         stated: Option<u64>,
     ) -> u64 {
         match self.unit {
-            RateUnit::Tokens { unstated } => stated.unwrap_or(unstated),
+            RateUnit::Tokens { default_tokens } => stated.unwrap_or(default_tokens),
             RateUnit::Requests => 1,
         }
     }
--- a/crates/core/src/ingress/upstream_entry.rs
+++ b/crates/core/src/ingress/upstream_entry.rs
@@ -28,7 +28,7 @@
     /// Whether it takes new work.
     pub state: UpstreamState,
     /// Remaining time of its warm-up after the start, during which it is slow.
-    pub cold: Millis,
+    pub warm_up_remaining: Millis,
     /// When it started, in Unix milliseconds. A later value under the same id means that it has restarted
     /// and lost its state.
     pub started_unix_ms: Option<u64>,
--- a/crates/core/src/membership/epoch_machine.rs
+++ b/crates/core/src/membership/epoch_machine.rs
@@ -66,7 +66,7 @@
             .collect();
         let finalised = finalise(record, view, &dead, self.settings.max_grantees);
         let due = !dead.is_empty()
-            || record_age >= self.settings.refresh
+            || record_age >= self.settings.max_epoch_interval
             || joining(record, view).next().is_some()
             || new_budgets(record, view).any(|budget| has_member_with(record, budget.role));
         if finalised.is_none() && !due {
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -9,7 +9,7 @@
     pub min_epoch_interval: Millis,
     /// Time after which an epoch is opened without a membership change, to recover rights lost in
     /// transfers.
-    pub refresh: Millis,
+    pub max_epoch_interval: Millis,
     /// Extra delay of each controller over the one before it, so that they rarely race.
     pub stagger_delay: Millis,
     /// Maximum number of holders among which a missing right is divided.
@@ -21,7 +21,7 @@
         Self {
             list_lag: Millis::from_secs(10),
             min_epoch_interval: Millis(500),
-            refresh: Millis::from_secs(600),
+            max_epoch_interval: Millis::from_secs(600),
             stagger_delay: Millis(200),
             max_grantees: 8,
         }
--- a/crates/core/src/ownership/action.rs
+++ b/crates/core/src/ownership/action.rs
@@ -51,7 +51,7 @@
     /// Obtain a newer fencing token for the engine, since a name under this one can't be reused.
     RenewFence(UpstreamId),
     /// Request budget for this many more loads from the weight store's rate limit.
-    AskBudget(u32),
+    RequestBudget(u32),
     /// Reply to a gateway's acquire request.
     Reply {
         /// The gateway.
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -30,7 +30,7 @@
 
 /// A gateway's request to acquire an adapter version on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct AcquireRequest {
     /// The gateway.
     pub from: Holder,
     /// Request id; increases with each request of this gateway.
@@ -103,15 +103,15 @@
     /// This controller's lease is confirmed until this time of its own clock.
     LeaseExtended(Millis),
     /// This controller has gained ownership of an engine, or its fencing token was renewed.
-    Gained(Ownership),
+    OwnershipGained(Ownership),
     /// This controller has lost ownership of an engine.
-    Lost(UpstreamId),
+    OwnershipLost(UpstreamId),
     /// The VMs whose gateways may hold grants: all that are not known to have stopped.
     Members(Vec<VmId>),
     /// A gateway has polled.
     Polled(Poll),
     /// A gateway requests an adapter version.
-    Acquire(Ask),
+    Acquire(AcquireRequest),
     /// A gateway has released instances.
     Released(Release),
     /// The engine has accepted (`true`) or refused the fencing token.
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -30,7 +30,9 @@
 pub use {
     action::{AcquireOutcome, OwnerAction},
     assign::{Candidate, assign},
-    event::{Ask, LoadResult, OwnerEvent, Ownership, Poll, Release, Report, UnloadResult},
+    event::{
+        AcquireRequest, LoadResult, OwnerEvent, Ownership, Poll, Release, Report, UnloadResult,
+    },
     owner_machine::OwnerMachine,
     settings::OwnerSettings,
 };
--- a/crates/core/src/ownership/orders.rs
+++ b/crates/core/src/ownership/orders.rs
@@ -141,7 +141,7 @@
         if missing > 0 && self.requested_budget == 0 {
             self.requested_budget = missing;
             self.budget_requested_at = now;
-            out.push(OwnerAction::AskBudget(missing));
+            out.push(OwnerAction::RequestBudget(missing));
         }
     }
 }
--- a/crates/core/src/ownership/owned_engine.rs
+++ b/crates/core/src/ownership/owned_engine.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         engine_copy::{CopyState, EngineCopy},
-        event::{Ask, Ownership},
+        event::{AcquireRequest, Ownership},
         pending_load::{LoadStage, PendingLoad},
         settings::OwnerSettings,
     },
@@ -207,7 +207,7 @@
     /// Retries by a gateway that waits for a load don't count, so that slow loads don't inflate demand.
     pub(super) fn is_new_demand(
         &self,
-        ask: &Ask,
+        ask: &AcquireRequest,
     ) -> bool {
         self.pending_loads
             .get(&ask.adapter)
--- a/crates/core/src/ownership/owner_machine.rs
+++ b/crates/core/src/ownership/owner_machine.rs
@@ -3,7 +3,7 @@
         account_waits::AccountWaits,
         action::{AcquireOutcome, OwnerAction},
         engine_copy::CopyState,
-        event::{Ask, OwnerEvent, Ownership, Poll, Release},
+        event::{AcquireRequest, OwnerEvent, Ownership, Poll, Release},
         owned_engine::OwnedEngine,
         pending_load::{PendingLoad, Waiter},
         settings::OwnerSettings,
@@ -61,7 +61,7 @@
     /// Handles one event and returns the actions to perform.
     ///
     /// `now` must be read right before the call, because orders are checked against the lease with it.
-    /// An order that is not sent immediately must be checked again with [`Self::may_order`].
+    /// An order that is not sent immediately must be checked again with [`Self::can_send_order`].
     pub fn handle(
         &mut self,
         event: OwnerEvent,
@@ -70,8 +70,8 @@
         let mut out = Vec::new();
         match event {
             OwnerEvent::LeaseExtended(until) => self.lease_until = until,
-            OwnerEvent::Gained(ownership) => self.gain_ownership(ownership, now, &mut out),
-            OwnerEvent::Lost(upstream) => self.lose_ownership(upstream, &mut out),
+            OwnerEvent::OwnershipGained(ownership) => self.gain_ownership(ownership, now, &mut out),
+            OwnerEvent::OwnershipLost(upstream) => self.lose_ownership(upstream, &mut out),
             OwnerEvent::Members(vms) => self.set_members(&vms),
             OwnerEvent::Polled(poll) => self.handle_poll(&poll, now),
             OwnerEvent::Acquire(ask) => self.handle_acquire(ask, now, &mut out),
@@ -98,7 +98,7 @@
     }
 
     /// Whether an order for this engine with this fencing token may still be sent.
-    pub fn may_order(
+    pub fn can_send_order(
         &self,
         upstream: UpstreamId,
         fence: Fence,
@@ -306,7 +306,7 @@
 
     fn handle_acquire(
         &mut self,
-        ask: Ask,
+        ask: AcquireRequest,
         now: Millis,
         out: &mut Vec<OwnerAction>,
     ) {
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Route, Router, SpecKind, Target,
+        Route, Router, Target, UpstreamSpecKind,
         adapter_entry::{AdapterEntry, PendingAcquire},
         engine::Engine,
     },
@@ -50,7 +50,7 @@
     ///
     /// A failing upstream looks idle until its breaker trips, so a retry goes to another one unless
     /// there is none.
-    pub fn route_elsewhere(
+    pub fn route_avoiding(
         &mut self,
         avoid: UpstreamId,
         target: Target,
@@ -78,7 +78,7 @@
             });
         };
         let engine = self.engines.get_mut(&upstream).expect("just chosen");
-        let is_engine = matches!(engine.spec.kind, SpecKind::Engine { .. });
+        let is_engine = matches!(engine.spec.kind, UpstreamSpecKind::Engine { .. });
         if is_engine && engine.utilisation() >= self.settings.max_utilisation {
             return Route::Wait(self.settings.max_recheck_delay);
         }
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -1,5 +1,7 @@
 use {
-    super::{EngineView, RouterSettings, SpecKind, UpstreamSpec, circuit_breaker::CircuitBreaker},
+    super::{
+        EngineView, RouterSettings, UpstreamSpec, UpstreamSpecKind, circuit_breaker::CircuitBreaker,
+    },
     crate::{
         clock::Millis,
         ids::{AdapterVersion, Fence},
@@ -52,7 +54,7 @@
         now: Millis,
     ) -> bool {
         let healthy = self.view.as_ref().is_none_or(|view| view.healthy);
-        healthy && !self.spec.leaving && self.breaker.is_closed(now)
+        healthy && !self.spec.is_draining && self.breaker.is_closed(now)
     }
 
     /// Estimated number of its requests: the reported number plus those sent since.
@@ -69,8 +71,8 @@
     /// The load as a multiple of the batch size.
     pub(super) fn utilisation(&self) -> f64 {
         let batch = match self.spec.kind {
-            SpecKind::Engine { max_batch, .. } => max_batch.max(1),
-            SpecKind::Server { .. } => 1,
+            UpstreamSpecKind::Engine { max_batch, .. } => max_batch.max(1),
+            UpstreamSpecKind::Server { .. } => 1,
         };
         f64::from(self.load()) / f64::from(batch)
     }
--- a/crates/core/src/routing/grants.rs
+++ b/crates/core/src/routing/grants.rs
@@ -20,7 +20,7 @@
     ///
     /// A reply to a request that is no longer pending is dropped, since the gateway may have released
     /// the instance in the meantime.
-    pub fn acquired(
+    pub fn handle_acquire_outcome(
         &mut self,
         upstream: UpstreamId,
         adapter: AdapterVersion,
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -17,8 +17,8 @@
 
 pub use {
     engine_view::EngineView,
-    route::{Finish, Route, RouterAction, Target},
+    route::{RequestOutcome, Route, RouterAction, Target},
     router::Router,
     settings::RouterSettings,
-    upstream_spec::{SpecKind, UpstreamSpec},
+    upstream_spec::{UpstreamSpec, UpstreamSpecKind},
 };
--- a/crates/core/src/routing/route.rs
+++ b/crates/core/src/routing/route.rs
@@ -41,7 +41,7 @@
 
 /// How a sent request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finish {
+pub enum RequestOutcome {
     /// The upstream has responded.
     Done,
     /// The upstream was unreachable or the connection was lost.
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EngineView, Finish, RouterAction, RouterSettings, SpecKind, UpstreamSpec,
+        EngineView, RequestOutcome, RouterAction, RouterSettings, UpstreamSpec, UpstreamSpecKind,
         adapter_entry::{AdapterEntry, AvoidReason, AvoidedEngine},
         engine::Engine,
     },
@@ -66,16 +66,16 @@
             engine.spec = spec;
             self.engines.insert(spec.upstream, engine);
             match spec.kind {
-                SpecKind::Engine { model, slots, .. } => {
+                UpstreamSpecKind::Engine { model, slots, .. } => {
                     self.by_model.entry(model).or_default().push(spec.upstream);
                     let slot = EngineCandidate {
                         upstream: spec.upstream,
                         data_centre: spec.data_centre,
-                        weight: if spec.leaving { 0 } else { slots },
+                        weight: if spec.is_draining { 0 } else { slots },
                     };
                     self.slots.entry(model).or_default().push(slot);
                 }
-                SpecKind::Server { service } => {
+                UpstreamSpecKind::Server { service } => {
                     let servers = self.by_service.entry(service).or_default();
                     servers.push(spec.upstream);
                 }
@@ -83,7 +83,7 @@
         }
         // A removed upstream is kept as long as it has requests of this gateway.
         for (upstream, mut engine) in before {
-            engine.spec.leaving = true;
+            engine.spec.is_draining = true;
             if engine.own_in_flight > 0 {
                 self.engines.insert(upstream, engine);
             } else {
@@ -115,7 +115,7 @@
     }
 
     /// Updates an engine's state from its owner's view; views of former owners are ignored.
-    pub fn observe(
+    pub fn update_view(
         &mut self,
         view: EngineView,
         now: Millis,
@@ -134,8 +134,8 @@
         let restarted = last.as_ref().is_some_and(|last| last.boot != view.boot);
         let previously_resident = last.map(|last| last.resident).unwrap_or_default();
         let model = match engine.spec.kind {
-            SpecKind::Engine { model, .. } => model,
-            SpecKind::Server { .. } => ModelId::default(),
+            UpstreamSpecKind::Engine { model, .. } => model,
+            UpstreamSpecKind::Server { .. } => ModelId::default(),
         };
         for gone in previously_resident
             .iter()
@@ -164,7 +164,7 @@
     }
 
     /// Records that an engine's owner has confirmed the last view as current.
-    pub fn unchanged(
+    pub fn confirm_view(
         &mut self,
         upstream: UpstreamId,
     ) {
@@ -174,7 +174,7 @@
     }
 
     /// Whether this engine is configured and no view of it has arrived.
-    pub fn lacks_view(
+    pub fn is_missing_view(
         &self,
         upstream: UpstreamId,
     ) -> bool {
@@ -187,7 +187,7 @@
         &mut self,
         upstream: UpstreamId,
         instance: Option<Instance>,
-        finish: Finish,
+        finish: RequestOutcome,
         now: Millis,
     ) -> Vec<RouterAction> {
         let mut out = Vec::new();
@@ -196,14 +196,14 @@
         };
         engine.own_in_flight = engine.own_in_flight.saturating_sub(1);
         match finish {
-            Finish::Done | Finish::NotLoaded => engine.breaker.record_success(),
-            Finish::Failed => engine.breaker.record_failure(&self.settings, now),
+            RequestOutcome::Done | RequestOutcome::NotLoaded => engine.breaker.record_success(),
+            RequestOutcome::Failed => engine.breaker.record_failure(&self.settings, now),
         }
         let Some(instance) = instance else {
             return out;
         };
         let entry = self.adapters.get_mut(&instance.adapter);
-        if let Some(entry) = entry.filter(|_| finish == Finish::NotLoaded) {
+        if let Some(entry) = entry.filter(|_| finish == RequestOutcome::NotLoaded) {
             // The owner does not know yet that the instance is gone and would grant it again.
             entry.avoided.push(AvoidedEngine {
                 upstream,
@@ -214,7 +214,7 @@
         let key = (instance.adapter, instance.fence);
         if let Some(held) = engine.held.get_mut(&key) {
             held.in_flight = held.in_flight.saturating_sub(1);
-            held.is_recalled |= finish == Finish::NotLoaded;
+            held.is_recalled |= finish == RequestOutcome::NotLoaded;
             if held.is_recalled && held.in_flight == 0 {
                 self.release(instance, &mut out);
             }
@@ -223,7 +223,7 @@
     }
 
     /// The highest fencing token seen for an engine.
-    pub fn seen_of(
+    pub fn seen_fence_of(
         &self,
         upstream: UpstreamId,
     ) -> Option<Fence> {
@@ -231,7 +231,7 @@
     }
 
     /// The highest fencing token seen for each engine.
-    pub fn seen(&self) -> Vec<(UpstreamId, Fence)> {
+    pub fn seen_fences(&self) -> Vec<(UpstreamId, Fence)> {
         self.engines
             .iter()
             .map(|(&upstream, engine)| (upstream, engine.seen_fence))
--- a/crates/core/src/routing/upstream_spec.rs
+++ b/crates/core/src/routing/upstream_spec.rs
@@ -2,7 +2,7 @@
 
 /// The kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpecKind {
+pub enum UpstreamSpecKind {
     /// A model engine.
     Engine {
         /// The base model it runs.
@@ -27,7 +27,7 @@
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Whether it is an engine or a server.
-    pub kind: SpecKind,
+    pub kind: UpstreamSpecKind,
     /// Whether it is draining: it finishes its requests and gets no new ones.
-    pub leaving: bool,
+    pub is_draining: bool,
 }
--- a/crates/core/tests/forward/world.rs
+++ b/crates/core/tests/forward/world.rs
@@ -107,8 +107,8 @@
             repeat,
             delivery,
             deadline: DEADLINE,
-            head_gap: Millis(1_000),
-            part_gap: Millis(1_000),
+            head_timeout: Millis(1_000),
+            part_timeout: Millis(1_000),
             max_attempts: 3,
         };
         let (machine, first) = ForwardMachine::new(plan, Millis(1));
@@ -236,8 +236,14 @@
             n if n == TOKENS + 1 => (TOKENS, PartKind::Finish),
             n if n == TOKENS + 2 => (TOKENS, PartKind::Usage),
             _ => {
-                let made = Some(TOKENS);
-                self.handle_event(Event::End { attempt, made }, Some(index));
+                let generated_tokens = Some(TOKENS);
+                self.handle_event(
+                    Event::End {
+                        attempt,
+                        generated_tokens,
+                    },
+                    Some(index),
+                );
                 return;
             }
         };
@@ -258,8 +264,14 @@
             .get(index)
             .filter(|c| c.has_head && !c.is_closed);
         if let Some(attempt) = connection.map(|connection| connection.attempt) {
-            let made = Some(TOKENS);
-            self.handle_event(Event::End { attempt, made }, Some(index));
+            let generated_tokens = Some(TOKENS);
+            self.handle_event(
+                Event::End {
+                    attempt,
+                    generated_tokens,
+                },
+                Some(index),
+            );
         }
     }
 
@@ -315,10 +327,15 @@
             return;
         }
         let attempt = connection.attempt;
-        let heads = [Head::NotLoaded, Head::Busy, Head::Failed, Head::Crossed];
+        let heads = [
+            Head::NotLoaded,
+            Head::Busy,
+            Head::Failed,
+            Head::WrongRequest,
+        ];
         let head = heads[n as usize % heads.len()];
         connection.is_closed = true;
-        if matches!(head, Head::Failed | Head::Crossed) && connection.run.is_none() {
+        if matches!(head, Head::Failed | Head::WrongRequest) && connection.run.is_none() {
             self.runs.push(Run { is_alive: true });
         }
         self.handle_event(Event::Head { attempt, head }, Some(index));
@@ -376,7 +393,7 @@
             Action::Discard => {
                 assert_eq!(
                     self.plan.delivery,
-                    Delivery::Whole,
+                    Delivery::Buffered,
                     "discards parts that were delivered"
                 );
                 self.delivered_tokens.clear();
--- a/crates/core/tests/forward_orders.rs
+++ b/crates/core/tests/forward_orders.rs
@@ -24,8 +24,8 @@
 
 const KINDS: [(Repeat, Delivery); 3] = [
     (Repeat::Idempotent, Delivery::Streamed),
-    (Repeat::Idempotent, Delivery::Whole),
-    (Repeat::Once, Delivery::Whole),
+    (Repeat::Idempotent, Delivery::Buffered),
+    (Repeat::Once, Delivery::Buffered),
 ];
 
 #[test]
--- a/crates/core/tests/forward_request.rs
+++ b/crates/core/tests/forward_request.rs
@@ -39,8 +39,8 @@
             repeat,
             delivery,
             deadline: Millis(30_000),
-            head_gap: Millis(3_000),
-            part_gap: Millis(2_000),
+            head_timeout: Millis(3_000),
+            part_timeout: Millis(2_000),
             max_attempts: 3,
         };
         let (machine, action) = ForwardMachine::new(plan, self.now);
@@ -97,7 +97,7 @@
                 };
                 let delivery = match delivery {
                     "streamed" => Delivery::Streamed,
-                    _ => Delivery::Whole,
+                    _ => Delivery::Buffered,
                 };
                 return Ok(self.begin(repeat, delivery));
             }
@@ -128,7 +128,7 @@
             },
             "end" => ForwardEvent::End {
                 attempt,
-                made: number(args.take_key("made"))?,
+                generated_tokens: number(args.take_key("made"))?,
             },
             "lost" => ForwardEvent::Lost { attempt },
             "caller-slow" => ForwardEvent::CallerSlow,
@@ -168,7 +168,7 @@
         "rejected" => Head::Rejected,
         "stream-gone" => Head::StreamGone,
         "failed" => Head::Failed,
-        "crossed" => Head::Crossed,
+        "crossed" => Head::WrongRequest,
         name => return Err(format!("unknown head {name}").into()),
     })
 }
--- a/crates/core/tests/ingress_routes.rs
+++ b/crates/core/tests/ingress_routes.rs
@@ -73,29 +73,29 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_runs_once() {
+fn a_non_idempotent_request_runs_at_most_once() {
     // A request that is not idempotent must not be retried once it may have run.
     let mut once = Attempts::new(Repeat::Once, 1);
-    assert!(once.note(AttemptEnd::NotRun));
-    assert!(once.note(AttemptEnd::NotRun));
-    assert!(!once.note(AttemptEnd::MayHaveRun));
+    assert!(once.record_end(AttemptEnd::NotRun));
+    assert!(once.record_end(AttemptEnd::NotRun));
+    assert!(!once.record_end(AttemptEnd::MayHaveRun));
     assert!(once.may_have_run());
     assert!(
-        !once.note(AttemptEnd::NotRun),
+        !once.record_end(AttemptEnd::NotRun),
         "no retry after it may have run"
     );
 }
 
 #[test]
-fn a_route_bounds_the_runs() {
+fn a_route_limits_the_number_of_runs() {
     let mut twice = Attempts::new(Repeat::Idempotent, 2);
-    assert!(twice.note(AttemptEnd::MayHaveRun));
-    assert!(twice.note(AttemptEnd::NotRun));
-    assert_eq!(twice.next_number(), 3);
-    assert!(!twice.note(AttemptEnd::MayHaveRun));
+    assert!(twice.record_end(AttemptEnd::MayHaveRun));
+    assert!(twice.record_end(AttemptEnd::NotRun));
+    assert_eq!(twice.next_attempt(), 3);
+    assert!(!twice.record_end(AttemptEnd::MayHaveRun));
     let mut refused = Attempts::new(Repeat::Idempotent, 2);
     let tries = (0..10)
-        .take_while(|_| refused.note(AttemptEnd::NotRun))
+        .take_while(|_| refused.record_end(AttemptEnd::NotRun))
         .count();
     assert_eq!(tries, 3, "attempts without a run are limited");
 }
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -114,7 +114,7 @@
         upstream: u32,
     ) {
         let engine = self.world.engines.get_mut(&UpstreamId(upstream));
-        engine.expect("known").leaving = true;
+        engine.expect("known").is_draining = true;
         let specs: Vec<_> = self.world.engines.values().map(FakeEngine::spec).collect();
         for gateway in &mut self.world.gateways {
             gateway.router.set_upstreams(&specs);
@@ -238,7 +238,7 @@
 
 /// A new owner must neither reload nor unload instances that gateways still use.
 #[test]
-fn takeover_by_witnesses() {
+fn takeover_keeps_held_instances() {
     script("takeover_keeps_held_instances");
 }
 
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -9,8 +9,8 @@
     ownership::AcquireOutcome,
     placement::Instance,
     routing::{
-        EngineView, Finish, Route, Router, RouterAction, RouterSettings, SpecKind, Target,
-        UpstreamSpec,
+        EngineView, RequestOutcome, Route, Router, RouterAction, RouterSettings, Target,
+        UpstreamSpec, UpstreamSpecKind,
     },
 };
 
@@ -24,8 +24,8 @@
 };
 const NOW: Millis = Millis(50_000);
 
-fn engine() -> SpecKind {
-    SpecKind::Engine {
+fn engine() -> UpstreamSpecKind {
+    UpstreamSpecKind::Engine {
         model: MODEL,
         slots: 4,
         max_batch: 4,
@@ -33,7 +33,7 @@
 }
 
 fn router(
-    kind: SpecKind,
+    kind: UpstreamSpecKind,
     data_centres: &[u16],
 ) -> Router {
     let mut router = Router::new(RouterSettings::new(DataCentreId(0)));
@@ -42,7 +42,7 @@
 }
 
 fn specs(
-    kind: SpecKind,
+    kind: UpstreamSpecKind,
     data_centres: &[u16],
     draining: Option<u32>,
 ) -> Vec<UpstreamSpec> {
@@ -52,7 +52,7 @@
             upstream: UpstreamId(upstream),
             data_centre: DataCentreId(data_centre),
             kind,
-            leaving: draining == Some(upstream),
+            is_draining: draining == Some(upstream),
         })
         .collect()
 }
@@ -97,22 +97,22 @@
     };
     let owner = Fence(1);
     let granted = AcquireOutcome::Granted { instance, owner };
-    router.acquired(upstream, ADAPTER, ask, granted, NOW);
+    router.handle_acquire_outcome(upstream, ADAPTER, ask, granted, NOW);
 }
 
 /// A burst must not go to a single engine because its last report, which lags, showed it idle.
 #[test]
 fn own_in_flight() {
     let mut router = router(engine(), &[0, 0]);
-    router.observe(view(0, 2), NOW);
-    router.observe(view(1, 0), NOW);
+    router.update_view(view(0, 2), NOW);
+    router.update_view(view(1, 0), NOW);
     let to: Vec<_> = (0..4).map(|_| sent(&mut router, BASE, None, NOW)).collect();
     assert_eq!(to[..2], [Some(1), Some(1)]);
     assert_eq!(to[2..].iter().filter(|to| **to == Some(0)).count(), 1);
 }
 
 #[test]
-fn near_first() {
+fn local_engine_is_preferred() {
     let mut router = router(engine(), &[1, 0]);
     assert_eq!(sent(&mut router, BASE, None, NOW), Some(1));
 }
@@ -122,7 +122,12 @@
 fn prefix_affinity() {
     let mut router = router(engine(), &[0, 0, 0]);
     let first = sent(&mut router, BASE, Some(77), NOW);
-    router.finished(UpstreamId(first.unwrap_or(0)), None, Finish::Done, NOW);
+    router.finished(
+        UpstreamId(first.unwrap_or(0)),
+        None,
+        RequestOutcome::Done,
+        NOW,
+    );
     assert_eq!(sent(&mut router, BASE, Some(77), NOW), first);
 }
 
@@ -132,7 +137,7 @@
     let mut router = router(SERVICE_KIND, &[0, 1]);
     for _ in 0..3 {
         assert_eq!(sent(&mut router, SERVICE, None, NOW), Some(0));
-        router.finished(UpstreamId(0), None, Finish::Failed, NOW);
+        router.finished(UpstreamId(0), None, RequestOutcome::Failed, NOW);
     }
     assert_eq!(sent(&mut router, SERVICE, None, NOW), Some(1));
     let later = NOW + Millis(1100);
@@ -144,13 +149,13 @@
     assert_eq!(sent(&mut router, SERVICE, None, later), Some(1));
 }
 
-const SERVICE_KIND: SpecKind = SpecKind::Server {
+const SERVICE_KIND: UpstreamSpecKind = UpstreamSpecKind::Server {
     service: ServiceId(1),
 };
 
 /// Requests must be refused immediately if the only server is draining.
 #[test]
-fn nothing_left() {
+fn draining_server_is_refused() {
     let mut router = router(SERVICE_KIND, &[0]);
     router.set_upstreams(&specs(SERVICE_KIND, &[0], Some(0)));
     let Route::Refuse(refusal) = router.route(SERVICE, None, ACCOUNT, NOW) else {
@@ -162,7 +167,7 @@
 
 /// An adapter whose only copy is busy must get a second copy on another engine.
 #[test]
-fn second_copy() {
+fn busy_adapter_gets_a_second_copy() {
     let mut router = router(engine(), &[0, 0]);
     let target = Target::Adapter(MODEL, ADAPTER);
     let Route::Acquire { upstream, ask } = router.route(target, None, ACCOUNT, NOW) else {
--- a/crates/core/tests/store_feed.rs
+++ b/crates/core/tests/store_feed.rs
@@ -2,7 +2,10 @@
 
 use jasmine_core::{
     clock::Millis,
-    feed::{Change, MAX_MINOR, RecentChanges, Since, Source, SourceChoice, SourceFailure, VmRank},
+    feed::{
+        Change, ChangesSince, MAX_MINOR_CHANGES, RecentChanges, Source, SourceChoice,
+        SourceFailure, VmRank,
+    },
 };
 
 const NOW: Millis = Millis(100_000);
@@ -32,9 +35,9 @@
 ) {
     let change = Change {
         revision,
-        what: revision,
+        value: revision,
     };
-    assert!(recent.note(key, change, is_major, now));
+    assert!(recent.record_change(key, change, is_major, now));
     recent.advance(revision, now);
 }
 
@@ -64,17 +67,17 @@
 }
 
 #[test]
-fn who_leads_reads_the_store() {
+fn the_scheduling_vm_reads_the_store() {
     let ranks = ranks(5);
     let choice = SourceChoice::new(ranks[4]);
     assert_eq!(
-        choice.choose_scheduling(others(&ranks, ranks[4]), NOW),
+        choice.choose_for_scheduler(others(&ranks, ranks[4]), NOW),
         Some(Source::Store)
     );
 }
 
 #[test]
-fn a_vm_that_lost_the_store_is_passed_over() {
+fn a_vm_that_lost_the_store_is_skipped() {
     // A serving VM that has lost the store must not keep changes from VMs that can reach the store.
     let ranks = ranks(5);
     let mut choice = SourceChoice::new(ranks[3]);
@@ -100,57 +103,60 @@
     choice.vm_failed(ranks[1], SourceFailure::Stale, NOW);
     choice.vm_failed(ranks[2], SourceFailure::Stale, NOW);
     assert_eq!(choose(&choice, NOW), Source::Store, "no VM has changes");
-    choice.store_answered();
+    choice.store_responded();
     assert_eq!(choose(&choice, NOW), Source::Store);
 }
 
 #[test]
-fn only_the_last_change_of_a_key_is_told() {
+fn only_the_last_change_of_a_key_is_returned() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
     record(&mut recent, "a", 11, true, NOW);
     record(&mut recent, "b", 12, true, NOW);
     record(&mut recent, "a", 13, true, NOW);
-    assert_eq!(recent.since(10, None), Since::Changes(vec![12, 13]));
-    assert_eq!(recent.since(12, None), Since::Changes(vec![13]));
-    assert_eq!(recent.since(13, None), Since::Changes(vec![]));
+    assert_eq!(recent.since(10, None), ChangesSince::Changes(vec![12, 13]));
+    assert_eq!(recent.since(12, None), ChangesSince::Changes(vec![13]));
+    assert_eq!(recent.since(13, None), ChangesSince::Changes(vec![]));
     let old = Change {
         revision: 12,
-        what: 12,
+        value: 12,
     };
-    assert!(!recent.note("a", old, true, NOW), "a later one is known");
+    assert!(
+        !recent.record_change("a", old, true, NOW),
+        "a later one is known"
+    );
 }
 
 #[test]
-fn minor_changes_wait_until_asked_for() {
+fn minor_changes_are_returned_on_request_only() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
     record(&mut recent, "a", 11, false, NOW);
-    assert_eq!(recent.since(10, None), Since::Changes(vec![]));
-    assert_eq!(recent.since(10, Some(10)), Since::Changes(vec![11]));
+    assert_eq!(recent.since(10, None), ChangesSince::Changes(vec![]));
+    assert_eq!(recent.since(10, Some(10)), ChangesSince::Changes(vec![11]));
 }
 
 #[test]
-fn a_major_change_is_told_with_a_minor_one_after_it() {
+fn a_minor_change_does_not_hide_a_major_one() {
     // A minor change must not hide an earlier major one, such as that an upstream is draining.
     let mut recent = RecentChanges::default();
     recent.reset(10);
     record(&mut recent, "a", 11, true, NOW);
     record(&mut recent, "a", 12, false, NOW);
-    assert_eq!(recent.since(10, None), Since::Changes(vec![12]));
-    assert_eq!(recent.since(11, None), Since::Changes(vec![]));
+    assert_eq!(recent.since(10, None), ChangesSince::Changes(vec![12]));
+    assert_eq!(recent.since(11, None), ChangesSince::Changes(vec![]));
 }
 
 #[test]
-fn what_is_old_is_not_known_any_more() {
+fn expired_history_is_reported_as_missing() {
     // A VM that was paused for long must not take missing history for the absence of changes.
     let mut recent = RecentChanges::default();
     recent.reset(10);
     record(&mut recent, "a", 11, true, NOW);
     record(&mut recent, "b", 12, true, NOW + Millis(11_000));
-    assert_eq!(recent.since(10, None), Since::Gone);
-    assert_eq!(recent.since(9, Some(11)), Since::Gone);
-    assert_eq!(recent.since(11, None), Since::Changes(vec![12]));
+    assert_eq!(recent.since(10, None), ChangesSince::Gone);
+    assert_eq!(recent.since(9, Some(11)), ChangesSince::Gone);
+    assert_eq!(recent.since(11, None), ChangesSince::Changes(vec![12]));
 }
 
 #[test]
@@ -163,7 +169,7 @@
     let mut asked_at = Vec::new();
     let mut now = NOW;
     while now < NOW + Millis(6_000) {
-        match choice.choose_scheduling(others.iter().copied(), now) {
+        match choice.choose_for_scheduler(others.iter().copied(), now) {
             Some(Source::Store) => {
                 asked_at.push(now);
                 now += Millis(300);
@@ -184,23 +190,26 @@
     // that starts reading sooner than the store.
     let other = VmRank::new("other", false);
     let mut choice = SourceChoice::new(VmRank::new("me", false));
-    assert_eq!(choice.choose_scheduling([other], NOW), Some(Source::Store));
+    assert_eq!(
+        choice.choose_for_scheduler([other], NOW),
+        Some(Source::Store)
+    );
     choice.store_failed(NOW);
     assert_eq!(
-        choice.choose_scheduling([other], NOW),
+        choice.choose_for_scheduler([other], NOW),
         Some(Source::Vm(other))
     );
-    choice.vm_begins(other, NOW);
-    assert_eq!(choice.choose_scheduling([other], NOW + Millis(60)), None);
+    choice.vm_starting(other, NOW);
+    assert_eq!(choice.choose_for_scheduler([other], NOW + Millis(60)), None);
     assert_eq!(
-        choice.choose_scheduling([other], NOW + Millis(150)),
+        choice.choose_for_scheduler([other], NOW + Millis(150)),
         Some(Source::Vm(other))
     );
 }
 
 /// Guards against a response of unbounded size when thousands of upstreams change at once.
 #[test]
-fn minor_changes_come_in_parts() {
+fn minor_changes_per_response_are_limited() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
     for number in 0..3_000 {
@@ -216,7 +225,7 @@
     let mut minor = 10;
     let mut received = 0;
     while received < 3_000 {
-        let Since::Changes(changes) = recent.since(10, Some(minor)) else {
+        let ChangesSince::Changes(changes) = recent.since(10, Some(minor)) else {
             panic!("recent changes must be known");
         };
         assert_eq!(
@@ -224,7 +233,7 @@
             Some(&4_000),
             "the major change must be included"
         );
-        assert!(changes.len() <= MAX_MINOR + 1);
+        assert!(changes.len() <= MAX_MINOR_CHANGES + 1);
         received += changes.len() - 1;
         minor = changes[changes.len() - 2];
     }
@@ -233,11 +242,11 @@
 
 /// Guards against a full read of the store because expired minor changes are missing.
 #[test]
-fn old_minor_changes_are_done_without() {
+fn expired_minor_changes_do_not_force_a_full_read() {
     let mut recent = RecentChanges::default();
     recent.reset(10);
     record(&mut recent, "a", 11, false, NOW);
     record(&mut recent, "b", 12, false, NOW + Millis(11_000));
-    assert_eq!(recent.since(10, None), Since::Changes(vec![]));
-    assert_eq!(recent.since(10, Some(10)), Since::Changes(vec![12]));
+    assert_eq!(recent.since(10, None), ChangesSince::Changes(vec![]));
+    assert_eq!(recent.since(10, Some(10)), ChangesSince::Changes(vec![12]));
 }
--- a/crates/core/tests/support/lifecycle.rs
+++ b/crates/core/tests/support/lifecycle.rs
@@ -35,7 +35,7 @@
         };
         let settings = MembershipSettings {
             list_lag: MAX_LIST_LAG,
-            refresh: Millis::from_secs(30),
+            max_epoch_interval: Millis::from_secs(30),
             ..MembershipSettings::default()
         };
         let started = Vm {
--- a/crates/core/tests/world/deliver.rs
+++ b/crates/core/tests/world/deliver.rs
@@ -4,7 +4,7 @@
         ids::{Holder, UpstreamId},
         ownership::{OwnerAction, OwnerEvent},
         placement::Instance,
-        routing::{EngineView, Finish},
+        routing::{EngineView, RequestOutcome},
     },
 };
 
@@ -36,7 +36,7 @@
             Message::PollReply { to, views, recalls } => {
                 for view in views {
                     if let Some(g) = self.gateway(to) {
-                        let actions = self.gateways[g].router.observe(view, self.now);
+                        let actions = self.gateways[g].router.update_view(view, self.now);
                         self.perform_actions(g, actions);
                     }
                 }
@@ -150,7 +150,7 @@
         let engine = self.engines.get_mut(&instance.upstream).expect("known");
         let Some(work) = engine.loaded.get_mut(&instance) else {
             self.trace_line(format!("{} not loaded", instance.name()));
-            let finish = Finish::NotLoaded;
+            let finish = RequestOutcome::NotLoaded;
             let response = Message::Response {
                 to: from,
                 instance,
@@ -175,7 +175,7 @@
                     self.faults
                         .push(format!("{} ran on {}", request.adapter, instance.name()));
                 }
-                let finish = Finish::Done;
+                let finish = RequestOutcome::Done;
                 self.net.push(Message::Response {
                     to,
                     instance,
@@ -190,7 +190,7 @@
         &mut self,
         to: Holder,
         instance: Instance,
-        finish: Finish,
+        finish: RequestOutcome,
         request: Request,
     ) {
         let Some(g) = self.gateway(to) else {
@@ -208,9 +208,9 @@
         let router = &mut self.gateways[g].router;
         let actions = router.finished(upstream, Some(instance), finish, self.now);
         match finish {
-            Finish::Done => self.served += 1,
-            Finish::NotLoaded => self.gateways[g].waiting.push(request),
-            Finish::Failed => self.refused += 1,
+            RequestOutcome::Done => self.served += 1,
+            RequestOutcome::NotLoaded => self.gateways[g].waiting.push(request),
+            RequestOutcome::Failed => self.refused += 1,
         }
         self.perform_actions(g, actions);
         self.route_waiting(g);
--- a/crates/core/tests/world/engine.rs
+++ b/crates/core/tests/world/engine.rs
@@ -4,7 +4,7 @@
         ids::{AdapterVersion, DataCentreId, Fence, Holder, UpstreamId},
         ownership::{LoadResult, UnloadResult},
         placement::Instance,
-        routing::{SpecKind, UpstreamSpec},
+        routing::{UpstreamSpec, UpstreamSpecKind},
     },
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -19,7 +19,7 @@
     pub boot: u64,
     pub loaded: BTreeMap<Instance, Vec<(Holder, Request)>>,
     pub failing: BTreeSet<AdapterVersion>,
-    pub leaving: bool,
+    pub is_draining: bool,
 }
 
 impl FakeEngine {
@@ -36,7 +36,7 @@
             boot: 1,
             loaded: BTreeMap::new(),
             failing: BTreeSet::new(),
-            leaving: false,
+            is_draining: false,
         }
     }
 
@@ -44,12 +44,12 @@
         UpstreamSpec {
             upstream: self.upstream,
             data_centre: DataCentreId(0),
-            kind: SpecKind::Engine {
+            kind: UpstreamSpecKind::Engine {
                 model: MODEL,
                 slots: self.slots,
                 max_batch: 4,
             },
-            leaving: self.leaving,
+            is_draining: self.is_draining,
         }
     }
 
--- a/crates/core/tests/world/faults.rs
+++ b/crates/core/tests/world/faults.rs
@@ -4,7 +4,7 @@
         clock::Millis,
         ids::UpstreamId,
         ownership::{LoadResult, OwnerAction, OwnerEvent, OwnerMachine, UnloadResult},
-        routing::Finish,
+        routing::RequestOutcome,
     },
 };
 
@@ -32,7 +32,7 @@
                 request,
                 ..
             } => {
-                let finish = Finish::Failed;
+                let finish = RequestOutcome::Failed;
                 let end = Message::Response {
                     to: from,
                     instance,
@@ -62,7 +62,7 @@
         engine.boot += 1;
         for (instance, work) in std::mem::take(&mut engine.loaded) {
             for (to, request) in work {
-                let finish = Finish::Failed;
+                let finish = RequestOutcome::Failed;
                 self.net.push(Message::Response {
                     to,
                     instance,
@@ -122,7 +122,7 @@
             let n = self.controllers.len();
             if let Some(next) = (1..=n).map(|step| (c + step) % n).find(live) {
                 // The former owner learns from the store that it has lost the engine.
-                self.handle_event(c, OwnerEvent::Lost(upstream));
+                self.handle_event(c, OwnerEvent::OwnershipLost(upstream));
                 self.assign_owner(upstream, next);
                 self.trace_line(format!("c{next} owns {upstream}"));
             }
--- a/crates/core/tests/world/gateways.rs
+++ b/crates/core/tests/world/gateways.rs
@@ -3,7 +3,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{AccountId, AdapterVersion, UpstreamId},
-        ownership::{AcquireOutcome, Ask, OwnerEvent, Poll, Release},
+        ownership::{AcquireOutcome, AcquireRequest, OwnerEvent, Poll, Release},
         routing::{Route, RouterAction, Target},
     },
 };
@@ -81,7 +81,7 @@
             self.handle_acquire_reply(g, ask, AcquireOutcome::NotOwner);
             return;
         };
-        let ask = Ask {
+        let ask = AcquireRequest {
             from,
             ask,
             upstream,
@@ -102,7 +102,7 @@
         let (upstream, adapter) = gateway.acquires[&ask];
         gateway
             .router
-            .acquired(upstream, adapter, ask, outcome, self.now);
+            .handle_acquire_outcome(upstream, adapter, ask, outcome, self.now);
     }
 
     pub fn perform_actions(
@@ -157,7 +157,7 @@
         }
         let poll = Poll {
             from: self.holder(g),
-            seen: self.gateways[g].router.seen(),
+            seen: self.gateways[g].router.seen_fences(),
             held: self.gateways[g].router.held(),
         };
         for c in 0..self.controllers.len() {
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -174,7 +174,7 @@
             checks_fencing: engine.checks_fencing,
             slots: engine.slots,
         };
-        self.handle_event(c, OwnerEvent::Gained(own));
+        self.handle_event(c, OwnerEvent::OwnershipGained(own));
     }
 
     pub fn renew_lease(
@@ -201,7 +201,7 @@
         let asked: u32 = actions
             .iter()
             .map(|action| match action {
-                OwnerAction::AskBudget(loads) => *loads,
+                OwnerAction::RequestBudget(loads) => *loads,
                 _ => 0,
             })
             .sum();
@@ -241,7 +241,7 @@
             OwnerAction::OrderLoad { .. }
             | OwnerAction::OrderUnload { .. }
             | OwnerAction::RaiseFence { .. } => self.net.push(Message::Order(c, action)),
-            OwnerAction::AskBudget(_) => {}
+            OwnerAction::RequestBudget(_) => {}
             OwnerAction::RenewFence(upstream) => {
                 if self
                     .owners
--- a/crates/core/tests/world/net.rs
+++ b/crates/core/tests/world/net.rs
@@ -4,7 +4,7 @@
         ids::Holder,
         ownership::{AcquireOutcome, OwnerAction, OwnerEvent},
         placement::Instance,
-        routing::{EngineView, Finish},
+        routing::{EngineView, RequestOutcome},
     },
 };
 
@@ -32,7 +32,7 @@
     Response {
         to: Holder,
         instance: Instance,
-        finish: Finish,
+        finish: RequestOutcome,
         request: Request,
     },
 }
--- a/crates/entry/examples/scheduler_calls.rs
+++ b/crates/entry/examples/scheduler_calls.rs
@@ -161,7 +161,7 @@
         data_centre: "one".to_owned(),
         slots: 1_000,
         state: UpstreamState::Ready,
-        cold: Millis::ZERO,
+        warm_up_remaining: Millis::ZERO,
         started_unix_ms: Some(1),
         holdings: None,
     }
--- a/crates/entry/src/forward/driver.rs
+++ b/crates/entry/src/forward/driver.rs
@@ -100,7 +100,7 @@
             Line::new("request_sent")
                 .with("id", self.id())
                 .with("upstream", &placement.upstream)
-                .with("attempt", self.attempts.next_number())
+                .with("attempt", self.attempts.next_attempt())
                 .with("version", placement.version.unwrap_or_default())
                 .with("waited_ms", self.waited)
                 .with("waited_for", self.waited_for.as_str())
@@ -126,7 +126,7 @@
     /// leave its caller without a word, while another VM has the time to serve it.
     async fn place(&self) -> Result<Placement, Unplaced> {
         let now = self.cx.clock.now();
-        let number = self.attempts.next_number();
+        let number = self.attempts.next_attempt();
         let data_centre = &self.cx.settings.data_centre;
         let job = self.req.job(number, &self.avoid, data_centre, now);
         let left = self.req.deadline.since(now);
@@ -219,7 +219,7 @@
     ) -> Step {
         placement.end(failure.outcome);
         self.cx.metrics.attempt(failure.outcome);
-        let may_go_on = self.attempts.note(failure.end);
+        let may_go_on = self.attempts.record_end(failure.end);
         Line::new("attempt_failed")
             .with("id", self.id())
             .with("upstream", &placement.upstream)
@@ -269,7 +269,7 @@
             .with("kind", refusal.kind)
             .with("retry_after_ms", refusal.retry_after.map_or(0, |ms| ms.0))
             .with("decided_by", self.cx.scheduling.decider())
-            .with("attempts", self.attempts.next_number() - 1)
+            .with("attempts", self.attempts.next_attempt() - 1)
             .with("config", self.req.config_version)
             .with("waited_ms", self.waited)
             .with("waited_for", self.waited_for.as_str())
@@ -321,7 +321,7 @@
             .with("cost", self.req.cost)
             .with("adapter", self.req.caller.adapter.as_deref().unwrap_or("-"))
             .with("upstream", self.upstream.as_deref().unwrap_or("-"))
-            .with("attempts", self.attempts.next_number())
+            .with("attempts", self.attempts.next_attempt())
             .with("config", self.req.config_version)
             .with("waited_ms", self.waited)
             .with("waited_for", self.waited_for.as_str())
--- a/crates/entry/src/scheduling/facts.rs
+++ b/crates/entry/src/scheduling/facts.rs
@@ -38,7 +38,7 @@
         data_centre: Some(names.data_centre(&entry.data_centre)),
         slots: entry.slots,
         is_ready: entry.state == UpstreamState::Ready,
-        cold: entry.cold,
+        cold: entry.warm_up_remaining,
         started: entry.started_unix_ms,
         engine: entry
             .holdings
--- a/crates/entry/src/store/feed/served.rs
+++ b/crates/entry/src/store/feed/served.rs
@@ -3,7 +3,7 @@
     crate::clock::Clock,
     jasmine_core::{
         clock::Millis,
-        feed::{Change, RecentChanges, Since, SourceFailure},
+        feed::{Change, ChangesSince, RecentChanges, SourceFailure},
     },
     jasmine_store::store::WatchEvent,
     std::cell::{Cell, RefCell},
@@ -77,7 +77,7 @@
     }
 
     /// Notes a change; false where a later one of its key is known.
-    pub(crate) fn note(
+    pub(crate) fn record_change(
         &self,
         event: &WatchEvent,
         is_major: bool,
@@ -85,12 +85,12 @@
         let (WatchEvent::Put(kv) | WatchEvent::Delete(kv)) = event;
         let change = Change {
             revision: kv.mod_revision,
-            what: event.clone(),
+            value: event.clone(),
         };
         let now = self.clock.now();
         self.recent
             .borrow_mut()
-            .note(&kv.key, change, is_major, now)
+            .record_change(&kv.key, change, is_major, now)
     }
 
     /// Whether a change of a key was noted lately.
@@ -213,9 +213,9 @@
         }
         let recent = self.recent.borrow();
         match recent.since(after, minor_after) {
-            Since::Gone => Some(FeedAnswer::Unknown(SourceFailure::HistoryGone)),
-            Since::Changes(events) if events.is_empty() && now < until => None,
-            Since::Changes(events) => Some(FeedAnswer::Changes {
+            ChangesSince::Gone => Some(FeedAnswer::Unknown(SourceFailure::HistoryGone)),
+            ChangesSince::Changes(events) if events.is_empty() && now < until => None,
+            ChangesSince::Changes(events) => Some(FeedAnswer::Changes {
                 revision: recent.revision(),
                 since_back: self.since_back(now),
                 events,
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -4,7 +4,7 @@
     futures::StreamExt,
     jasmine_core::{
         clock::Millis,
-        feed::{MAX_MINOR, Source, SourceChoice, SourceFailure, VmRank},
+        feed::{MAX_MINOR_CHANGES, Source, SourceChoice, SourceFailure, VmRank},
     },
     jasmine_platform::entries,
     jasmine_store::store::{Range, RangeReply, Store, StoreError, WatchBatch, WatchEvent},
@@ -188,7 +188,7 @@
                 // between data centres.
                 let elsewhere = self.membership.readers_elsewhere();
                 let order = elsewhere.keys().chain(peers.keys());
-                let source = self.choice.choose_scheduling(order.copied(), now);
+                let source = self.choice.choose_for_scheduler(order.copied(), now);
                 peers.extend(elsewhere);
                 source
             } else {
@@ -224,7 +224,7 @@
         };
         match batch {
             Ok(batch) => {
-                self.choice.store_answered();
+                self.choice.store_responded();
                 self.backoff.reset();
                 self.view.note_back();
                 self.take_batch(&batch).await
@@ -316,9 +316,9 @@
             .with("revision", self.position.after)
             .info();
         let now = self.cx.clock.now();
-        let is_urgent = self.cx.scheduling.is_leading() && !self.choice.is_store_good(now);
+        let is_urgent = self.cx.scheduling.is_leading() && !self.choice.is_store_available(now);
         match why {
-            SourceFailure::NotReading if is_urgent => self.choice.vm_begins(rank, now),
+            SourceFailure::NotReading if is_urgent => self.choice.vm_starting(rank, now),
             _ => self.choice.vm_failed(rank, why, now),
         }
     }
@@ -365,7 +365,7 @@
     events: &[WatchEvent],
 ) -> u64 {
     match events.last() {
-        Some(WatchEvent::Put(kv) | WatchEvent::Delete(kv)) if events.len() >= MAX_MINOR => {
+        Some(WatchEvent::Put(kv) | WatchEvent::Delete(kv)) if events.len() >= MAX_MINOR_CHANGES => {
             kv.mod_revision
         }
         _ => revision,
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -131,7 +131,7 @@
     ) {
         for kvs in page.kvs.chunks(TAKEN_AT_ONCE) {
             for kv in kvs {
-                if self.feed.note(&WatchEvent::Put(kv.clone()), false) {
+                if self.feed.record_change(&WatchEvent::Put(kv.clone()), false) {
                     self.put(kv, Announcement::Found);
                 }
             }
@@ -196,10 +196,10 @@
         match event {
             WatchEvent::Put(kv) => match kv.key.strip_prefix(entries::PREFIX) {
                 Some(id) => self.take_upstream(id, kv, event),
-                None if self.feed.note(event, true) => self.put(kv, Announcement::New),
+                None if self.feed.record_change(event, true) => self.put(kv, Announcement::New),
                 None => {}
             },
-            WatchEvent::Delete(kv) if self.feed.note(event, true) => self.delete(&kv.key),
+            WatchEvent::Delete(kv) if self.feed.record_change(event, true) => self.delete(&kv.key),
             WatchEvent::Delete(_) => {}
         }
     }
@@ -220,12 +220,12 @@
                         && known.service == entry.service
                         && known.started_unix_ms == entry.started_unix_ms
                 });
-                if self.feed.note(event, is_major) {
+                if self.feed.record_change(event, is_major) {
                     self.put_upstream(entry, Announcement::New);
                 }
             }
             Err(e) => {
-                self.feed.note(event, true);
+                self.feed.record_change(event, true);
                 unreadable(&kv.key, &e);
             }
         }
--- a/crates/entry/tests/lead_changes.rs
+++ b/crates/entry/tests/lead_changes.rs
@@ -82,7 +82,7 @@
         data_centre: "one".to_owned(),
         slots: 4,
         state: UpstreamState::Ready,
-        cold: Millis::ZERO,
+        warm_up_remaining: Millis::ZERO,
         started_unix_ms: Some(1),
         holdings: None,
     }
--- a/crates/entry/tests/no_leader.rs
+++ b/crates/entry/tests/no_leader.rs
@@ -51,7 +51,7 @@
         data_centre: "one".to_owned(),
         slots: 6,
         state: UpstreamState::Ready,
-        cold: Millis::ZERO,
+        warm_up_remaining: Millis::ZERO,
         started_unix_ms: Some(1),
         holdings: None,
     });
--- a/crates/gateway/src/brain/configuration.rs
+++ b/crates/gateway/src/brain/configuration.rs
@@ -14,7 +14,7 @@
         placement::Instance,
         queue::AccountShare,
         rights::{Limit, Right},
-        routing::{EngineView, SpecKind, UpstreamSpec},
+        routing::{EngineView, UpstreamSpec, UpstreamSpecKind},
     },
     jasmine_telemetry::log::Line,
     std::{
@@ -260,11 +260,11 @@
     ) {
         let now = self.clock.now();
         for upstream in self.members.owned_by(of) {
-            self.router.unchanged(upstream);
+            self.router.confirm_view(upstream);
         }
         let observed = engines
             .into_iter()
-            .flat_map(|view| self.router.observe(view, now))
+            .flat_map(|view| self.router.update_view(view, now))
             .collect::<Vec<_>>();
         self.effects.extend(observed.into_iter().map(Effect::from));
         for instance in recalls {
@@ -275,7 +275,7 @@
     }
 
     /// Takes in an owner's answer about an adapter.
-    pub fn acquired(
+    pub fn handle_acquire_outcome(
         &mut self,
         upstream: UpstreamId,
         adapter: jasmine_core::ids::AdapterVersion,
@@ -283,7 +283,8 @@
         outcome: AcquireOutcome,
     ) {
         let now = self.clock.now();
-        self.router.acquired(upstream, adapter, ask, outcome, now);
+        self.router
+            .handle_acquire_outcome(upstream, adapter, ask, outcome, now);
         if let (AcquireOutcome::Granted { .. }, Some(load)) =
             (outcome, self.loads.get_mut(&adapter))
         {
@@ -319,14 +320,14 @@
                     slots,
                     max_batch,
                     ..
-                } => SpecKind::Engine {
+                } => UpstreamSpecKind::Engine {
                     model,
                     slots,
                     max_batch,
                 },
-                UpstreamKind::Server { service } => SpecKind::Server { service },
+                UpstreamKind::Server { service } => UpstreamSpecKind::Server { service },
             },
-            leaving: upstream.state == UpstreamState::Leaving,
+            is_draining: upstream.state == UpstreamState::Leaving,
         })
         .collect()
 }
--- a/crates/gateway/src/brain/core.rs
+++ b/crates/gateway/src/brain/core.rs
@@ -107,7 +107,7 @@
                         .unwrap_or(AcquireOutcome::NotOwner),
                     None => AcquireOutcome::NotOwner,
                 };
-                self.decide(|state| state.acquired(upstream, adapter, ask, outcome));
+                self.decide(|state| state.handle_acquire_outcome(upstream, adapter, ask, outcome));
             }
             Effect::Release {
                 instance,
--- a/crates/gateway/src/brain/dispatch.rs
+++ b/crates/gateway/src/brain/dispatch.rs
@@ -9,7 +9,7 @@
         forward::RouteCause,
         ids::{RequestId, UpstreamId},
         placement::Instance,
-        routing::{Finish, Route, Target},
+        routing::{RequestOutcome, Route, Target},
     },
     std::collections::HashMap,
     tokio::sync::oneshot,
@@ -72,7 +72,7 @@
             let account = admission.account;
             let (target, prefix) = (admission.target, admission.prefix);
             let route = match running.avoid {
-                Some(avoid) => router.route_elsewhere(avoid, target, prefix, account, now),
+                Some(avoid) => router.route_avoiding(avoid, target, prefix, account, now),
                 None => router.route(target, prefix, account, now),
             };
             match route {
@@ -117,7 +117,8 @@
     ) {
         let batch = self.router.in_flight(upstream);
         let Some(running) = self.running.get_mut(&request) else {
-            self.router.finished(upstream, instance, Finish::Done, now);
+            self.router
+                .finished(upstream, instance, RequestOutcome::Done, now);
             return;
         };
         let target = running.admission.target;
@@ -138,7 +139,9 @@
             // The caller has gone, or the configuration has lost what the request is for.
             _ => {
                 running.stage = Stage::Idle;
-                let actions = self.router.finished(upstream, instance, Finish::Done, now);
+                let actions = self
+                    .router
+                    .finished(upstream, instance, RequestOutcome::Done, now);
                 self.effects.extend(actions.into_iter().map(Effect::from));
                 self.refuse(request, Refusal::new(ErrorKind::NoUpstream));
             }
@@ -153,9 +156,9 @@
     ) {
         let now = self.clock.now();
         let finish = if again.not_loaded {
-            Finish::NotLoaded
+            RequestOutcome::NotLoaded
         } else {
-            Finish::Failed
+            RequestOutcome::Failed
         };
         let left = self.leave_upstream(again.request, finish, now);
         let Some(running) = self.running.get_mut(&again.request) else {
@@ -188,8 +191,8 @@
     ) {
         let now = self.clock.now();
         let finish = match finished.outcome {
-            Outcome::Answered | Outcome::Stopped => Finish::Done,
-            Outcome::Failed => Finish::Failed,
+            Outcome::Answered | Outcome::Stopped => RequestOutcome::Done,
+            Outcome::Failed => RequestOutcome::Failed,
         };
         self.leave_upstream(finished.request, finish, now);
         self.queue.cancel(finished.request, now);
@@ -208,7 +211,7 @@
     fn leave_upstream(
         &mut self,
         request: RequestId,
-        finish: Finish,
+        finish: RequestOutcome,
         now: Millis,
     ) -> Option<UpstreamId> {
         let running = self.running.get_mut(&request)?;
--- a/crates/gateway/src/brain/polls.rs
+++ b/crates/gateway/src/brain/polls.rs
@@ -195,10 +195,12 @@
         let (seen, held) = {
             let state = core.state.borrow();
             let named = engines_of(&state, vm, &mut told);
-            let lacks_view = named.keys().any(|&named| state.router.lacks_view(named));
+            let is_missing_view = named
+                .keys()
+                .any(|&named| state.router.is_missing_view(named));
             // An owner tells each change once. What came before the configuration that lists the
             // engine was of no use then and is asked for again.
-            if lacks_view && all_asked.elapsed() >= ALL_AGAIN.to_std() {
+            if is_missing_view && all_asked.elapsed() >= ALL_AGAIN.to_std() {
                 have = 0;
             }
             let mut held = state.router.held();
@@ -235,9 +237,9 @@
     vm: VmId,
     told: &mut BTreeMap<UpstreamId, Fence>,
 ) -> BTreeMap<UpstreamId, Fence> {
-    told.retain(|&upstream, fence| state.router.seen_of(upstream) <= Some(*fence));
+    told.retain(|&upstream, fence| state.router.seen_fence_of(upstream) <= Some(*fence));
     let upstreams = state.members.owned_by(vm).chain(told.keys().copied());
     upstreams
-        .filter_map(|upstream| Some((upstream, state.router.seen_of(upstream)?)))
+        .filter_map(|upstream| Some((upstream, state.router.seen_fence_of(upstream)?)))
         .collect()
 }
--- a/crates/gateway/src/forward/driver.rs
+++ b/crates/gateway/src/forward/driver.rs
@@ -188,13 +188,13 @@
             Heard::Read(Read::Chunk(chunk)) => self.note_chunk(chunk),
             Heard::Read(Read::Done) => Event::End {
                 attempt,
-                made: self.usage.map(|usage| usage.completion_tokens),
+                generated_tokens: self.usage.map(|usage| usage.completion_tokens),
             },
             Heard::Collected(Some(answer)) => {
                 self.whole = Some(answer);
                 Event::End {
                     attempt,
-                    made: None,
+                    generated_tokens: None,
                 }
             }
         }
--- a/crates/gateway/src/forward/reading.rs
+++ b/crates/gateway/src/forward/reading.rs
@@ -113,8 +113,8 @@
     let right_weights = header("x-adapter") == expected.weights;
     let stream = Some(header("x-stream").to_owned()).filter(|name| is_stream_name(name));
     let head = match response.status().as_u16() {
-        200 if !ours || !right_weights => Head::Crossed,
-        _ if !ours && !echoed.is_empty() => Head::Crossed,
+        200 if !ours || !right_weights => Head::WrongRequest,
+        _ if !ours && !echoed.is_empty() => Head::WrongRequest,
         200 => Head::Accepted {
             resumable: stream.is_some(),
         },
@@ -135,7 +135,7 @@
     expected: &Expected,
 ) -> Head {
     match response.headers().get("x-request-id") {
-        Some(echoed) if echoed.as_bytes() != expected.request_id.as_bytes() => Head::Crossed,
+        Some(echoed) if echoed.as_bytes() != expected.request_id.as_bytes() => Head::WrongRequest,
         _ if expected.method != Method::HEAD && !marks_its_end(response) => Head::Failed,
         _ => Head::Accepted { resumable: false },
     }
--- a/crates/gateway/src/http/plan.rs
+++ b/crates/gateway/src/http/plan.rs
@@ -26,11 +26,11 @@
         delivery: if stream {
             Delivery::Streamed
         } else {
-            Delivery::Whole
+            Delivery::Buffered
         },
         deadline,
-        head_gap: ENGINE_HEAD,
-        part_gap: ENGINE_PART,
+        head_timeout: ENGINE_HEAD,
+        part_timeout: ENGINE_PART,
         max_attempts: MAX_ATTEMPTS,
     }
 }
@@ -52,10 +52,10 @@
         } else {
             Repeat::Once
         },
-        delivery: Delivery::Whole,
+        delivery: Delivery::Buffered,
         deadline,
-        head_gap: wait,
-        part_gap: wait,
+        head_timeout: wait,
+        part_timeout: wait,
         max_attempts: MAX_ATTEMPTS,
     }
 }
--- a/crates/testkit/src/decisions/fleet.rs
+++ b/crates/testkit/src/decisions/fleet.rs
@@ -20,7 +20,9 @@
         rights::{
             Admission, CallerTag, FULL_SHARE, Right, RightsLedger, RightsSettings, scale_by_share,
         },
-        routing::{EngineView, Finish, Router, RouterSettings, SpecKind, UpstreamSpec},
+        routing::{
+            EngineView, RequestOutcome, Router, RouterSettings, UpstreamSpec, UpstreamSpecKind,
+        },
     },
     std::collections::{BTreeMap, VecDeque},
 };
@@ -122,7 +124,9 @@
                 checks_fencing: false,
                 slots: SLOTS,
             };
-            fleet.events.push_back((vm, OwnerEvent::Gained(own)));
+            fleet
+                .events
+                .push_back((vm, OwnerEvent::OwnershipGained(own)));
         }
         fleet
     }
@@ -160,9 +164,9 @@
     ) {
         if let Some((g, instance)) = self.sent_by.remove(&running.id) {
             let finish = if running.left == 0 {
-                Finish::Done
+                RequestOutcome::Done
             } else {
-                Finish::Failed
+                RequestOutcome::Failed
             };
             let router = &mut self.gateways[g].router;
             let actions = router.finished(instance.upstream, Some(instance), finish, world.now);
@@ -283,7 +287,7 @@
         let router = &mut self.gateways[g].router;
         let poll = Poll {
             from: holder(g),
-            seen: router.seen(),
+            seen: router.seen_fences(),
             held: router.held(),
         };
         for c in 0..VMS {
@@ -306,7 +310,7 @@
                 boot: state.boot,
                 resident: owner.resident(upstream),
             };
-            actions.extend(self.gateways[g].router.observe(view, world.now));
+            actions.extend(self.gateways[g].router.update_view(view, world.now));
         }
         for owner in &self.owners {
             for instance in owner.recalls(holder(g)) {
@@ -347,12 +351,12 @@
     let spec = |engine| UpstreamSpec {
         upstream: UpstreamId(engine as u32),
         data_centre: data_centre(engine),
-        kind: SpecKind::Engine {
+        kind: UpstreamSpecKind::Engine {
             model: MODEL,
             slots: SLOTS,
             max_batch: MAX_BATCH,
         },
-        leaving: false,
+        is_draining: false,
     };
     router.set_upstreams(&(0..ENGINES).map(spec).collect::<Vec<_>>());
     let mut queue = FairQueue::new(QueueSettings::default());
--- a/crates/testkit/src/decisions/fleet_events.rs
+++ b/crates/testkit/src/decisions/fleet_events.rs
@@ -8,7 +8,7 @@
     },
     jasmine_core::{
         clock::Millis,
-        ownership::{Ask, LoadResult, OwnerAction, OwnerEvent, Release, UnloadResult},
+        ownership::{AcquireRequest, LoadResult, OwnerAction, OwnerEvent, Release, UnloadResult},
         queue::{self},
         routing::{Route, RouterAction, Target},
     },
@@ -54,7 +54,7 @@
                 let gone = OwnerEvent::UnloadEnded(instance, UnloadResult::Gone);
                 self.events.push_back((c, gone));
             }
-            OwnerAction::AskBudget(loads) => {
+            OwnerAction::RequestBudget(loads) => {
                 let asked = &mut self.asked[c];
                 if asked.loads == 0 {
                     asked.since = world.now;
@@ -66,7 +66,7 @@
                 if let Some((upstream, adapter)) = gateway.asks.remove(&ask) {
                     gateway
                         .router
-                        .acquired(upstream, adapter, ask, outcome, world.now);
+                        .handle_acquire_outcome(upstream, adapter, ask, outcome, world.now);
                 }
             }
             OwnerAction::Recall { holder, instance } => {
@@ -108,7 +108,7 @@
                 } => {
                     self.ask(
                         g,
-                        Ask {
+                        AcquireRequest {
                             from: holder(g),
                             ask,
                             upstream,
@@ -125,7 +125,7 @@
     pub(super) fn ask(
         &mut self,
         g: usize,
-        ask: Ask,
+        ask: AcquireRequest,
     ) {
         self.gateways[g]
             .asks
@@ -159,7 +159,7 @@
                 let target = Target::Adapter(MODEL, adapter);
                 match router.route(target, None, waiting.account, now) {
                     Route::Send { instance, .. } => sent = instance,
-                    Route::Acquire { upstream, ask } => asks.push(Ask {
+                    Route::Acquire { upstream, ask } => asks.push(AcquireRequest {
                         from: holder(g),
                         ask,
                         upstream,
