--- a/crates/core/examples/scheduler_cost/fleet.rs
+++ b/crates/core/examples/scheduler_cost/fleet.rs
@@ -5,8 +5,8 @@
         ingress::{PromptPart, PromptSize},
         rights::CallerTag,
         scheduler::{
-            EngineFacts, EngineLimits, Generation, Job, Order, OrderEnd, Outcome, RightsShare,
-            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamFacts, Work,
+            EngineLimits, EngineStatus, Generation, Job, Order, OrderResult, Outcome, RateShare,
+            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamStatus, Work,
         },
     },
     rand::{Rng, SeedableRng},
@@ -52,7 +52,7 @@
     began: Millis,
     now: Millis,
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
-    orders: Vec<(Order, OrderEnd)>,
+    orders: Vec<(Order, OrderResult)>,
     next: u64,
     busy_until: HashMap<UpstreamId, Millis>,
     sent: HashMap<u64, Sent>,
@@ -68,8 +68,8 @@
 impl SimulatedFleet {
     pub fn new(engines: u32) -> Self {
         let now = Millis(100_000);
-        let mut scheduler = Scheduler::new(SchedulerSettings::default(), RightsShare::Part(1));
-        scheduler.set_role(true, RightsShare::Fresh, now);
+        let mut scheduler = Scheduler::new(SchedulerSettings::default(), RateShare::Part(1));
+        scheduler.set_role(true, RateShare::Fresh, now);
         scheduler.set_engines(HashMap::from([(ENGINES, limits())]));
         for id in 0..engines {
             let id = UpstreamId(id);
@@ -198,15 +198,15 @@
                 upstream, order, ..
             } => {
                 let end = match order {
-                    Order::Unload { .. } => OrderEnd::Holds,
-                    Order::Load { .. } | Order::LoadModel(_) => OrderEnd::Accepted,
+                    Order::Unload { .. } => OrderResult::AlreadyInEffect,
+                    Order::Load { .. } | Order::LoadModel(_) => OrderResult::Accepted,
                 };
                 self.loads += u64::from(matches!(order, Order::Load { .. }));
                 self.orders.push((order, end));
                 let at = self.orders.len() - 1;
                 self.at(ON_THE_WAY, Event::Accepted(upstream, at));
             }
-            Action::AskReport { .. } => {}
+            Action::RequestReport { .. } => {}
         }
     }
 
@@ -300,8 +300,8 @@
     }
 }
 
-fn empty(seq: Option<u64>) -> EngineFacts {
-    EngineFacts {
+fn empty(seq: Option<u64>) -> EngineStatus {
+    EngineStatus {
         seq,
         models: vec![MODEL],
         adapters: Vec::<(ModelId, AdapterVersion)>::new(),
@@ -313,15 +313,15 @@
 fn upstream(
     service: ServiceId,
     slots: u32,
-    engine: Option<EngineFacts>,
-) -> UpstreamFacts {
-    UpstreamFacts {
+    engine: Option<EngineStatus>,
+) -> UpstreamStatus {
+    UpstreamStatus {
         service,
         data_centre: Some(DataCentreId(0)),
         slots,
         is_ready: true,
         cold: Millis::ZERO,
-        started: Some(1),
+        started_unix_ms: Some(1),
         engine,
     }
 }
--- a/crates/core/src/scheduler/rights.rs
+++ b/crates/core/src/scheduler/account_rates.rs
@@ -34,7 +34,7 @@
 
 /// Share of all accounts' rate limits that this scheduler may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RightsShare {
+pub enum RateShare {
     /// The whole limit; nothing has been used yet.
     Fresh,
     /// The whole limit, taken over from a previous scheduler.
@@ -48,14 +48,14 @@
 pub(super) struct AccountRates {
     ledger: RightsLedger,
     limits: BTreeMap<AccountId, Limit>,
-    share: RightsShare,
+    share: RateShare,
     /// When a request of each account was last rate-limited.
     refused_at: BTreeMap<AccountId, Millis>,
     local_usage: LocalUsage,
 }
 
 impl AccountRates {
-    pub(super) fn new(share: RightsShare) -> Self {
+    pub(super) fn new(share: RateShare) -> Self {
         Self {
             ledger: new_ledger(),
             limits: BTreeMap::new(),
@@ -68,11 +68,11 @@
     /// Changes the share and restarts with the tokens that are safe to grant.
     pub(super) fn set_share(
         &mut self,
-        share: RightsShare,
+        share: RateShare,
         now: Millis,
     ) {
         let has_allowance =
-            matches!(share, RightsShare::Part(_)) && self.local_usage.begin_standalone(now);
+            matches!(share, RateShare::Part(_)) && self.local_usage.begin_standalone(now);
         if self.share == share && !has_allowance {
             return;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Records a request of this VM's own callers that was admitted by any scheduler.
-    pub(super) fn note_own_use(
+    pub(super) fn note_local_admission(
         &mut self,
         account: AccountId,
         cost: u64,
@@ -100,7 +100,7 @@
     }
 
     /// Records a request of this VM's own callers that was rate-limited by any scheduler.
-    pub(super) fn note_own_refusal(
+    pub(super) fn note_local_rejection(
         &mut self,
         account: AccountId,
         now: Millis,
@@ -178,7 +178,7 @@
         now: Millis,
     ) -> u64 {
         // A fractional share is too small to reserve tokens.
-        if matches!(self.share, RightsShare::Part(_)) {
+        if matches!(self.share, RateShare::Part(_)) {
             return 0;
         }
         let refused_at = self.refused_at.get(&account);
@@ -227,19 +227,19 @@
     ledger: &mut RightsLedger,
     account: AccountId,
     limit: Limit,
-    share: RightsShare,
+    share: RateShare,
     extra_tokens: u64,
     now: Millis,
 ) {
     let part = match share {
-        RightsShare::Fresh | RightsShare::TakenOver => FULL_SHARE,
-        RightsShare::Part(parts) => FULL_SHARE / parts.max(1),
+        RateShare::Fresh | RateShare::TakenOver => FULL_SHARE,
+        RateShare::Part(parts) => FULL_SHARE / parts.max(1),
     };
     let max_usage = limit.rate * LIMIT_WINDOW_SECS + limit.burst;
     let tokens = match share {
-        RightsShare::Fresh => limit.burst,
-        RightsShare::TakenOver => (max_usage * TAKEOVER_GRANT_PERCENT / 100).min(limit.burst),
-        RightsShare::Part(parts) => {
+        RateShare::Fresh => limit.burst,
+        RateShare::TakenOver => (max_usage * TAKEOVER_GRANT_PERCENT / 100).min(limit.burst),
+        RateShare::Part(parts) => {
             max_usage * STANDALONE_GRANT_PERCENT / 100 / parts.max(1) + extra_tokens
         }
     };
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -62,7 +62,7 @@
         after_seq: u64,
     },
     /// Request a status report from an engine.
-    AskReport {
+    RequestReport {
         /// The engine.
         upstream: UpstreamId,
     },
--- a/crates/core/src/scheduler/version_book.rs
+++ b/crates/core/src/scheduler/announced_versions.rs
@@ -24,14 +24,14 @@
 
 /// The adapter versions announced by operators.
 #[derive(Clone, Debug, Default)]
-pub(super) struct VersionBook {
+pub(super) struct AnnouncedVersions {
     announced: HashMap<AdapterId, Announced>,
 }
 
 /// Version of an adapter before any announcement.
 const INITIAL_VERSION: u32 = 1;
 
-impl VersionBook {
+impl AnnouncedVersions {
     /// Records an announcement; ignores versions that are not newer.
     pub(super) fn announce(
         &mut self,
@@ -71,7 +71,7 @@
     }
 
     /// Whether an older version may still be used.
-    pub(super) fn in_grace(
+    pub(super) fn is_in_grace_period(
         &self,
         adapter: AdapterId,
         grace: Millis,
--- a/crates/core/src/scheduler/backlog.rs
+++ b/crates/core/src/scheduler/backlog.rs
@@ -75,7 +75,7 @@
     /// Records the first event of a request; returns its prefill time if that is known.
     ///
     /// Only the prompt at the front of the queue has a known start.
-    pub(super) fn read(
+    pub(super) fn finish_prefill(
         &mut self,
         request: RequestId,
         now: Millis,
--- a/crates/core/src/scheduler/choose/best.rs
+++ b/crates/core/src/scheduler/choose/best.rs
@@ -47,7 +47,7 @@
     pub(super) const fn is_short_of_slots(&self) -> bool {
         matches!(
             self.cheapest,
-            None | Some((.., ServingOption::Wait(WaitReason::Place)))
+            None | Some((.., ServingOption::Wait(WaitReason::AdapterSlot)))
         )
     }
 
@@ -59,7 +59,7 @@
         let (lowest, upstream, option) = self.cheapest.unwrap_or((
             f64::INFINITY,
             UpstreamId::default(),
-            ServingOption::Wait(WaitReason::Place),
+            ServingOption::Wait(WaitReason::AdapterSlot),
         ));
         // This request is next in its queue: a new copy only helps those behind it.
         let ready = self
--- a/crates/core/src/scheduler/choose/load.rs
+++ b/crates/core/src/scheduler/choose/load.rs
@@ -9,7 +9,7 @@
             Generation, Job, WaitReason,
             engine::Engine,
             fleet::Load,
-            place::{DEMAND_HALF_LIFE, Place},
+            resident::{DEMAND_HALF_LIFE, ResidentAdapter},
             upstream::Upstream,
         },
     },
@@ -42,13 +42,15 @@
         base: f64,
         copies: AdapterCopies,
     ) -> Option<(f64, ServingOption)> {
-        if !self.can_order || engine.coming(self.now) >= self.settings.loads.per_engine {
+        if !self.can_order || engine.coming(self.now) >= self.settings.loads.max_per_engine {
             return None;
         }
-        let is_warm = engine.keeps_warm(wanted);
+        let is_warm = engine.was_unloaded_recently(wanted);
         let Some((evict, eviction_cost)) = self.find_slot(generation.model, engine, wanted) else {
-            return is_warm
-                .then_some((base + SLOT_WAIT_MS, ServingOption::Wait(WaitReason::Place)));
+            return is_warm.then_some((
+                base + SLOT_WAIT_MS,
+                ServingOption::Wait(WaitReason::AdapterSlot),
+            ));
         };
         let order_wait = engine.order_wait(self.now)?;
         let load_ms = self.load_time_ms(is_warm) + ORDER_ROUND_TRIP_MS + order_wait.0 as f64;
@@ -61,7 +63,7 @@
         let affinity_score = rendezvous_score(u64::from(wanted.adapter.0), u64::from(up.id.0), 1);
         let affinity_penalty = MAX_AFFINITY_PENALTY_MS / (1.0 + affinity_score);
         let cost = base + extra + load_penalty + eviction_cost + affinity_penalty;
-        let option = if engine.takes_orders(self.now) && engine.reserved.is_none() {
+        let option = if engine.can_take_order(self.now) && engine.reserved.is_none() {
             ServingOption::Load {
                 adapter: wanted,
                 evict,
@@ -93,18 +95,18 @@
         wanted: AdapterVersion,
     ) -> Option<(Option<AdapterVersion>, f64)> {
         // An older version of the same adapter is replaced in its slot once no request uses it.
-        if let Some(old) = engine.place_of(wanted.adapter) {
+        if let Some(old) = engine.resident_any_version(wanted.adapter) {
             return (engine.users_of(old.adapter) == 0).then_some((None, 0.0));
         }
-        if engine.has_free_place(model) {
+        if engine.has_free_adapter_slot(model) {
             return Some((None, 0.0));
         }
         if !self.can_evict {
             return None;
         }
-        let eviction_cost = |place: &Place| {
-            let is_old = self.versions.wanted(place.adapter.adapter) != place.adapter;
-            let recent_uses = place.demand.get(self.now, DEMAND_HALF_LIFE);
+        let eviction_cost = |resident: &ResidentAdapter| {
+            let is_old = self.versions.wanted(resident.adapter.adapter) != resident.adapter;
+            let recent_uses = resident.demand.get(self.now, DEMAND_HALF_LIFE);
             if is_old {
                 0.0
             } else {
@@ -112,11 +114,17 @@
             }
         };
         engine
-            .places
+            .residents
             .iter()
-            .filter(|place| engine.users_of(place.adapter) == 0 && place.is_present(self.now))
-            .filter(|place| !self.queued_by_adapter.contains_key(&place.adapter.adapter))
-            .map(|place| (eviction_cost(place), place.adapter))
+            .filter(|resident| {
+                engine.users_of(resident.adapter) == 0 && resident.is_loaded(self.now)
+            })
+            .filter(|resident| {
+                !self
+                    .queued_by_adapter
+                    .contains_key(&resident.adapter.adapter)
+            })
+            .map(|resident| (eviction_cost(resident), resident.adapter))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(cost, adapter)| (Some(adapter), cost.min(MAX_EVICTION_PENALTY_MS)))
     }
@@ -130,11 +138,11 @@
         let adapter = generation.adapter?;
         let grace = self.settings.version_grace;
         let wanted = self.versions.wanted(adapter);
-        let place = engine.place_of(adapter)?;
-        let is_usable = place.adapter != wanted
-            && place.is_present(self.now)
-            && self.versions.in_grace(adapter, grace, self.now);
-        is_usable.then_some(place.adapter)
+        let resident = engine.resident_any_version(adapter)?;
+        let is_usable = resident.adapter != wanted
+            && resident.is_loaded(self.now)
+            && self.versions.is_in_grace_period(adapter, grace, self.now);
+        is_usable.then_some(resident.adapter)
     }
 
     /// Whether the engine has backlog capacity, a request slot and memory for the request now.
@@ -147,7 +155,7 @@
         let total = Load::of(job, engine, self.now).total;
         let waits = engine.backlog.wait(self.now) < self.settings.engine_backlog.0 as f64;
         (waits || engine.backlog.is_empty())
-            && engine.has_room(up.running, total, self.settings.memory_percent)
+            && engine.has_capacity(up.running, total, self.settings.kv_fill_percent)
     }
 
     /// Which limit keeps an engine from accepting a request now.
@@ -158,8 +166,8 @@
         engine: &Engine,
     ) -> WaitReason {
         let total = Load::of(job, engine, self.now).total;
-        if engine.has_room(up.running, total, self.settings.memory_percent) {
-            WaitReason::Prompts
+        if engine.has_capacity(up.running, total, self.settings.kv_fill_percent) {
+            WaitReason::Prefill
         } else {
             WaitReason::Memory
         }
--- a/crates/core/src/scheduler/choose/mod.rs
+++ b/crates/core/src/scheduler/choose/mod.rs
@@ -4,11 +4,11 @@
 use {
     super::{
         Generation, Job, SchedulerSettings, WaitReason,
+        announced_versions::AnnouncedVersions,
         engine::Engine,
         fleet::{Fleet, Load},
-        place::DEMAND_HALF_LIFE,
+        resident::DEMAND_HALF_LIFE,
         upstream::Upstream,
-        version_book::VersionBook,
     },
     crate::{
         clock::Millis,
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SelectionContext<'a> {
     pub fleet: &'a Fleet,
-    pub versions: &'a VersionBook,
+    pub versions: &'a AnnouncedVersions,
     pub settings: &'a SchedulerSettings,
     /// Queued requests by adapter; adapters listed here aren't evicted.
     pub queued_by_adapter: &'a HashMap<AdapterId, u32>,
@@ -166,7 +166,7 @@
         let best = self
             .candidates(job)
             .into_iter()
-            .filter(|up| up.takes_calls())
+            .filter(|up| up.can_take_call())
             .min_by(|a, b| cost(a).total_cmp(&cost(b)));
         Choice {
             send: best.map(|up| (up.id, None)),
@@ -255,7 +255,9 @@
         let wanted = self.versions.wanted(adapter);
         let has_adapter = |up: &Upstream| {
             let engine = up.engine.as_ref();
-            engine.is_some_and(|e| e.place_of(adapter).is_some() || e.keeps_warm(wanted))
+            engine.is_some_and(|e| {
+                e.resident_any_version(adapter).is_some() || e.was_unloaded_recently(wanted)
+            })
         };
         let holders = self.fleet.holders(adapter);
         let mut candidates = self.sample(holders, u64::from(adapter.0), |up| {
@@ -302,12 +304,12 @@
             return AdapterCopies::default();
         };
         let wanted = self.versions.wanted(adapter);
-        let places = engines
+        let residents = engines
             .iter()
-            .filter_map(|up| up.engine.as_ref()?.place(wanted));
-        let seen = places.fold(AdapterCopies::default(), |copies, place| AdapterCopies {
+            .filter_map(|up| up.engine.as_ref()?.resident(wanted));
+        let seen = residents.fold(AdapterCopies::default(), |copies, resident| AdapterCopies {
             count: copies.count + 1.0,
-            recent_uses: copies.recent_uses + place.demand.get(self.now, DEMAND_HALF_LIFE),
+            recent_uses: copies.recent_uses + resident.demand.get(self.now, DEMAND_HALF_LIFE),
         });
         AdapterCopies {
             count: seen.count / fraction,
@@ -350,7 +352,7 @@
         job: &Job,
         up: &Upstream,
     ) -> bool {
-        let is_reachable = || up.health.is_open(self.now);
+        let is_reachable = || up.health.is_available(self.now);
         up.is_ready
             && match filter {
                 CandidateFilter::NotFailed => is_reachable() && !job.avoid.contains(&up.id),
@@ -371,7 +373,7 @@
         } else {
             0.0
         };
-        distance + up.health.failing(self.now) * FAILURE_PENALTY_MS
+        distance + up.health.failure_rate(self.now) * FAILURE_PENALTY_MS
     }
 
     /// The cost of an engine in milliseconds if it had the adapter loaded.
@@ -381,8 +383,9 @@
         up: &Upstream,
         engine: &Engine,
     ) -> f64 {
-        let unread = Load::of(job, engine, self.now).unread;
-        let prefill_ms = engine.backlog.wait(self.now) + engine.backlog.time_for(unread, self.now);
+        let prefill_tokens = Load::of(job, engine, self.now).prefill_tokens;
+        let prefill_ms =
+            engine.backlog.wait(self.now) + engine.backlog.time_for(prefill_tokens, self.now);
         prefill_ms
             + stall_penalty(job, up, engine, prefill_ms)
             + f64::from(up.running) * PER_RUNNING_REQUEST_MS
@@ -419,11 +422,14 @@
             return Some((base, option));
         };
         let wanted = self.versions.wanted(adapter);
-        if let Some(wait) = engine.place(wanted).and_then(|place| place.wait(self.now)) {
+        if let Some(wait) = engine
+            .resident(wanted)
+            .and_then(|resident| resident.wait(self.now))
+        {
             let extra = (wait.0 as f64 - engine.backlog.wait(self.now)).max(0.0);
             let extra = extra + self.queue_delay(job, adapter, engine, copies);
             let option = match wait {
-                Millis::ZERO if engine.is_being_tried(wanted) => {
+                Millis::ZERO if engine.is_being_probed(wanted) => {
                     ServingOption::Wait(WaitReason::Load)
                 }
                 Millis::ZERO if self.has_capacity_for(job, up, engine) => {
@@ -440,7 +446,8 @@
         {
             // The load starts once the slot is free; loading on another engine would make a
             // needless second copy.
-            let load_ms = self.load_time_ms(engine.keeps_warm(wanted)) + ORDER_ROUND_TRIP_MS;
+            let load_ms =
+                self.load_time_ms(engine.was_unloaded_recently(wanted)) + ORDER_ROUND_TRIP_MS;
             let extra = (load_ms - engine.backlog.wait(self.now)).max(0.0);
             return Some((base + extra, ServingOption::Wait(WaitReason::Load)));
         }
@@ -463,7 +470,7 @@
         let others = waiting.saturating_sub(1);
         let each = engine
             .backlog
-            .time_for(Load::of(job, engine, self.now).unread, self.now);
+            .time_for(Load::of(job, engine, self.now).prefill_tokens, self.now);
         f64::from(others) * each / copies.count.max(1.0)
     }
 }
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        EngineFacts, LoadSettings,
+        EngineStatus, LoadSettings,
         backlog::Backlog,
-        place::{DEMAND_HALF_LIFE, Place, ResidentState},
         prefix_cache::PrefixCache,
+        resident::{DEMAND_HALF_LIFE, ResidentAdapter, ResidentState},
     },
     crate::{
         clock::Millis,
@@ -65,19 +65,19 @@
     pub models: Vec<ModelId>,
     /// Base model being loaded.
     pub loading: Option<ModelId>,
-    pub places: Vec<Place>,
+    pub residents: Vec<ResidentAdapter>,
     /// Assigned requests that have not ended, by adapter, including adapters that are not resident.
     users: HashMap<AdapterVersion, u32>,
     /// Adapter that is unloaded once its requests have ended; no orders are sent until then.
     pub unloading: Option<AdapterVersion>,
     /// Whether an order is waiting for its response.
-    pub has_order: bool,
+    pub has_pending_order: bool,
     /// When the last order was sent or answered, whichever is later.
-    pub ordered_at: Millis,
+    pub last_order_at: Millis,
     /// No orders before this time: orders of the previous scheduler may still arrive.
-    pub orders_from: Millis,
+    pub orders_allowed_at: Millis,
     /// Whether orders are stopped because leadership is about to be handed over.
-    pub rests: bool,
+    pub is_order_paused: bool,
     /// Whether the order in flight is the retry of one that got no response.
     pub has_retried_order: bool,
     /// Adapter that is loaded once the current eviction has made room.
@@ -101,13 +101,13 @@
             seq: 0,
             models: Vec::new(),
             loading: None,
-            places: Vec::new(),
+            residents: Vec::new(),
             users: HashMap::new(),
             unloading: None,
-            has_order: false,
-            ordered_at: Millis::ZERO,
-            orders_from: Millis::ZERO,
-            rests: false,
+            has_pending_order: false,
+            last_order_at: Millis::ZERO,
+            orders_allowed_at: Millis::ZERO,
+            is_order_paused: false,
             has_retried_order: false,
             reserved: None,
             recently_unloaded: VecDeque::new(),
@@ -125,24 +125,25 @@
         fresh.backlog = backlog;
         fresh.kv_used = self.kv_used;
         fresh.users = std::mem::take(&mut self.users);
-        fresh.ordered_at = self.ordered_at;
-        fresh.orders_from = self.orders_from;
-        fresh.rests = self.rests;
+        fresh.last_order_at = self.last_order_at;
+        fresh.orders_allowed_at = self.orders_allowed_at;
+        fresh.is_order_paused = self.is_order_paused;
         *self = fresh;
     }
 
     /// Replaces the view with the engine's status; assigned requests are kept.
     pub(super) fn apply_status(
         &mut self,
-        status: &EngineFacts,
+        status: &EngineStatus,
         load: &LoadSettings,
         now: Millis,
     ) {
-        let before = std::mem::take(&mut self.places);
-        let old = |adapter: AdapterVersion| before.iter().find(|place| place.adapter == adapter);
+        let before = std::mem::take(&mut self.residents);
+        let old =
+            |adapter: AdapterVersion| before.iter().find(|resident| resident.adapter == adapter);
         let merge = |model, adapter, state| match old(adapter) {
-            Some(place) => Place { state, ..*place },
-            None => Place::new(model, adapter, state),
+            Some(resident) => ResidentAdapter { state, ..*resident },
+            None => ResidentAdapter::new(model, adapter, state),
         };
         let loaded = status
             .adapters
@@ -153,24 +154,24 @@
             is_cold: true,
         };
         let still_loading = status.coming.iter().map(|&(model, adapter)| {
-            let state = old(adapter).map_or(new_load, |place| match place.state {
-                ResidentState::Loading { .. } => place.state,
+            let state = old(adapter).map_or(new_load, |resident| match resident.state {
+                ResidentState::Loading { .. } => resident.state,
                 _ => new_load,
             });
             merge(model, adapter, state)
         });
-        self.places = loaded.chain(still_loading).collect();
-        if let Some(place) = self
+        self.residents = loaded.chain(still_loading).collect();
+        if let Some(resident) = self
             .unloading
-            .and_then(|unloading| self.place_mut(unloading))
+            .and_then(|unloading| self.resident_mut(unloading))
         {
-            place.state = ResidentState::Unloading;
+            resident.state = ResidentState::Unloading;
         } else {
             self.unloading = None;
         }
-        for place in before {
-            if self.place(place.adapter).is_none() && place.is_present(now) {
-                self.remove_resident(place.adapter, load.warm_capacity);
+        for resident in before {
+            if self.resident(resident.adapter).is_none() && resident.is_loaded(now) {
+                self.remove_resident(resident.adapter, load.warm_capacity);
             }
         }
         self.seq = status.seq.unwrap_or(self.seq);
@@ -191,14 +192,14 @@
     ) {
         self.reserved = None;
         if self.unloading.is_some() {
-            self.doubt(now);
+            self.mark_stale(now);
         } else {
             self.view_state = ViewState::Synced;
         }
     }
 
     /// Marks the view as stale until the next report.
-    pub(super) fn doubt(
+    pub(super) fn mark_stale(
         &mut self,
         now: Millis,
     ) {
@@ -223,11 +224,11 @@
     }
 
     /// Starts a report request if one is due; returns when to stop waiting for the response.
-    pub(super) fn ask_report(
+    pub(super) fn start_report_request(
         &mut self,
         now: Millis,
     ) -> Option<Millis> {
-        let wants = !self.has_order && self.take_due_report(now);
+        let wants = !self.has_pending_order && self.take_due_report(now);
         wants.then(|| self.report_due()).flatten()
     }
 
@@ -235,19 +236,19 @@
     pub(super) fn report_due(&self) -> Option<Millis> {
         match self.view_state {
             ViewState::Synced => None,
-            ViewState::Stale { request_at } => Some(request_at.max(self.orders_from)),
+            ViewState::Stale { request_at } => Some(request_at.max(self.orders_allowed_at)),
             ViewState::Requested { retry_at } => Some(retry_at),
         }
     }
 
     /// Whether an order can be sent now.
-    pub(super) fn takes_orders(
+    pub(super) fn can_take_order(
         &self,
         now: Millis,
     ) -> bool {
-        !self.rests
-            && !self.has_order
-            && now >= self.orders_from
+        !self.is_order_paused
+            && !self.has_pending_order
+            && now >= self.orders_allowed_at
             && self.view_state == ViewState::Synced
     }
 
@@ -257,12 +258,12 @@
         now: Millis,
     ) -> Option<Millis> {
         let answer = match self.view_state {
-            _ if self.has_order => ORDER_LATENCY,
+            _ if self.has_pending_order => ORDER_LATENCY,
             ViewState::Synced => Millis::ZERO,
             ViewState::Stale { request_at } => request_at.since(now) + ORDER_LATENCY,
             ViewState::Requested { .. } => ORDER_LATENCY,
         };
-        (!self.rests).then(|| answer.max(self.orders_from.since(now)))
+        (!self.is_order_paused).then(|| answer.max(self.orders_allowed_at.since(now)))
     }
 
     /// Records that an order was sent.
@@ -270,8 +271,8 @@
         &mut self,
         now: Millis,
     ) {
-        self.has_order = true;
-        self.ordered_at = now;
+        self.has_pending_order = true;
+        self.last_order_at = now;
     }
 
     /// Whether a report predates the last order.
@@ -281,57 +282,59 @@
     /// had no effect, and ignoring its reports would block its orders permanently.
     pub(super) fn is_report_outdated(
         &self,
-        status: &EngineFacts,
+        status: &EngineStatus,
         now: Millis,
     ) -> bool {
         let counts_less = status.seq.is_some_and(|seq| seq < self.seq);
-        counts_less && now.since(self.ordered_at) < REPORT_DELAY
+        counts_less && now.since(self.last_order_at) < REPORT_DELAY
     }
 
     /// Whether one more request fits beside the assigned ones.
-    pub(super) fn has_room(
+    pub(super) fn has_capacity(
         &self,
         running: u32,
         tokens: u64,
-        memory_percent: u64,
+        kv_fill_percent: u64,
     ) -> bool {
-        let memory = self.limits.kv_tokens * memory_percent / 100;
+        let memory = self.limits.kv_tokens * kv_fill_percent / 100;
         running + SPARE_SLOTS < self.limits.slots
             && (self.kv_used == 0 || self.kv_used + tokens <= memory)
     }
 
-    pub(super) fn place(
+    pub(super) fn resident(
         &self,
         adapter: AdapterVersion,
-    ) -> Option<&Place> {
-        self.places.iter().find(|place| place.adapter == adapter)
+    ) -> Option<&ResidentAdapter> {
+        self.residents
+            .iter()
+            .find(|resident| resident.adapter == adapter)
     }
 
-    pub(super) fn place_mut(
+    pub(super) fn resident_mut(
         &mut self,
         adapter: AdapterVersion,
-    ) -> Option<&mut Place> {
-        self.places
+    ) -> Option<&mut ResidentAdapter> {
+        self.residents
             .iter_mut()
-            .find(|place| place.adapter == adapter)
+            .find(|resident| resident.adapter == adapter)
     }
 
     /// The resident adapter with this id, whatever its version.
-    pub(super) fn place_of(
+    pub(super) fn resident_any_version(
         &self,
         adapter: AdapterId,
-    ) -> Option<&Place> {
-        self.places
+    ) -> Option<&ResidentAdapter> {
+        self.residents
             .iter()
-            .find(|place| place.adapter.adapter == adapter)
+            .find(|resident| resident.adapter.adapter == adapter)
     }
 
     /// Whether an adapter of this model can be loaded without an eviction.
-    pub(super) fn has_free_place(
+    pub(super) fn has_free_adapter_slot(
         &self,
         model: ModelId,
     ) -> bool {
-        self.places.len() < self.limits.adapter_slots && self.has_memory_for(model)
+        self.residents.len() < self.limits.adapter_slots && self.has_memory_for(model)
     }
 
     /// Number of adapters being loaded.
@@ -339,8 +342,8 @@
         &self,
         now: Millis,
     ) -> usize {
-        let is_loading = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, .. } if now < ready_at);
-        self.places.iter().filter(is_loading).count()
+        let is_loading = |resident: &&ResidentAdapter| matches!(resident.state, ResidentState::Loading { ready_at, .. } if now < ready_at);
+        self.residents.iter().filter(is_loading).count()
     }
 
     /// Number of adapters being loaded from the adapter store.
@@ -348,12 +351,12 @@
         &self,
         now: Millis,
     ) -> usize {
-        let is_cold = |place: &&Place| matches!(place.state, ResidentState::Loading { ready_at, is_cold: true } if now < ready_at);
-        self.places.iter().filter(is_cold).count()
+        let is_cold = |resident: &&ResidentAdapter| matches!(resident.state, ResidentState::Loading { ready_at, is_cold: true } if now < ready_at);
+        self.residents.iter().filter(is_cold).count()
     }
 
     /// Whether the adapter was unloaded recently, so that it reloads quickly.
-    pub(super) fn keeps_warm(
+    pub(super) fn was_unloaded_recently(
         &self,
         adapter: AdapterVersion,
     ) -> bool {
@@ -369,7 +372,7 @@
             .recently_unloaded
             .iter()
             .any(|dropped| dropped.adapter == adapter);
-        was_held || self.place_of(adapter).is_some()
+        was_held || self.resident_any_version(adapter).is_some()
     }
 
     /// Number of assigned requests that use the adapter.
@@ -381,11 +384,13 @@
     }
 
     /// Whether an assigned request is already probing whether the adapter is loaded.
-    pub(super) fn is_being_tried(
+    pub(super) fn is_being_probed(
         &self,
         adapter: AdapterVersion,
     ) -> bool {
-        let needs_probe = self.place(adapter).is_some_and(Place::needs_probe);
+        let needs_probe = self
+            .resident(adapter)
+            .is_some_and(ResidentAdapter::needs_probe);
         needs_probe && self.users_of(adapter) > 0
     }
 
@@ -396,8 +401,8 @@
         now: Millis,
     ) {
         *self.users.entry(adapter).or_default() += 1;
-        if let Some(place) = self.place_mut(adapter) {
-            place.demand.add(1.0, now, DEMAND_HALF_LIFE);
+        if let Some(resident) = self.resident_mut(adapter) {
+            resident.demand.add(1.0, now, DEMAND_HALF_LIFE);
         }
     }
 
@@ -420,7 +425,8 @@
         adapter: AdapterVersion,
         warm_capacity: usize,
     ) {
-        self.places.retain(|place| place.adapter != adapter);
+        self.residents
+            .retain(|resident| resident.adapter != adapter);
         self.recently_unloaded.retain(|&dropped| dropped != adapter);
         self.recently_unloaded.push_back(adapter);
         while self.recently_unloaded.len() > warm_capacity {
@@ -439,22 +445,22 @@
             self.consecutive_late_loads = 0;
             self.view_state = ViewState::Stale { request_at: now };
         }
-        if let Some(place) = self.place_mut(adapter) {
-            place.note_late(now);
+        if let Some(resident) = self.resident_mut(adapter) {
+            resident.note_late(now);
         }
     }
 
     /// Records that a request found the adapter loaded.
-    pub(super) fn note_ready(
+    pub(super) fn note_loaded(
         &mut self,
         adapter: AdapterVersion,
     ) {
         self.consecutive_late_loads = 0;
-        if let Some(place) = self.place_mut(adapter)
-            && matches!(place.state, ResidentState::Loading { .. })
+        if let Some(resident) = self.resident_mut(adapter)
+            && matches!(resident.state, ResidentState::Loading { .. })
         {
-            place.state = ResidentState::Loaded;
-            place.late_count = 0;
+            resident.state = ResidentState::Loaded;
+            resident.late_count = 0;
         }
     }
 
@@ -466,9 +472,9 @@
         &self,
         adapter: AdapterVersion,
     ) -> Option<Millis> {
-        let place = self.place(adapter)?;
-        let is_cold = matches!(place.state, ResidentState::Loading { is_cold: true, .. });
-        place.accepted_at.filter(|_| is_cold)
+        let resident = self.resident(adapter)?;
+        let is_cold = matches!(resident.state, ResidentState::Loading { is_cold: true, .. });
+        resident.accepted_at.filter(|_| is_cold)
     }
 
     fn has_memory_for(
@@ -483,9 +489,9 @@
             .map(|&(_, mb, _)| mb)
             .sum();
         let adapters: f64 = self
-            .places
+            .residents
             .iter()
-            .filter_map(|place| size(place.model))
+            .filter_map(|resident| size(resident.model))
             .map(|&(_, _, mb)| mb)
             .sum();
         let added = size(model).map_or(0.0, |&(_, _, mb)| mb);
--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EngineFacts, EngineLimits, Job, LoadSettings, Outcome, UpstreamFacts,
+        EngineLimits, EngineStatus, Job, LoadSettings, Outcome, UpstreamStatus,
         backlog::PrefillSample,
         choose::{MANY, PreferredEngines},
         engine::Engine,
@@ -29,7 +29,7 @@
     /// Engine capacity by service; services without an entry have no engines.
     engines: HashMap<ServiceId, EngineLimits>,
     /// No orders to newly added engines before this time.
-    pub orders_from: Millis,
+    pub orders_allowed_at: Millis,
     /// Prefill time estimators, by service.
     prefill_estimators: HashMap<ServiceId, PrefillEstimator>,
     load_slowdown: LoadSlowdown,
@@ -60,8 +60,8 @@
     ) -> Option<Engine> {
         let limits = self.engines.get(&service)?;
         let mut engine = Engine::new(limits.clone());
-        engine.backlog.set_prefill_time(self.read_line(service));
-        engine.orders_from = self.orders_from;
+        engine.backlog.set_prefill_time(self.prefill_time(service));
+        engine.orders_allowed_at = self.orders_allowed_at;
         Some(engine)
     }
 
@@ -72,7 +72,7 @@
     pub(super) fn set(
         &mut self,
         id: UpstreamId,
-        status: &UpstreamFacts,
+        status: &UpstreamStatus,
         is_only_scheduler: bool,
         load: &LoadSettings,
         now: Millis,
@@ -121,7 +121,7 @@
     fn apply_entry_status(
         &mut self,
         id: UpstreamId,
-        status: &UpstreamFacts,
+        status: &UpstreamStatus,
         is_only_scheduler: bool,
         load: &LoadSettings,
         now: Millis,
@@ -150,7 +150,7 @@
     pub(super) fn report(
         &mut self,
         id: UpstreamId,
-        status: &EngineFacts,
+        status: &EngineStatus,
         load: &LoadSettings,
         now: Millis,
     ) {
@@ -158,8 +158,8 @@
             return;
         };
         // A report older than an accepted order would revert that order in the view.
-        if engine.is_report_outdated(status, now) || engine.has_order {
-            engine.doubt(now);
+        if engine.is_report_outdated(status, now) || engine.has_pending_order {
+            engine.mark_stale(now);
             return;
         }
         engine.apply_status(status, load, now);
@@ -177,7 +177,10 @@
         let Some(engine) = self.engine(id) else {
             return;
         };
-        let adapters = engine.places.iter().map(|place| place.adapter.adapter);
+        let adapters = engine
+            .residents
+            .iter()
+            .map(|resident| resident.adapter.adapter);
         let adapters: Vec<AdapterId> = adapters.collect();
         for adapter in adapters {
             self.note_holder(adapter, id);
@@ -325,7 +328,7 @@
     }
 
     /// The prefill time model of a service.
-    pub(super) fn read_line(
+    pub(super) fn prefill_time(
         &self,
         service: ServiceId,
     ) -> PrefillTime {
@@ -334,7 +337,7 @@
     }
 
     /// Records a measured prefill time.
-    pub(super) fn note_reading(
+    pub(super) fn note_prefill(
         &mut self,
         service: ServiceId,
         sample: PrefillSample,
@@ -408,7 +411,7 @@
         upstream.running += 1;
         if let Some(engine) = &mut upstream.engine {
             engine.kv_used += tokens.total;
-            engine.backlog.push(request, tokens.unread, now);
+            engine.backlog.push(request, tokens.prefill_tokens, now);
             if let Some(adapter) = adapter {
                 engine.acquire_adapter(adapter, now);
             }
@@ -438,7 +441,7 @@
     }
 
     /// Updates health, latency and load estimates from the outcome of a request.
-    pub(super) fn learn(
+    pub(super) fn record_outcome(
         &mut self,
         id: UpstreamId,
         adapter: Option<AdapterVersion>,
@@ -478,7 +481,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     /// Prompt tokens to prefill, without those in the prefix cache.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// Prompt and output tokens that the request occupies in the KV cache.
     pub total: u64,
 }
@@ -498,7 +501,7 @@
             .cached(generation.adapter, &generation.parts, now);
         let size = generation.size;
         Self {
-            unread: f64::from(size.prompt.saturating_sub(cached.min(size.prompt))),
+            prefill_tokens: f64::from(size.prompt.saturating_sub(cached.min(size.prompt))),
             total: size.total(),
         }
     }
--- a/crates/core/src/scheduler/fleet_totals.rs
+++ b/crates/core/src/scheduler/fleet_totals.rs
@@ -57,9 +57,9 @@
         self.engines += 1;
         self.cold_loads += engine.cold_loads(now);
         let loads = engine
-            .places
+            .residents
             .iter()
-            .filter_map(|place| place.wait(now))
+            .filter_map(|resident| resident.wait(now))
             .filter(|&wait| wait > Millis::ZERO)
             .map(|wait| now + wait);
         self.next_load = self.next_load.into_iter().chain(loads).min();
@@ -77,11 +77,11 @@
         now: Millis,
     ) -> bool {
         self.updated_at
-            .is_none_or(|updated_at| now >= updated_at + Self::pause(upstreams))
+            .is_none_or(|updated_at| now >= updated_at + Self::refresh_interval(upstreams))
     }
 
     /// Time between two recomputations, for this number of upstreams.
-    pub(super) const fn pause(upstreams: usize) -> Millis {
+    pub(super) const fn refresh_interval(upstreams: usize) -> Millis {
         Millis(upstreams as u64 / UPSTREAMS_PER_MS)
     }
 
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether the upstream is not paused.
-    pub(super) fn is_open(
+    pub(super) fn is_available(
         &self,
         now: Millis,
     ) -> bool {
@@ -57,7 +57,7 @@
     }
 
     /// Recent failure rate, from 0 to 1.
-    pub(super) fn failing(
+    pub(super) fn failure_rate(
         &self,
         now: Millis,
     ) -> f64 {
--- a/crates/core/src/scheduler/loads.rs
+++ b/crates/core/src/scheduler/loads.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        LoadSettings, Order, OrderEnd, SchedulerAction,
+        LoadSettings, Order, OrderResult, SchedulerAction,
+        announced_versions::AnnouncedVersions,
         choose::LoadPlan,
         engine::Engine,
         fleet::Fleet,
-        place::{Place, ResidentState},
-        version_book::VersionBook,
+        resident::{ResidentAdapter, ResidentState},
     },
     crate::{
         clock::Millis,
@@ -52,7 +52,7 @@
                 engine.limits.loads_per_s * LOAD_WINDOW.as_secs_f64() * LOAD_RATE_PERCENT / 100.0;
             if engine.models.is_empty()
                 && engine.loading.is_none()
-                && engine.takes_orders(now)
+                && engine.can_take_order(now)
                 && ((self.ordered.len() + 1) as f64) <= allowed.max(1.0)
                 && let Some(&(model, ..)) = engine.limits.models.first()
             {
@@ -82,25 +82,25 @@
 /// Starts a load, with an unload first if the plan evicts an adapter.
 pub(super) fn begin(
     fleet: &mut Fleet,
-    versions: &VersionBook,
+    versions: &AnnouncedVersions,
     plan: &LoadPlan,
     load: &LoadSettings,
     now: Millis,
 ) -> Option<SchedulerAction> {
     let load_time = fleet.cold_time(load, now);
     let engine = fleet.engine_mut(plan.upstream)?;
-    if !engine.takes_orders(now) {
+    if !engine.can_take_order(now) {
         return None;
     }
-    let is_cold = !engine.keeps_warm(plan.adapter);
+    let is_cold = !engine.was_unloaded_recently(plan.adapter);
     engine.note_order(now);
     let after_seq = engine.seq;
     let order = if let Some(evicted) = plan.evict {
         engine.reserved = Some((plan.model, plan.adapter));
-        let place = engine.place_mut(evicted)?;
-        place.state = ResidentState::Unloading;
+        let resident = engine.resident_mut(evicted)?;
+        resident.state = ResidentState::Unloading;
         Order::Unload {
-            model: place.model,
+            model: resident.model,
             adapter: evicted,
         }
     } else {
@@ -118,24 +118,24 @@
 
 fn load_order(
     engine: &mut Engine,
-    versions: &VersionBook,
+    versions: &AnnouncedVersions,
     plan: &LoadPlan,
     load: &LoadSettings,
     cold_time: Millis,
     now: Millis,
 ) -> Order {
-    let is_cold = !engine.keeps_warm(plan.adapter);
+    let is_cold = !engine.was_unloaded_recently(plan.adapter);
     let takes = if is_cold { cold_time } else { load.warm };
     let state = ResidentState::Loading {
         ready_at: now + takes,
         is_cold,
     };
     engine
-        .places
-        .retain(|place| place.adapter.adapter != plan.adapter.adapter);
+        .residents
+        .retain(|resident| resident.adapter.adapter != plan.adapter.adapter);
     engine
-        .places
-        .push(Place::new(plan.model, plan.adapter, state));
+        .residents
+        .push(ResidentAdapter::new(plan.model, plan.adapter, state));
     Order::Load {
         model: plan.model,
         adapter: plan.adapter,
@@ -148,18 +148,18 @@
 /// That is a retry, or the load that follows a completed eviction.
 pub(super) fn order_ended(
     fleet: &mut Fleet,
-    versions: &VersionBook,
+    versions: &AnnouncedVersions,
     upstream: UpstreamId,
     order: Order,
-    end: OrderEnd,
+    end: OrderResult,
     load: &LoadSettings,
     now: Millis,
 ) -> Option<SchedulerAction> {
     let cold_time = fleet.cold_time(load, now);
     let engine = fleet.engine_mut(upstream)?;
-    engine.has_order = false;
-    engine.ordered_at = now;
-    if end == OrderEnd::Lost && !std::mem::replace(&mut engine.has_retried_order, true) {
+    engine.has_pending_order = false;
+    engine.last_order_at = now;
+    if end == OrderResult::Lost && !std::mem::replace(&mut engine.has_retried_order, true) {
         // Retry at once. If the retry is accepted, the engine's sequence number has advanced, and
         // the first order is rejected whenever it arrives.
         engine.note_order(now);
@@ -172,53 +172,53 @@
     }
     // A rejected order had no effect, unless it was the retry of one that was accepted.
     let had_no_effect = !std::mem::replace(&mut engine.has_retried_order, false)
-        && matches!(end, OrderEnd::Conflict | OrderEnd::Refused);
+        && matches!(end, OrderResult::Conflict | OrderResult::Refused);
     if had_no_effect {
         revert(engine, order);
     }
     let reserved = engine.reserved.take();
     match (order, end) {
-        (Order::Load { adapter, .. }, OrderEnd::Accepted) => {
+        (Order::Load { adapter, .. }, OrderResult::Accepted) => {
             engine.seq += 1;
-            let takes = if engine.keeps_warm(adapter) {
+            let takes = if engine.was_unloaded_recently(adapter) {
                 load.warm
             } else {
                 cold_time
             };
-            if let Some(place) = engine.place_mut(adapter)
-                && let ResidentState::Loading { is_cold, .. } = place.state
+            if let Some(resident) = engine.resident_mut(adapter)
+                && let ResidentState::Loading { is_cold, .. } = resident.state
             {
                 let ready_at = now + takes;
-                place.state = ResidentState::Loading { ready_at, is_cold };
-                place.accepted_at = Some(now);
+                resident.state = ResidentState::Loading { ready_at, is_cold };
+                resident.accepted_at = Some(now);
             }
         }
-        (Order::Load { adapter, .. }, OrderEnd::Holds) => engine.note_ready(adapter),
-        (Order::Unload { adapter, .. }, OrderEnd::Holds) => {
+        (Order::Load { adapter, .. }, OrderResult::AlreadyInEffect) => engine.note_loaded(adapter),
+        (Order::Unload { adapter, .. }, OrderResult::AlreadyInEffect) => {
             engine.seq += 1;
             engine.remove_resident(adapter, load.warm_capacity);
             return load_reserved(engine, versions, upstream, reserved, load, cold_time, now);
         }
         // A request unknown to this scheduler still uses the adapter; it is unloaded when that
         // ends.
-        (Order::Unload { adapter, .. }, OrderEnd::Accepted) => {
+        (Order::Unload { adapter, .. }, OrderResult::Accepted) => {
             engine.seq += 1;
             engine.unloading = Some(adapter);
-            engine.doubt(now);
+            engine.mark_stale(now);
         }
-        (Order::LoadModel(_), OrderEnd::Accepted) => engine.seq += 1,
-        (Order::LoadModel(model), OrderEnd::Holds) => {
+        (Order::LoadModel(_), OrderResult::Accepted) => engine.seq += 1,
+        (Order::LoadModel(model), OrderResult::AlreadyInEffect) => {
             engine.loading = None;
             engine.models.push(model);
         }
-        (_, OrderEnd::OtherUpstream) => {
+        (_, OrderResult::OtherUpstream) => {
             if let Some(up) = fleet.upstreams.get_mut(&upstream) {
                 up.is_ready = false;
             }
         }
-        (order, OrderEnd::Unsent) => {
+        (order, OrderResult::Unsent) => {
             revert(engine, order);
-            engine.doubt(now);
+            engine.mark_stale(now);
             if let Some(up) = fleet.upstreams.get_mut(&upstream) {
                 up.health.note_unreachable(now);
             }
@@ -226,9 +226,9 @@
         // The order may have been executed, or may still be.
         (Order::LoadModel(_), _) => {
             engine.loading = None;
-            engine.doubt(now);
+            engine.mark_stale(now);
         }
-        (_, _) => engine.doubt(now),
+        (_, _) => engine.mark_stale(now),
     }
     None
 }
@@ -239,10 +239,12 @@
     order: Order,
 ) {
     match order {
-        Order::Load { adapter, .. } => engine.places.retain(|place| place.adapter != adapter),
+        Order::Load { adapter, .. } => engine
+            .residents
+            .retain(|resident| resident.adapter != adapter),
         Order::Unload { adapter, .. } => {
-            if let Some(place) = engine.place_mut(adapter) {
-                place.state = ResidentState::Loaded;
+            if let Some(resident) = engine.resident_mut(adapter) {
+                resident.state = ResidentState::Loaded;
             }
         }
         Order::LoadModel(_) => engine.loading = None,
@@ -251,7 +253,7 @@
 
 fn load_reserved(
     engine: &mut Engine,
-    versions: &VersionBook,
+    versions: &AnnouncedVersions,
     upstream: UpstreamId,
     reserved: Option<(ModelId, crate::ids::AdapterVersion)>,
     load: &LoadSettings,
@@ -259,7 +261,7 @@
     now: Millis,
 ) -> Option<SchedulerAction> {
     let (model, adapter) = reserved?;
-    if !engine.takes_orders(now) || !engine.has_free_place(model) {
+    if !engine.can_take_order(now) || !engine.has_free_adapter_slot(model) {
         return None;
     }
     let plan = LoadPlan {
--- a/crates/core/src/scheduler/machine/admission.rs
+++ b/crates/core/src/scheduler/machine/admission.rs
@@ -8,7 +8,7 @@
         ids::{AccountId, AdapterVersion, RequestId, ServiceId},
         queue::{Priority, QueuedRequest, Target},
         rights::Charge,
-        scheduler::{Job, Work, repeat_budget::RepeatBudget},
+        scheduler::{Job, Work, retry_budget::RetryBudget},
     },
 };
 
@@ -29,7 +29,7 @@
         let budget = self
             .retry_budgets
             .entry(job.service)
-            .or_insert_with(|| RepeatBudget::taken_over(taken_over_at));
+            .or_insert_with(|| RetryBudget::taken_over(taken_over_at));
         if job.attempt <= 1 {
             budget.note_request(&self.settings.repeats, now);
             return Ok(());
@@ -105,15 +105,15 @@
 
     /// The latest time to send a request that can still be on time, behind a full engine backlog
     /// and its own prompt.
-    pub(super) fn timely_until(
+    pub(super) fn latest_send_at(
         &self,
         job: &Job,
     ) -> Millis {
         let needed = match job.generation() {
-            None => self.settings.least_call,
+            None => self.settings.min_call_time,
             Some(generation) => {
                 let tokens = f64::from(generation.size.prompt);
-                let read_ms = self.fleet.read_line(job.service).time_for(tokens);
+                let read_ms = self.fleet.prefill_time(job.service).time_for(tokens);
                 self.settings.engine_backlog + Millis(read_ms as u64) + DISPATCH_DELAY
             }
         };
@@ -126,8 +126,8 @@
         job: &Job,
     ) -> Millis {
         match job.work {
-            Work::Call => self.settings.least_call,
-            Work::Generation(_) => self.settings.least_generation,
+            Work::Call => self.settings.min_call_time,
+            Work::Generation(_) => self.settings.min_generation_time,
         }
     }
 }
--- a/crates/core/src/scheduler/machine/decisions.rs
+++ b/crates/core/src/scheduler/machine/decisions.rs
@@ -72,7 +72,7 @@
 
     /// Interval between checks of all engines.
     pub(super) fn engine_check_interval(&self) -> Millis {
-        MIN_ENGINE_CHECK_INTERVAL.max(FleetTotals::pause(self.fleet.upstreams.len()))
+        MIN_ENGINE_CHECK_INTERVAL.max(FleetTotals::refresh_interval(self.fleet.upstreams.len()))
     }
 
     /// Time to evaluate all queued requests; zero for a short queue.
@@ -128,9 +128,9 @@
             return;
         }
         let Self { fleet, reports, .. } = self;
-        let mut ask = |engine| fleet.engine_mut(engine)?.ask_report(now);
+        let mut ask = |engine| fleet.engine_mut(engine)?.start_report_request(now);
         while let Some(upstream) = reports.next(&mut ask) {
-            actions.push(Action::AskReport { upstream });
+            actions.push(Action::RequestReport { upstream });
         }
     }
 
@@ -234,8 +234,9 @@
                     let Some(entry) = entries.get_mut(&waiting.request) else {
                         return true;
                     };
-                    let until = entry.timely_until;
-                    let is_deferred = now < entry.look_at && entry.look_epoch == *evaluation_epoch;
+                    let until = entry.latest_send_at;
+                    let is_deferred =
+                        now < entry.evaluate_at && entry.evaluation_epoch == *evaluation_epoch;
                     if is_deferred
                         || (phase == DispatchPhase::OnTime
                             && !on_time.contains(&(until, waiting.request)))
@@ -243,7 +244,7 @@
                         return false;
                     }
                     evaluations += 1;
-                    entry.look_epoch = *evaluation_epoch;
+                    entry.evaluation_epoch = *evaluation_epoch;
                     fleet.prepare(&entry.job);
                     let selection = SelectionContext {
                         fleet,
@@ -270,7 +271,7 @@
                         *cold_load = fleet.cold_time(&settings.loads, now);
                     }
                     if send.is_none() {
-                        entry.look_at = now + evaluation_interval;
+                        entry.evaluate_at = now + evaluation_interval;
                         entry.waits_for(wait_reason, now);
                     }
                     sent = send;
@@ -301,7 +302,7 @@
         self.fleet.assign(upstream, request, adapter, load, now);
         self.update_queued_work(&job, false);
         let entry = self.entries.get_mut(&request)?;
-        self.on_time.remove(&(entry.timely_until, request));
+        self.on_time.remove(&(entry.latest_send_at, request));
         entry.stage = Stage::Running { upstream, adapter };
         let waited_for = entry.waited_for(now);
         self.waits.add_all(&entry.waited);
@@ -371,7 +372,7 @@
             Stage::Waiting => {
                 entry.waits_for(entry.waits_for, now);
                 self.waits.add_all(&entry.waited);
-                self.on_time.remove(&(entry.timely_until, request));
+                self.on_time.remove(&(entry.latest_send_at, request));
                 self.queue.cancel(request, now);
                 self.update_queued_work(&entry.job, false);
                 false
@@ -380,7 +381,8 @@
                 let total = entry.job.generation().map_or(0, |g| g.size.total());
                 self.fleet.release(upstream, request, adapter, total, now);
                 let load = self.settings.loads;
-                self.fleet.learn(upstream, adapter, outcome, &load, now);
+                self.fleet
+                    .record_outcome(upstream, adapter, outcome, &load, now);
                 true
             }
         };
--- a/crates/core/src/scheduler/machine/events.rs
+++ b/crates/core/src/scheduler/machine/events.rs
@@ -8,11 +8,12 @@
         ids::{AccountId, AdapterId, AdapterVersion, RequestId, ServiceId, UpstreamId},
         rights::{Charge, Limit},
         scheduler::{
-            Adopted, EngineFacts, EngineLimits, Job, Order, OrderEnd, Outcome, OwnDecision, Rest,
-            RightsShare, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamFacts,
-            WaitReason, WaitTimes, loads,
-            running::{Entry, Stage},
-            version_book::Announcement,
+            EngineLimits, EngineStatus, Job, Order, OrderResult, Outcome, PausedEngines,
+            RateDecision, RateShare, RunningRequest, SchedulerAction as Action, SchedulerSettings,
+            Ticket, UpstreamStatus, WaitReason, WaitTimes,
+            announced_versions::Announcement,
+            loads,
+            running::{Stage, TrackedRequest},
         },
     },
     std::collections::{BTreeMap, HashMap},
@@ -27,28 +28,28 @@
     pub fn set_role(
         &mut self,
         can_order: bool,
-        share: RightsShare,
+        share: RateShare,
         now: Millis,
     ) {
         if can_order && !self.can_order {
             self.evictions_allowed_at = match share {
-                RightsShare::Fresh => now,
-                RightsShare::TakenOver | RightsShare::Part(_) => now + TAKEOVER_EVICTION_DELAY,
+                RateShare::Fresh => now,
+                RateShare::TakenOver | RateShare::Part(_) => now + TAKEOVER_EVICTION_DELAY,
             };
-            let orders_from = match share {
-                RightsShare::Fresh => now,
-                RightsShare::TakenOver | RightsShare::Part(_) => now + self.settings.order_gap,
+            let orders_allowed_at = match share {
+                RateShare::Fresh => now,
+                RateShare::TakenOver | RateShare::Part(_) => now + self.settings.order_gap,
             };
-            self.fleet.orders_from = orders_from;
-            if share != RightsShare::Fresh {
+            self.fleet.orders_allowed_at = orders_allowed_at;
+            if share != RateShare::Fresh {
                 self.taken_over_at = Some(now);
                 self.retry_budgets.clear();
             }
             for (_, engine) in self.fleet.engines_mut() {
-                engine.has_order = false;
-                engine.rests = false;
-                engine.orders_from = orders_from;
-                engine.doubt(Millis::ZERO);
+                engine.has_pending_order = false;
+                engine.is_order_paused = false;
+                engine.orders_allowed_at = orders_allowed_at;
+                engine.mark_stale(Millis::ZERO);
             }
         }
         self.can_order = can_order;
@@ -61,9 +62,9 @@
         &mut self,
         now: Millis,
     ) {
-        self.fleet.orders_from = now;
+        self.fleet.orders_allowed_at = now;
         for (_, engine) in self.fleet.engines_mut() {
-            engine.orders_from = now;
+            engine.orders_allowed_at = now;
         }
     }
 
@@ -76,7 +77,7 @@
     ) {
         let gap = self.settings.order_gap;
         if let Some(engine) = self.fleet.engine_mut(upstream) {
-            engine.orders_from = engine.orders_from.min(now + gap.since(idle_time));
+            engine.orders_allowed_at = engine.orders_allowed_at.min(now + gap.since(idle_time));
         }
     }
 
@@ -86,14 +87,14 @@
     /// order. Stopping half of the engines early lets it load adapters on those at once.
     pub fn rest(
         &mut self,
-        engines: Rest,
+        engines: PausedEngines,
     ) {
         let step = match engines {
-            Rest::EverySecond => 2,
-            Rest::All => 1,
+            PausedEngines::EverySecond => 2,
+            PausedEngines::All => 1,
         };
         for (_, engine) in self.fleet.engines_mut().step_by(step) {
-            engine.rests = true;
+            engine.is_order_paused = true;
         }
     }
 
@@ -111,10 +112,10 @@
             .values()
             .filter_map(|up| Some((up.id, up.engine.as_ref()?)));
         engines
-            .filter(|(_, engine)| !engine.has_order)
+            .filter(|(_, engine)| !engine.has_pending_order)
             .map(|(id, engine)| {
-                let previous_order_at = engine.orders_from.since(self.settings.order_gap);
-                (id, now.since(engine.ordered_at.max(previous_order_at)))
+                let previous_order_at = engine.orders_allowed_at.since(self.settings.order_gap);
+                (id, now.since(engine.last_order_at.max(previous_order_at)))
             })
             .collect()
     }
@@ -148,7 +149,7 @@
     pub fn set_upstream(
         &mut self,
         id: UpstreamId,
-        facts: &UpstreamFacts,
+        facts: &UpstreamStatus,
         now: Millis,
     ) -> Vec<Action> {
         let load = self.settings.loads;
@@ -179,7 +180,7 @@
     pub fn report(
         &mut self,
         id: UpstreamId,
-        facts: Option<&EngineFacts>,
+        facts: Option<&EngineStatus>,
         now: Millis,
     ) -> Vec<Action> {
         self.reports.note_answer(id);
@@ -210,7 +211,7 @@
         &mut self,
         upstream: UpstreamId,
         order: Order,
-        end: OrderEnd,
+        end: OrderResult,
         now: Millis,
     ) -> Vec<Action> {
         let load = self.settings.loads;
@@ -257,7 +258,7 @@
         }
         self.next_request += 1;
         self.update_queued_work(&job, true);
-        self.on_time.insert((self.timely_until(&job), request));
+        self.on_time.insert((self.latest_send_at(&job), request));
         self.add_entry(request, ticket, job, Stage::Waiting, charge, now);
         self.decide(now)
     }
@@ -273,11 +274,11 @@
         now: Millis,
     ) {
         self.by_ticket.insert(ticket, request);
-        let entry = Entry {
+        let entry = TrackedRequest {
             ticket,
-            timely_until: self.timely_until(&job),
-            look_at: Millis::ZERO,
-            look_epoch: self.evaluation_epoch,
+            latest_send_at: self.latest_send_at(&job),
+            evaluate_at: Millis::ZERO,
+            evaluation_epoch: self.evaluation_epoch,
             waits_for: WaitReason::Turn,
             waits_since: now,
             waited: WaitTimes::default(),
@@ -294,12 +295,12 @@
         &mut self,
         account: AccountId,
         cost: u64,
-        decided: OwnDecision,
+        decided: RateDecision,
         now: Millis,
     ) {
         match decided {
-            OwnDecision::LetThrough => self.rates.note_own_use(account, cost, now),
-            OwnDecision::OverRate => self.rates.note_own_refusal(account, now),
+            RateDecision::Admitted => self.rates.note_local_admission(account, cost, now),
+            RateDecision::RateLimited => self.rates.note_local_rejection(account, now),
         }
     }
 
@@ -331,15 +332,15 @@
         if let (Some(engine), Some(generation)) =
             (self.fleet.engine_mut(upstream), entry.job.generation())
         {
-            let reading = engine.backlog.read(request, now);
+            let reading = engine.backlog.finish_prefill(request, now);
             engine
                 .prefixes
                 .note(generation.adapter, &generation.parts, now);
             if let Some(adapter) = adapter {
-                engine.note_ready(adapter);
+                engine.note_loaded(adapter);
             }
             if let Some(reading) = reading {
-                self.fleet.note_reading(entry.job.service, reading);
+                self.fleet.note_prefill(entry.job.service, reading);
             }
         }
         self.decide(now)
@@ -361,10 +362,10 @@
     /// Adds a request that was already running when this scheduler took over.
     pub fn adopt(
         &mut self,
-        adopted: Adopted,
+        adopted: RunningRequest,
         now: Millis,
     ) {
-        let Adopted {
+        let RunningRequest {
             ticket,
             job,
             upstream,
--- a/crates/core/src/scheduler/machine/mod.rs
+++ b/crates/core/src/scheduler/machine/mod.rs
@@ -3,9 +3,9 @@
 
 use {
     super::{
-        RightsShare, SchedulerSettings, Ticket, WaitTimes, fleet::Fleet, loads::ModelLoads,
-        repeat_budget::RepeatBudget, report_line::ReportLine, rights::AccountRates, running::Entry,
-        version_book::VersionBook,
+        RateShare, SchedulerSettings, Ticket, WaitTimes, account_rates::AccountRates,
+        announced_versions::AnnouncedVersions, fleet::Fleet, loads::ModelLoads,
+        report_queue::ReportQueue, retry_budget::RetryBudget, running::TrackedRequest,
     },
     crate::{
         clock::Millis,
@@ -36,13 +36,13 @@
     /// Adapters may be evicted from this time on.
     evictions_allowed_at: Millis,
     fleet: Fleet,
-    versions: VersionBook,
+    versions: AnnouncedVersions,
     rates: AccountRates,
-    retry_budgets: HashMap<ServiceId, RepeatBudget>,
+    retry_budgets: HashMap<ServiceId, RetryBudget>,
     /// When this scheduler took over from another one, if it did.
     taken_over_at: Option<Millis>,
     queue: FairQueue,
-    entries: HashMap<RequestId, Entry>,
+    entries: HashMap<RequestId, TrackedRequest>,
     by_ticket: HashMap<Ticket, RequestId>,
     /// Number of queued requests by adapter.
     queued_by_adapter: HashMap<AdapterId, u32>,
@@ -52,7 +52,7 @@
     on_time: BTreeSet<(Millis, RequestId)>,
     model_loads: ModelLoads,
     engines_checked_at: Millis,
-    reports: ReportLine,
+    reports: ReportQueue,
     /// Incremented when all queued requests are to be evaluated again.
     evaluation_epoch: u64,
     /// Earliest time of the next increment of `evaluation_epoch`.
@@ -72,14 +72,14 @@
     /// Creates a standby with `share` of the account rates, which sends no orders.
     pub fn new(
         settings: SchedulerSettings,
-        share: RightsShare,
+        share: RateShare,
     ) -> Self {
         Self {
             settings,
             can_order: false,
             evictions_allowed_at: Millis::ZERO,
             fleet: Fleet::default(),
-            versions: VersionBook::default(),
+            versions: AnnouncedVersions::default(),
             rates: AccountRates::new(share),
             retry_budgets: HashMap::new(),
             taken_over_at: None,
@@ -94,7 +94,7 @@
             on_time: BTreeSet::new(),
             model_loads: ModelLoads::default(),
             engines_checked_at: Millis::ZERO,
-            reports: ReportLine::default(),
+            reports: ReportQueue::default(),
             evaluation_epoch: 0,
             next_epoch_at: Millis::ZERO,
             next_pass_at: Millis::ZERO,
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -14,7 +14,9 @@
 //!
 //! The module does no I/O: [`Scheduler`] takes events with the current time and returns actions.
 
+mod account_rates;
 mod action;
+mod announced_versions;
 mod backlog;
 mod choose;
 mod engine;
@@ -28,30 +30,28 @@
 mod local_usage;
 mod machine;
 mod outcome;
-mod place;
 mod prefill_estimator;
 mod prefix_cache;
-mod repeat_budget;
-mod report_line;
-mod rights;
+mod report_queue;
+mod resident;
+mod retry_budget;
 mod running;
 mod settings;
 mod upstream;
-mod version_book;
 mod wait_reason;
 mod wait_times;
 
 pub use {
+    account_rates::RateShare,
     action::{Order, SchedulerAction},
+    announced_versions::Announcement,
     engine::EngineLimits,
     job::{Generation, Job, Ticket, Work},
     machine::Scheduler,
-    outcome::{OrderEnd, Outcome, OwnDecision, Rest},
-    rights::RightsShare,
-    running::Adopted,
-    settings::{LoadSettings, RepeatSettings, SchedulerSettings},
-    upstream::{EngineFacts, UpstreamFacts},
-    version_book::Announcement,
+    outcome::{OrderResult, Outcome, PausedEngines, RateDecision},
+    running::RunningRequest,
+    settings::{LoadSettings, RetrySettings, SchedulerSettings},
+    upstream::{EngineStatus, UpstreamStatus},
     wait_reason::WaitReason,
     wait_times::WaitTimes,
 };
--- a/crates/core/src/scheduler/outcome.rs
+++ b/crates/core/src/scheduler/outcome.rs
@@ -28,11 +28,11 @@
 
 /// How an order to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderResult {
     /// The engine is executing the order.
     Accepted,
     /// The requested state is already in effect.
-    Holds,
+    AlreadyInEffect,
     /// The sequence number doesn't match, or the engine is busy.
     Conflict,
     /// The engine rejected the order for another reason.
@@ -47,7 +47,7 @@
 
 /// Engines that get no more orders before leadership is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum PausedEngines {
     /// Every second engine, so that the next scheduler can order these at once.
     EverySecond,
     /// All engines.
@@ -56,9 +56,9 @@
 
 /// Rate limit decision for a request, by any scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnDecision {
+pub enum RateDecision {
     /// The account was charged.
-    LetThrough,
+    Admitted,
     /// The account was over its rate.
-    OverRate,
+    RateLimited,
 }
--- a/crates/core/src/scheduler/report_line.rs
+++ b/crates/core/src/scheduler/report_queue.rs
@@ -8,7 +8,7 @@
 
 /// Queue of engines to request reports from, and the pending requests.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ReportLine {
+pub(super) struct ReportQueue {
     /// Engines that a request is waiting for.
     urgent: VecDeque<UpstreamId>,
     due: VecDeque<UpstreamId>,
@@ -16,7 +16,7 @@
     pending: HashMap<UpstreamId, Millis>,
 }
 
-impl ReportLine {
+impl ReportQueue {
     /// Records that a request is waiting until the engine can take orders.
     pub(super) fn note_urgent(
         &mut self,
--- a/crates/core/src/scheduler/place.rs
+++ b/crates/core/src/scheduler/resident.rs
@@ -30,7 +30,7 @@
 
 /// An adapter that occupies one of an engine's adapter slots.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct ResidentAdapter {
     pub model: ModelId,
     pub adapter: AdapterVersion,
     pub state: ResidentState,
@@ -42,7 +42,7 @@
     pub accepted_at: Option<Millis>,
 }
 
-impl Place {
+impl ResidentAdapter {
     pub(super) fn new(
         model: ModelId,
         adapter: AdapterVersion,
@@ -59,7 +59,7 @@
     }
 
     /// Whether requests can be sent to it; a load counts as finished at its expected time.
-    pub(super) fn is_present(
+    pub(super) fn is_loaded(
         &self,
         now: Millis,
     ) -> bool {
--- a/crates/core/src/scheduler/repeat_budget.rs
+++ b/crates/core/src/scheduler/retry_budget.rs
@@ -1,4 +1,4 @@
-use {super::RepeatSettings, crate::clock::Millis, std::collections::VecDeque};
+use {super::RetrySettings, crate::clock::Millis, std::collections::VecDeque};
 
 /// Number of buckets in the sliding window.
 const BUCKETS: u64 = 10;
@@ -20,17 +20,17 @@
 ///
 /// Without it, retries of failed requests would overload the upstreams that still work.
 #[derive(Clone, Debug, Default)]
-pub(super) struct RepeatBudget {
+pub(super) struct RetryBudget {
     buckets: VecDeque<Bucket>,
     /// When this scheduler took over from a previous one.
     taken_over_at: Option<Millis>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Records the first attempt of a request.
     pub(super) fn note_request(
         &mut self,
-        settings: &RepeatSettings,
+        settings: &RetrySettings,
         now: Millis,
     ) {
         self.bucket(settings, now).requests += 1;
@@ -47,7 +47,7 @@
     /// Takes one retry from the budget; returns whether one was left.
     pub(super) fn take(
         &mut self,
-        settings: &RepeatSettings,
+        settings: &RetrySettings,
         now: Millis,
     ) -> bool {
         self.bucket(settings, now);
@@ -72,7 +72,7 @@
     /// The bucket for `now`; drops those outside the window.
     fn bucket(
         &mut self,
-        settings: &RepeatSettings,
+        settings: &RetrySettings,
         now: Millis,
     ) -> &mut Bucket {
         let length = (settings.window.0 / BUCKETS).max(1);
--- a/crates/core/src/scheduler/running.rs
+++ b/crates/core/src/scheduler/running.rs
@@ -9,7 +9,7 @@
 
 /// A request that is already running when a scheduler takes over, as reported by its VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Adopted {
+pub struct RunningRequest {
     /// The request's attempt.
     pub ticket: Ticket,
     /// The request itself.
@@ -36,16 +36,16 @@
 
 /// A request known to the scheduler.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct TrackedRequest {
     pub ticket: Ticket,
     pub job: Job,
     pub stage: Stage,
     /// When it must be sent at the latest to meet its objective.
-    pub timely_until: Millis,
+    pub latest_send_at: Millis,
     /// When to evaluate it again, unless the epoch has changed.
-    pub look_at: Millis,
+    pub evaluate_at: Millis,
     /// The epoch in which it was last evaluated.
-    pub look_epoch: u64,
+    pub evaluation_epoch: u64,
     /// What it is waiting for, and since when.
     pub waits_for: WaitReason,
     pub waits_since: Millis,
@@ -57,7 +57,7 @@
     pub forget_at: Millis,
 }
 
-impl Entry {
+impl TrackedRequest {
     /// Changes what the request is waiting for.
     pub(super) fn waits_for(
         &mut self,
--- a/crates/core/src/scheduler/settings.rs
+++ b/crates/core/src/scheduler/settings.rs
@@ -2,7 +2,7 @@
 
 /// Retry budget of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatSettings {
+pub struct RetrySettings {
     /// Allowed retries per request.
     pub ratio: f64,
     /// Additional retries per window.
@@ -11,7 +11,7 @@
     pub window: Millis,
 }
 
-impl Default for RepeatSettings {
+impl Default for RetrySettings {
     /// The defaults where the platform sets no budget.
     fn default() -> Self {
         Self {
@@ -32,7 +32,7 @@
     /// Cold loads over all engines that can run concurrently at full speed.
     pub max_concurrent_cold: u32,
     /// Upper bound of concurrent loads on one engine.
-    pub per_engine: usize,
+    pub max_per_engine: usize,
     /// Recently unloaded adapters that an engine can reload quickly.
     pub warm_capacity: usize,
 }
@@ -44,7 +44,7 @@
             cold: Millis(250),
             warm: Millis(25),
             max_concurrent_cold: 8,
-            per_engine: 4,
+            max_per_engine: 4,
             warm_capacity: 25,
         }
     }
@@ -60,11 +60,11 @@
     /// Share of an engine's KV cache to fill, in percent.
     ///
     /// The rest absorbs longer outputs and rounding; a full engine preempts running streams.
-    pub memory_percent: u64,
+    pub kv_fill_percent: u64,
     /// Minimum time of a generation from its assignment to its first event.
-    pub least_generation: Millis,
+    pub min_generation_time: Millis,
     /// Minimum duration of a call.
-    pub least_call: Millis,
+    pub min_call_time: Millis,
     /// How long an older adapter version may be used while the newer one is loaded.
     pub version_grace: Millis,
     /// How long a new scheduler sends no orders.
@@ -75,20 +75,20 @@
     /// Adapter loading.
     pub loads: LoadSettings,
     /// Retry budget of each service.
-    pub repeats: RepeatSettings,
+    pub repeats: RetrySettings,
 }
 
 impl Default for SchedulerSettings {
     fn default() -> Self {
         Self {
             engine_backlog: Millis(150),
-            memory_percent: 90,
-            least_generation: Millis(120),
-            least_call: Millis(30),
+            kv_fill_percent: 90,
+            min_generation_time: Millis(120),
+            min_call_time: Millis(30),
             version_grace: Millis(2_000),
             order_gap: Millis::ZERO,
             loads: LoadSettings::default(),
-            repeats: RepeatSettings::default(),
+            repeats: RetrySettings::default(),
         }
     }
 }
--- a/crates/core/src/scheduler/upstream.rs
+++ b/crates/core/src/scheduler/upstream.rs
@@ -1,5 +1,5 @@
 use {
-    super::{engine::Engine, health::Health, place::ResidentState},
+    super::{engine::Engine, health::Health, resident::ResidentState},
     crate::{
         clock::Millis,
         ids::{AdapterVersion, DataCentreId, ModelId, ServiceId, UpstreamId},
@@ -20,7 +20,7 @@
 
 /// The models and adapters of an engine, from its store entry or its own report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EngineFacts {
+pub struct EngineStatus {
     /// Orders accepted since the engine started; only in its own report.
     pub seq: Option<u64>,
     /// Base models that are loaded.
@@ -35,7 +35,7 @@
 
 /// An upstream's store entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UpstreamFacts {
+pub struct UpstreamStatus {
     /// The service it belongs to.
     pub service: ServiceId,
     /// Its data centre, if known.
@@ -47,9 +47,9 @@
     /// Remaining time during which it is slow after its start.
     pub cold: Millis,
     /// Identifies the current run of the upstream; changes with each restart.
-    pub started: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Its models and adapters, if it is an engine.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineStatus>,
 }
 
 /// An upstream, with its load and health.
@@ -60,7 +60,7 @@
     pub data_centre: Option<DataCentreId>,
     pub slots: u32,
     pub is_ready: bool,
-    pub started: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     pub warmup_until: Millis,
     pub health: Health,
     /// Assigned requests that have not ended.
@@ -73,7 +73,7 @@
 impl Upstream {
     pub(super) fn new(
         id: UpstreamId,
-        status: &UpstreamFacts,
+        status: &UpstreamStatus,
         engine: Option<Engine>,
         now: Millis,
     ) -> Self {
@@ -83,7 +83,7 @@
             data_centre: status.data_centre,
             slots: status.slots,
             is_ready: status.is_ready,
-            started: status.started,
+            started_unix_ms: status.started_unix_ms,
             warmup_until: now + status.cold,
             health: Health::default(),
             running: 0,
@@ -95,16 +95,16 @@
     /// Updates the upstream from its store entry.
     pub(super) fn update(
         &mut self,
-        status: &UpstreamFacts,
+        status: &UpstreamStatus,
         now: Millis,
     ) {
-        let restarted = status.started != self.started;
+        let restarted = status.started_unix_ms != self.started_unix_ms;
         self.service = status.service;
         self.data_centre = status.data_centre;
         self.slots = status.slots;
         self.is_ready = status.is_ready;
         self.warmup_until = now + status.cold;
-        self.started = status.started;
+        self.started_unix_ms = status.started_unix_ms;
         if restarted {
             self.health = Health::default();
         }
@@ -118,8 +118,8 @@
         &self,
         adapter: Option<AdapterVersion>,
     ) -> bool {
-        let place = adapter.and_then(|adapter| self.engine.as_ref()?.place(adapter));
-        place.is_some_and(|place| matches!(place.state, ResidentState::Loading { .. }))
+        let resident = adapter.and_then(|adapter| self.engine.as_ref()?.resident(adapter));
+        resident.is_some_and(|resident| matches!(resident.state, ResidentState::Loading { .. }))
     }
 
     /// Records that the adapter was expected to be loaded and was not.
@@ -166,7 +166,7 @@
     }
 
     /// Whether a slot is free or is expected to be free when one more call arrives.
-    pub(super) const fn takes_calls(&self) -> bool {
+    pub(super) const fn can_take_call(&self) -> bool {
         self.running < self.slots + self.slots.div_ceil(SLOTS_PER_QUEUED_CALL)
     }
 }
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -9,7 +9,7 @@
     /// A free slot of an upstream that is not an engine.
     CallSlot,
     /// The prefill backlog of its best engine.
-    Prompts,
+    Prefill,
     /// A slot or KV cache memory of its best engine.
     Memory,
     /// A load of its adapter that is in progress.
@@ -17,7 +17,7 @@
     /// An engine that can take the order to load its adapter.
     Order,
     /// An adapter slot: none can be freed.
-    Place,
+    AdapterSlot,
 }
 
 impl WaitReason {
@@ -26,15 +26,15 @@
         Self::Turn,
         Self::NoUpstream,
         Self::CallSlot,
-        Self::Prompts,
+        Self::Prefill,
         Self::Memory,
         Self::Load,
         Self::Order,
-        Self::Place,
+        Self::AdapterSlot,
     ];
 
     /// The reason with this name.
-    pub fn from_word(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.as_str() == name)
     }
 
@@ -44,11 +44,11 @@
             Self::Turn => "turn",
             Self::NoUpstream => "no_upstream",
             Self::CallSlot => "call_slot",
-            Self::Prompts => "prompts",
+            Self::Prefill => "prompts",
             Self::Memory => "memory",
             Self::Load => "load",
             Self::Order => "order",
-            Self::Place => "place",
+            Self::AdapterSlot => "place",
         }
     }
 }
--- a/crates/core/tests/adapter_loads.rs
+++ b/crates/core/tests/adapter_loads.rs
@@ -7,7 +7,8 @@
         clock::Millis,
         ids::{AdapterId, UpstreamId},
         scheduler::{
-            Announcement, Order, OrderEnd, Outcome, Rest, RightsShare, SchedulerSettings, Work,
+            Announcement, Order, OrderResult, Outcome, PausedEngines, RateShare, SchedulerSettings,
+            Work,
         },
     },
     scheduler_world::{ENGINES, World, engine, generation, limits, version},
@@ -27,7 +28,7 @@
     world.engines_answer = false;
     let request = world.generate(9);
     assert_eq!(world.orders.len(), 1, "one slot is being freed");
-    world.pass(60);
+    world.advance(60);
     assert_eq!(
         world.orders.len(),
         1,
@@ -35,11 +36,11 @@
         world.orders
     );
     let (upstream, unload) = world.unanswered.remove(0);
-    world.answer(upstream, unload, OrderEnd::Holds);
+    world.answer(upstream, unload, OrderResult::AlreadyInEffect);
     let (upstream, load) = world.unanswered.remove(0);
-    world.answer(upstream, load, OrderEnd::Accepted);
+    world.answer(upstream, load, OrderResult::Accepted);
     assert_eq!(world.loads_of(9), 1);
-    world.pass(300);
+    world.advance(300);
     assert_eq!(world.sent_to(request), Some(upstream));
 }
 
@@ -53,10 +54,10 @@
     let second = world.generate(2);
     world.first_event(second);
     let third = world.generate(3);
-    world.pass(200);
+    world.advance(200);
     assert_eq!(world.orders, [], "no adapter can be evicted");
     world.end(first, Outcome::Answered { took: world.now });
-    world.pass(400);
+    world.advance(400);
     assert_eq!(world.sent_to(third), Some(UpstreamId(0)));
     let dropped = world.orders.iter().find_map(|(_, order)| match order {
         Order::Unload { adapter, .. } => Some(adapter.adapter),
@@ -75,7 +76,7 @@
     for _ in 0..3 {
         world.generate(1);
     }
-    world.pass(100);
+    world.advance(100);
     assert_eq!(world.loads_of(1), 0);
 }
 
@@ -89,7 +90,7 @@
     for _ in 0..30 {
         world.generate(1);
     }
-    world.pass(100);
+    world.advance(100);
     assert_eq!(world.loads_of(1), 1);
 }
 
@@ -102,7 +103,7 @@
     let mut job = generation(3, world.now);
     job.avoid = vec![];
     let request = world.place(job);
-    world.pass(300);
+    world.advance(300);
     let at = world.sent_to(request).expect("served after one load");
     world.end(request, Outcome::Answered { took: world.now });
     let dropped = world.orders.iter().find_map(|(_, order)| match order {
@@ -112,7 +113,7 @@
     let dropped = dropped.expect("an adapter was evicted");
     world.add_engine(UpstreamId(1), &[]);
     let again = world.generate(dropped);
-    world.pass(100);
+    world.advance(100);
     assert_eq!(world.sent_to(again), Some(at));
 }
 
@@ -124,7 +125,7 @@
     let request = world.generate(7);
     assert_eq!(world.loads_of(7), 1);
     world.report(UpstreamId(0), &engine(Some(0), &[]));
-    world.pass(300);
+    world.advance(300);
     assert_eq!(world.loads_of(7), 1, "the load is still in progress");
     assert_eq!(world.sent_to(request), Some(UpstreamId(0)));
 }
@@ -137,15 +138,15 @@
     world.engines_answer = false;
     let request = world.generate(7);
     let (upstream, order) = world.unanswered.remove(0);
-    world.answer(upstream, order, OrderEnd::Lost);
+    world.answer(upstream, order, OrderResult::Lost);
     assert_eq!(
         world.unanswered,
         [(upstream, order)],
         "the same order is sent again at once"
     );
     world.unanswered.clear();
-    world.answer(upstream, order, OrderEnd::Accepted);
-    world.pass(300);
+    world.answer(upstream, order, OrderResult::Accepted);
+    world.advance(300);
     assert_eq!(world.sent_to(request), Some(upstream));
 }
 
@@ -159,7 +160,7 @@
     let asked = world.reports_asked.len();
     for _ in 0..2 {
         let (upstream, order) = world.unanswered.remove(0);
-        world.answer(upstream, order, OrderEnd::Lost);
+        world.answer(upstream, order, OrderResult::Lost);
     }
     world.generate(8);
     assert_eq!(
@@ -167,7 +168,7 @@
         2,
         "no orders while its state is unknown"
     );
-    world.pass(400);
+    world.advance(400);
     assert!(world.reports_asked.len() > asked);
     world.report(UpstreamId(0), &engine(Some(1), &[7]));
     assert_eq!(world.loads_of(8), 1, "orders resume after the report");
@@ -182,7 +183,7 @@
     world.generate(9);
     for _ in 0..20 {
         if let Some((upstream, order)) = world.unanswered.pop() {
-            world.answer(upstream, order, OrderEnd::Unsent);
+            world.answer(upstream, order, OrderResult::Unsent);
         }
     }
     assert_eq!(world.orders.len(), 1);
@@ -207,7 +208,7 @@
         "served by version 1 meanwhile"
     );
     world.first_event(during);
-    world.pass(400);
+    world.advance(400);
     let load = Order::Load {
         model: scheduler_world::MODEL,
         adapter: version(1, 2),
@@ -230,7 +231,7 @@
     // Guards against two schedulers that send orders to the same engine.
     let mut world = World::with(1, SchedulerSettings::default(), false);
     world.generate(7);
-    world.pass(1_000);
+    world.advance(1_000);
     assert_eq!(world.orders, []);
 }
 
@@ -245,7 +246,7 @@
     world.add_engine(UpstreamId(0), &[1]);
     let request = world.generate(1);
     assert_eq!(world.decision(request), None, "version 1 must not be used");
-    world.pass(400);
+    world.advance(400);
     assert_eq!(
         world.decision(request),
         Some(scheduler_world::Decision::Sent(UpstreamId(0), Some(2)))
@@ -259,12 +260,12 @@
     let mut world = World::with(0, SchedulerSettings::default(), false);
     world
         .scheduler
-        .set_role(true, RightsShare::TakenOver, world.now);
+        .set_role(true, RateShare::TakenOver, world.now);
     world.add_engine(UpstreamId(0), &[1, 2]);
     let request = world.generate(9);
-    world.pass(300);
+    world.advance(300);
     assert_eq!(world.orders, []);
-    world.pass(600);
+    world.advance(600);
     assert_eq!(world.loads_of(9), 1);
     assert!(world.sent_to(request).is_some());
 }
@@ -281,9 +282,9 @@
     let Order::Unload { adapter, .. } = unload else {
         panic!("expected an unload order: {unload:?}");
     };
-    world.answer(upstream, unload, OrderEnd::Accepted);
+    world.answer(upstream, unload, OrderResult::Accepted);
     world.report(upstream, &engine(Some(1), &[1, 2]));
-    world.pass(300);
+    world.advance(300);
     assert_eq!(world.orders.len(), 1, "no orders while it waits");
     let left = 3 - adapter.adapter.0;
     world.report(upstream, &engine(Some(1), &[left]));
@@ -299,15 +300,15 @@
         ..SchedulerSettings::default()
     };
     let mut world = World::with(0, settings, false);
-    let share = RightsShare::TakenOver;
+    let share = RateShare::TakenOver;
     world.scheduler.set_role(true, share, world.now);
     world.add_engine(UpstreamId(0), &[]);
     let request = world.generate(9);
-    world.pass(2_900);
+    world.advance(2_900);
     assert_eq!((world.orders.len(), world.reports_asked.len()), (0, 0));
-    world.pass(200);
+    world.advance(200);
     assert_eq!(world.loads_of(9), 1);
-    world.pass(400);
+    world.advance(400);
     assert!(world.sent_to(request).is_some());
 }
 
@@ -318,7 +319,7 @@
         ..SchedulerSettings::default()
     };
     let mut world = World::with(engines, settings, false);
-    let share = RightsShare::TakenOver;
+    let share = RateShare::TakenOver;
     world.scheduler.set_role(true, share, world.now);
     for id in 0..engines {
         world.report(UpstreamId(id), &engine(Some(0), &[]));
@@ -338,14 +339,14 @@
         .scheduler
         .note_rested(UpstreamId(0), Millis(1_000), world.now);
     let request = world.generate(9);
-    world.pass(400);
+    world.advance(400);
     assert_eq!(world.sent_to(request), Some(UpstreamId(1)));
     assert!(world.orders.iter().all(|(of, _)| *of == UpstreamId(1)));
-    world.pass(1_700);
+    world.advance(1_700);
     for adapter in 10..16 {
         world.generate(adapter);
     }
-    world.pass(400);
+    world.advance(400);
     let has_order_for_other = world.orders.iter().any(|(of, _)| *of == UpstreamId(0));
     assert!(
         has_order_for_other,
@@ -363,16 +364,16 @@
     };
     let mut world = World::with(0, settings, false);
     world.scheduler.set_engines(HashMap::new());
-    let share = RightsShare::TakenOver;
+    let share = RateShare::TakenOver;
     world.scheduler.set_role(true, share, world.now);
     world.add_engine(UpstreamId(0), &[]);
     let engines = HashMap::from([(ENGINES, limits())]);
     world.scheduler.set_engines(engines);
     world.report(UpstreamId(0), &engine(Some(0), &[]));
     world.generate(9);
-    world.pass(2_900);
+    world.advance(2_900);
     assert_eq!(world.orders, []);
-    world.pass(200);
+    world.advance(200);
     assert_eq!(world.loads_of(9), 1);
 }
 
@@ -383,7 +384,7 @@
     let mut world = world_after_takeover(1);
     world.scheduler.continue_own_orders(world.now);
     let request = world.generate(9);
-    world.pass(400);
+    world.advance(400);
     assert!(world.sent_to(request).is_some());
 }
 
@@ -392,19 +393,19 @@
     // Guards against a planned stop after which the next scheduler must wait the order gap on every
     // engine.
     let mut world = World::leading(4);
-    world.scheduler.rest(Rest::EverySecond);
+    world.scheduler.rest(PausedEngines::EverySecond);
     for adapter in 1..5 {
         world.generate(adapter);
     }
-    world.pass(400);
+    world.advance(400);
     let ordered: Vec<u32> = world.orders.iter().map(|(of, _)| of.0).collect();
     assert!(!ordered.is_empty());
     assert!(ordered.iter().all(|of| of % 2 == 1), "{ordered:?}");
-    world.pass(3_000);
-    world.scheduler.rest(Rest::All);
+    world.advance(3_000);
+    world.scheduler.rest(PausedEngines::All);
     let before = world.orders.len();
     world.generate(7);
-    world.pass(400);
+    world.advance(400);
     assert_eq!(
         world.orders.len(),
         before,
@@ -420,8 +421,8 @@
     // Guards against reporting an engine as idle for longer than this scheduler has led: the
     // previous one may have sent it an order just before the takeover.
     let mut world = world_after_takeover(1);
-    world.pass(1_000);
-    world.scheduler.rest(Rest::All);
+    world.advance(1_000);
+    world.scheduler.rest(PausedEngines::All);
     assert_eq!(
         world.scheduler.rested(world.now),
         [(UpstreamId(0), Millis(1_000))]
@@ -436,17 +437,17 @@
     world.engines_answer = false;
     world.generate(7);
     let (upstream, order) = world.unanswered.remove(0);
-    world.answer(upstream, order, OrderEnd::Accepted);
-    world.pass(300);
+    world.answer(upstream, order, OrderResult::Accepted);
+    world.advance(300);
     world.generate(8);
     let (upstream, order) = world.unanswered.remove(0);
-    world.answer(upstream, order, OrderEnd::Conflict);
+    world.answer(upstream, order, OrderResult::Conflict);
     world.unanswered.clear();
-    world.pass(400);
+    world.advance(400);
     assert!(!world.reports_asked.is_empty());
     let before = world.orders.len();
     world.report(upstream, &engine(Some(0), &[7]));
-    world.pass(50);
+    world.advance(50);
     assert_eq!(
         world.orders.len(),
         before + 1,
@@ -467,7 +468,7 @@
             generation.parts.clear();
         }
         ready.push(world.place(job));
-        world.pass(100);
+        world.advance(100);
         // Engines process 40 prompt tokens per millisecond, and the answer is short.
         let sent: Vec<u64> = ready
             .iter()
@@ -475,7 +476,7 @@
             .filter(|&number| world.sent_to(number).is_some())
             .collect();
         if let Some(&number) = sent.first() {
-            world.pass(125);
+            world.advance(125);
             world.first_event(number);
             world.end(number, Outcome::Answered { took: Millis(225) });
             ready.retain(|&of| of != number);
--- a/crates/core/tests/calls_ahead.rs
+++ b/crates/core/tests/calls_ahead.rs
@@ -91,7 +91,7 @@
             end_notices.pop_front();
             world.end(number, Outcome::Answered { took: SERVICE_TIME });
         }
-        world.pass(1);
+        world.advance(1);
     }
     (on_time, calls.len())
 }
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -29,9 +29,9 @@
 
 /// Guards against a takeover that connects to all engines at once.
 #[test]
-fn reports_take_turns() {
+fn pending_report_requests_are_bounded() {
     let mut world = world_without_reports(1_000);
-    world.pass(200);
+    world.advance(200);
     assert!(world.reports_asked.len() <= MAX_PENDING_REPORTS);
     let mut asked = BTreeSet::new();
     for _ in 0..1_000 {
@@ -41,27 +41,27 @@
         for id in pending {
             world.report(id, &engine(Some(0), &[]));
         }
-        world.pass(1);
+        world.advance(1);
     }
     assert_eq!(asked.len(), 1_000);
 }
 
 /// Guards against a report that a request needs being queued behind those of idle engines.
 #[test]
-fn wanted_reports_come_first() {
+fn needed_reports_are_requested_first() {
     let mut world = world_without_reports(1_000);
-    world.pass(100);
+    world.advance(100);
     let number = world.generate(7);
     let mut answered = 0;
     while world.orders.is_empty() {
-        world.pass(5);
+        world.advance(5);
         for id in std::mem::take(&mut world.reports_asked) {
             world.report(id, &engine(Some(0), &[]));
             answered += 1;
         }
         assert!(answered < 200, "no order after {answered} reports");
     }
-    world.pass(300);
+    world.advance(300);
     assert!(world.sent_to(number).is_some());
 }
 
@@ -77,7 +77,7 @@
             let asked = world.now;
             waiting.extend([1, 1].map(|adapter| (asked, world.generate(adapter))));
         }
-        world.pass(5);
+        world.advance(5);
         waiting.retain(|&(asked, number)| {
             let is_sent = world.sent_to(number).is_some();
             if is_sent {
@@ -100,7 +100,7 @@
 
 /// Guards against waiting for an adapter slot on preferred engines while other engines are idle.
 #[test]
-fn idle_places_are_found() {
+fn idle_engines_are_found() {
     let mut world = World::leading(0);
     let busy = 180;
     for id in 0..200 {
@@ -110,10 +110,10 @@
         world.generate(1_000 + id);
         world.generate(2_000 + id);
     }
-    world.pass(200);
+    world.advance(200);
     let orders = world.orders.len();
     let asked: Vec<u64> = (1..=20).map(|adapter| world.generate(adapter)).collect();
-    world.pass(400);
+    world.advance(400);
     assert!(world.orders.len() > orders);
     let sent = asked
         .iter()
@@ -123,11 +123,11 @@
 
 /// Guards against preferred engines that are not updated when engines join or leave.
 #[test]
-fn preferences_follow_engines() {
+fn preferred_engines_follow_membership() {
     let mut world = World::leading(60);
     let used = |world: &mut World, adapters: std::ops::Range<u32>| -> BTreeSet<u32> {
         let numbers: Vec<u64> = adapters.map(|adapter| world.generate(adapter)).collect();
-        world.pass(600);
+        world.advance(600);
         let used = numbers.iter().filter_map(|&number| world.sent_to(number));
         let used = used.map(|id| id.0).collect();
         for number in numbers {
@@ -157,7 +157,7 @@
         let numbers: Vec<u64> = (0..4)
             .map(|at| world.generate(round % 20 * 4 + at))
             .collect();
-        world.pass(3);
+        world.advance(3);
         for number in numbers {
             world.first_event(number);
             world.end(number, Outcome::Answered { took: Millis(3) });
--- a/crates/core/tests/long_prompts.rs
+++ b/crates/core/tests/long_prompts.rs
@@ -6,7 +6,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{DataCentreId, UpstreamId},
-        scheduler::{Job, Outcome, UpstreamFacts, Work},
+        scheduler::{Job, Outcome, UpstreamStatus, Work},
     },
     scheduler_world::{World, engine, generation, upstream},
 };
@@ -42,7 +42,7 @@
 fn run(gap: Option<Millis>) -> (usize, usize) {
     let mut world = World::leading(0);
     world.add_engine(NEAR, &[1]);
-    let far = UpstreamFacts {
+    let far = UpstreamStatus {
         data_centre: Some(DataCentreId(1)),
         ..upstream(Some(engine(None, &[1])))
     };
@@ -51,7 +51,7 @@
     for _ in 0..STREAMS {
         let stream = world.place(job(400, gap, world.now));
         assert_eq!(world.sent_to(stream), Some(NEAR));
-        world.pass(20);
+        world.advance(20);
         world.first_event(stream);
     }
     let (mut paused, mut timely) = (0, 0);
@@ -64,18 +64,18 @@
             // engine.
             paused = STREAMS;
         }
-        world.pass(PREFILL_TIME.0);
+        world.advance(PREFILL_TIME.0);
         world.first_event(long);
         let took = world.now.since(asked);
         timely += usize::from(took <= Millis(1_000));
         world.end(long, Outcome::Answered { took });
-        world.pass(200);
+        world.advance(200);
     }
     (paused, timely)
 }
 
 #[test]
-fn streams_beside_long_prompts() {
+fn long_prompts_avoid_engines_with_streams() {
     // Guards against long prompts that stall streams while an engine in another data centre is
     // idle.
     assert_eq!(run(None), (STREAMS, 5));
--- a/crates/core/tests/scheduler_refusals.rs
+++ b/crates/core/tests/scheduler_refusals.rs
@@ -7,7 +7,7 @@
         clock::Millis,
         error::ErrorKind,
         ids::{AccountId, UpstreamId},
-        scheduler::{Job, Outcome, RepeatSettings, RightsShare, SchedulerSettings},
+        scheduler::{Job, Outcome, RateShare, RetrySettings, SchedulerSettings},
     },
     scheduler_world::{Decision, World, call, generation},
 };
@@ -67,7 +67,7 @@
             // The engine processes 1500 prompt tokens at 15 per millisecond.
             reading = next.map(|&(number, _)| (number, world.now + Millis(100)));
         }
-        world.pass(10);
+        world.advance(10);
     }
     (on_time, arrived.len())
 }
@@ -109,7 +109,7 @@
     for adapter in 10..20 {
         world.generate(adapter);
     }
-    world.pass(900);
+    world.advance(900);
     let other = world.generate(1);
     assert!(
         world.sent_to(other).is_some(),
@@ -134,7 +134,7 @@
     let (kind, after) = refusal(&world, last).expect("the burst allows five calls of 200 tokens");
     assert_eq!(kind, ErrorKind::RateLimited);
     let after = after.expect("a retry time");
-    world.pass(after.0);
+    world.advance(after.0);
     let again = world.place(job(world.now));
     assert!(
         world.sent_to(again).is_some(),
@@ -149,7 +149,7 @@
     world.limit(1, 1_000, 4_000);
     let job = with_account(generation(1, world.now), 1);
     let first = world.place(job);
-    world.pass(6_000);
+    world.advance(6_000);
     assert!(
         refusal(&world, first).is_some(),
         "refused without an engine"
@@ -169,7 +169,7 @@
     // Guards against a full token bucket after a takeover, which would allow the same burst twice.
     let mut world = World::leading(0);
     world.add_server(UpstreamId(9));
-    let share = RightsShare::TakenOver;
+    let share = RateShare::TakenOver;
     world.scheduler.set_role(true, share, world.now);
     world.limit(1, 1_000, 10_000);
     let mut sent = 0;
@@ -184,7 +184,7 @@
 /// Settings with a retry budget of 20 % of all requests plus ten.
 fn retry_settings() -> SchedulerSettings {
     SchedulerSettings {
-        repeats: RepeatSettings {
+        repeats: RetrySettings {
             ratio: 0.2,
             slack: 10.0,
             window: Millis(10_000),
@@ -207,7 +207,7 @@
         });
         retried += usize::from(world.sent_to(second).is_some());
         world.end(second, Outcome::Failed);
-        world.pass(10);
+        world.advance(10);
     }
     retried
 }
@@ -225,7 +225,7 @@
     // Guards against a full retry budget after a takeover, which would allow twice the retries
     // within one window.
     let mut world = World::with(0, retry_settings(), false);
-    let share = RightsShare::TakenOver;
+    let share = RateShare::TakenOver;
     world.scheduler.set_role(true, share, world.now);
     let retried = simulate_failures(&mut world);
     // The previous scheduler may already have used 70 % of the thirty.
@@ -249,7 +249,7 @@
             Outcome::Answered { took: Millis(30) }
         };
         world.end(number, outcome);
-        world.pass(20);
+        world.advance(20);
     }
     assert!(bad <= 12, "{bad} of 60 requests went to the failing server");
 }
@@ -289,7 +289,7 @@
         let status = world.place(with_account(call(world.now), 1));
         refused += usize::from(refusal(&world, status).is_some());
         world.end(status, Outcome::Answered { took: Millis(30) });
-        world.pass(250);
+        world.advance(250);
     }
     assert_eq!(refused, 0, "of 40 calls");
 }
@@ -302,7 +302,7 @@
     for adapter in 0..400 {
         world.generate(1_000 + adapter);
         if adapter % 4 == 0 {
-            world.pass(1);
+            world.advance(1);
         }
     }
     let evaluations = world.scheduler.looked();
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -10,8 +10,8 @@
         ingress::{PromptPart, PromptSize},
         rights::{CallerTag, Limit},
         scheduler::{
-            EngineFacts, EngineLimits, Generation, Job, Order, OrderEnd, Outcome, RightsShare,
-            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamFacts, Work,
+            EngineLimits, EngineStatus, Generation, Job, Order, OrderResult, Outcome, RateShare,
+            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamStatus, Work,
         },
     },
     std::collections::{BTreeMap, HashMap},
@@ -22,7 +22,7 @@
 pub const MODEL: ModelId = ModelId(0);
 pub const HERE: DataCentreId = DataCentreId(0);
 /// Adapter slots per engine.
-pub const PLACES: usize = 2;
+pub const ADAPTER_SLOTS: usize = 2;
 
 /// The scheduler's decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,9 +57,9 @@
         settings: SchedulerSettings,
         may_order: bool,
     ) -> Self {
-        let mut scheduler = Scheduler::new(settings, RightsShare::Part(1));
+        let mut scheduler = Scheduler::new(settings, RateShare::Part(1));
         let now = Millis(100_000);
-        scheduler.set_role(may_order, RightsShare::Fresh, now);
+        scheduler.set_role(may_order, RateShare::Fresh, now);
         scheduler.set_engines(HashMap::from([(ENGINES, limits())]));
         let mut world = Self {
             scheduler,
@@ -92,7 +92,7 @@
         &mut self,
         id: UpstreamId,
     ) {
-        let status = UpstreamFacts {
+        let status = UpstreamStatus {
             service: CALLS,
             slots: 6,
             engine: None,
@@ -104,7 +104,7 @@
     pub fn set(
         &mut self,
         id: UpstreamId,
-        status: &UpstreamFacts,
+        status: &UpstreamStatus,
     ) {
         let actions = self.scheduler.set_upstream(id, status, self.now);
         self.apply_actions(actions);
@@ -113,7 +113,7 @@
     pub fn report(
         &mut self,
         id: UpstreamId,
-        status: &EngineFacts,
+        status: &EngineStatus,
     ) {
         let actions = self.scheduler.report(id, Some(status), self.now);
         self.apply_actions(actions);
@@ -169,14 +169,14 @@
         &mut self,
         upstream: UpstreamId,
         order: Order,
-        end: OrderEnd,
+        end: OrderResult,
     ) {
         let actions = self.scheduler.order_ended(upstream, order, end, self.now);
         self.apply_actions(actions);
     }
 
     /// Advances the clock and runs the scheduler's timers.
-    pub fn pass(
+    pub fn advance(
         &mut self,
         ms: u64,
     ) {
@@ -239,7 +239,7 @@
                     let decision = Decision::Refused(refusal);
                     self.decisions.insert(ticket.number, decision);
                 }
-                Action::AskReport { upstream } => self.reports_asked.push(upstream),
+                Action::RequestReport { upstream } => self.reports_asked.push(upstream),
                 Action::Order {
                     upstream,
                     order,
@@ -264,8 +264,8 @@
         assert_eq!(*seq, after_seq, "sequence number mismatch for {order:?}");
         *seq += 1;
         let end = match order {
-            Order::Unload { .. } => OrderEnd::Holds,
-            Order::Load { .. } | Order::LoadModel(_) => OrderEnd::Accepted,
+            Order::Unload { .. } => OrderResult::AlreadyInEffect,
+            Order::Load { .. } | Order::LoadModel(_) => OrderResult::Accepted,
         };
         self.answer(upstream, order, end);
     }
@@ -279,7 +279,7 @@
     EngineLimits {
         slots: 64,
         kv_tokens: 120_000,
-        adapter_slots: PLACES,
+        adapter_slots: ADAPTER_SLOTS,
         weights_mb: 1_100.0,
         loads_per_s: 2.0,
         models: vec![(MODEL, 1_000.0, 10.0)],
@@ -299,8 +299,8 @@
 pub fn engine(
     seq: Option<u64>,
     adapters: &[u32],
-) -> EngineFacts {
-    EngineFacts {
+) -> EngineStatus {
+    EngineStatus {
         seq,
         models: vec![MODEL],
         adapters: adapters
@@ -312,14 +312,14 @@
     }
 }
 
-pub fn upstream(engine: Option<EngineFacts>) -> UpstreamFacts {
-    UpstreamFacts {
+pub fn upstream(engine: Option<EngineStatus>) -> UpstreamStatus {
+    UpstreamStatus {
         service: ENGINES,
         data_centre: Some(HERE),
         slots: 64,
         is_ready: true,
         cold: Millis::ZERO,
-        started: Some(1),
+        started_unix_ms: Some(1),
         engine,
     }
 }
--- a/crates/core/tests/slow_loads.rs
+++ b/crates/core/tests/slow_loads.rs
@@ -6,7 +6,7 @@
     jasmine_core::{
         clock::Millis,
         ids::UpstreamId,
-        scheduler::{EngineFacts, Order, Outcome},
+        scheduler::{EngineStatus, Order, Outcome},
     },
     scheduler_world::{World, engine},
     std::collections::HashMap,
@@ -21,7 +21,7 @@
     world: &World,
     id: UpstreamId,
     loaded_at: &HashMap<(UpstreamId, u32), Millis>,
-) -> EngineFacts {
+) -> EngineStatus {
     let orders = || world.orders.iter().filter(|&&(to, _)| to == id);
     let mut held = Vec::new();
     for (_, order) in orders() {
@@ -35,7 +35,7 @@
         .into_iter()
         .partition(|&adapter| loaded_at[&(id, adapter)] <= world.now);
     let seq = Some(orders().count() as u64);
-    EngineFacts {
+    EngineStatus {
         coming: engine(None, &coming).adapters,
         ..engine(seq, &present)
     }
@@ -56,7 +56,7 @@
             let adapter = 1_000 + step / 10;
             waiting.push((world.generate(adapter), adapter));
         }
-        world.pass(4);
+        world.advance(4);
         let now = world.now;
         for (upstream, order) in &world.orders[seen_orders..] {
             if let Order::Load { adapter, .. } = order {
@@ -97,7 +97,7 @@
 
 /// Guards against using up the retry budget with early requests while the store is slow.
 #[test]
-fn late_loads_are_expected() {
+fn late_loads_raise_the_expected_load_time() {
     let early = early_requests(200);
     let retries = early.iter().filter(|&&number| number >= 100).count();
     assert!(
--- a/crates/core/tests/alone_rights.rs
+++ b/crates/core/tests/standalone_rate_limits.rs
@@ -6,7 +6,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{AccountId, UpstreamId},
-        scheduler::{Job, Outcome, OwnDecision, RightsShare, SchedulerSettings},
+        scheduler::{Job, Outcome, RateDecision, RateShare, SchedulerSettings},
     },
     scheduler_world::{World, call, ticket},
 };
@@ -28,9 +28,9 @@
     world.limit(ACCOUNT.0, rate, rate * 2);
     for _ in 0..10 {
         let now = world.now;
-        let decided = OwnDecision::LetThrough;
+        let decided = RateDecision::Admitted;
         world.scheduler.note_own(ACCOUNT, COST, decided, now);
-        world.pass(REQUEST_INTERVAL_MS);
+        world.advance(REQUEST_INTERVAL_MS);
     }
     world
 }
@@ -43,7 +43,7 @@
     ms: u64,
     every: u64,
 ) -> (usize, usize) {
-    let share = RightsShare::Part(VMS);
+    let share = RateShare::Part(VMS);
     world.scheduler.set_role(false, share, world.now);
     let (mut served, mut asked) = (0, 0);
     for _ in 0..ms / every {
@@ -57,13 +57,13 @@
         if world.scheduler.is_running(ticket(number)) {
             world.end(number, Outcome::Answered { took: Millis(5) });
         }
-        world.pass(every);
+        world.advance(every);
     }
     (served, asked)
 }
 
 #[test]
-fn callers_go_on_while_a_scheduler_is_elected() {
+fn requests_are_admitted_during_an_election() {
     // Guards against rejecting all requests during an election, when a VM's share of the rate is
     // less than one request.
     let mut world = standby_world();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_long_time_alone_gives_no_more_than_the_part() {
+fn long_partition_is_limited_to_the_share() {
     // Guards against a partitioned VM that adds more than its share to an account's rate for longer
     // than an election.
     let mut world = standby_world();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_vm_that_loses_its_scheduler_often_gains_nothing() {
+fn repeated_scheduler_loss_grants_one_allowance() {
     // Guards against a VM that gets a new allowance each time it loses its scheduler.
     let mut world = standby_world();
     let mut served = 0;
@@ -98,11 +98,11 @@
 }
 
 #[test]
-fn an_account_over_its_rate_goes_on_with_less() {
+fn accounts_over_their_rate_get_a_smaller_allowance() {
     // Guards against an allowance that follows the demand of an account over its rate.
     let mut world = standby_world();
     let now = world.now;
-    let decided = OwnDecision::OverRate;
+    let decided = RateDecision::RateLimited;
     world.scheduler.note_own(ACCOUNT, COST, decided, now);
     let (served, asked) = run_standalone(&mut world, 1_200, 50);
     assert!(
--- a/crates/entry/examples/scheduler_calls.rs
+++ b/crates/entry/examples/scheduler_calls.rs
@@ -9,7 +9,7 @@
         clock::Millis,
         ids::{Fence, Revision},
         ingress::{IngressConfig, ServiceSpec, UpstreamEntry, UpstreamState},
-        scheduler::{Outcome, RightsShare, SchedulerSettings},
+        scheduler::{Outcome, RateShare, SchedulerSettings},
     },
     jasmine_entry::{
         scheduling::{Desk, JobSpec, Leader, SchedulerServer, Scheduling},
@@ -71,7 +71,7 @@
         let scheduling = vm("leader", address);
         scheduling.desk.set_config(&config());
         scheduling.desk.set_upstream(&server());
-        scheduling.lead(FENCE, RightsShare::Fresh);
+        scheduling.lead(FENCE, RateShare::Fresh);
         let feed = Rc::new(Feed::new(Millis(2_000)));
         let nowhere: SocketAddr = "127.0.0.1:9".parse().expect("an address");
         let server = SchedulerServer::new(
--- a/crates/entry/src/daemon/run.rs
+++ b/crates/entry/src/daemon/run.rs
@@ -11,7 +11,7 @@
     jasmine_conf::settings::EntrySettings,
     jasmine_core::{
         clock::Millis,
-        scheduler::{RepeatSettings, SchedulerSettings},
+        scheduler::{RetrySettings, SchedulerSettings},
     },
     jasmine_telemetry::{log::Line, metrics::MetricsError},
     jasmine_wire::{link::serve, scheduler_capnp::scheduler},
@@ -146,7 +146,7 @@
 fn scheduler_settings(settings: &EntrySettings) -> SchedulerSettings {
     SchedulerSettings {
         order_gap: settings.order_gap(),
-        repeats: RepeatSettings {
+        repeats: RetrySettings {
             ratio: settings.repeats.ratio,
             slack: settings.repeats.slack,
             window: Millis((settings.repeats.window_s * 1000.0) as u64),
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -5,7 +5,7 @@
         context::{Context, StopStage},
         store::{Feed, KvStore, Membership, leave},
     },
-    jasmine_core::{clock::Millis, scheduler::Rest},
+    jasmine_core::{clock::Millis, scheduler::PausedEngines},
     jasmine_telemetry::log::Line,
     std::time::Duration,
     tokio::{
@@ -84,7 +84,7 @@
     latest: Instant,
 ) {
     if cx.scheduling.is_leading() && cx.settings.order_gap() > Millis::ZERO {
-        cx.scheduling.desk.rest(Rest::EverySecond);
+        cx.scheduling.desk.rest(PausedEngines::EverySecond);
         sleep_until((Instant::now() + cx.settings.order_gap().to_std()).min(latest)).await;
     }
     keeping.iter().for_each(AbortHandle::abort);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -6,7 +6,7 @@
         clock::Millis,
         error::Refusal,
         ingress::CallKind,
-        scheduler::{OrderEnd, Outcome, WaitReason},
+        scheduler::{OrderResult, Outcome, WaitReason},
     },
     jasmine_telemetry::metrics::{Labels, Metrics, MetricsError, Refusals, RequestMetrics},
     opentelemetry::{
@@ -118,16 +118,16 @@
     /// Counts an order's end.
     pub fn order(
         &self,
-        end: OrderEnd,
+        end: OrderResult,
     ) {
         let word = match end {
-            OrderEnd::Accepted => "accepted",
-            OrderEnd::Holds => "holds",
-            OrderEnd::Conflict => "conflict",
-            OrderEnd::Refused => "refused",
-            OrderEnd::OtherUpstream => "other_upstream",
-            OrderEnd::Lost => "lost",
-            OrderEnd::Unsent => "unsent",
+            OrderResult::Accepted => "accepted",
+            OrderResult::AlreadyInEffect => "holds",
+            OrderResult::Conflict => "conflict",
+            OrderResult::Refused => "refused",
+            OrderResult::OtherUpstream => "other_upstream",
+            OrderResult::Lost => "lost",
+            OrderResult::Unsent => "unsent",
         };
         self.orders.add(1, &[KeyValue::new("end", word)]);
     }
--- a/crates/entry/src/scheduling/client/leading.rs
+++ b/crates/entry/src/scheduling/client/leading.rs
@@ -6,7 +6,7 @@
     jasmine_core::{
         clock::Millis,
         ids::Fence,
-        scheduler::{Rest, RightsShare},
+        scheduler::{PausedEngines, RateShare},
     },
     jasmine_telemetry::log::Line,
 };
@@ -63,7 +63,7 @@
     pub fn lead(
         &self,
         fence: Fence,
-        share: RightsShare,
+        share: RateShare,
     ) {
         let leader = Leader {
             vm: self.me.clone(),
@@ -160,7 +160,7 @@
             ..leader
         };
         self.leader.replace(Some(leader.clone()));
-        self.desk.rest(Rest::All);
+        self.desk.rest(PausedEngines::All);
         self.broadcast_leaving(&leader, &self.desk.idle_times())
             .await;
     }
@@ -183,8 +183,8 @@
         self.set_mode(Mode::Standalone);
     }
 
-    pub(super) fn rights_share(&self) -> RightsShare {
+    pub(super) fn rights_share(&self) -> RateShare {
         self.share_count.set(self.vms.borrow().len().max(1) as u64);
-        RightsShare::Part(self.share_count.get())
+        RateShare::Part(self.share_count.get())
     }
 }
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -10,7 +10,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::Fence,
-        scheduler::{Outcome, OwnDecision, Ticket, WaitReason},
+        scheduler::{Outcome, RateDecision, Ticket, WaitReason},
     },
     jasmine_wire::{
         link::{Link, LinkOptions},
@@ -199,7 +199,7 @@
                         sleep(STALE_ASSIGNMENT_DELAY.to_std()).await;
                         continue;
                     }
-                    self.desk.note_own(&spec, OwnDecision::LetThrough);
+                    self.desk.note_own(&spec, RateDecision::Admitted);
                     let running = self.track_running(spec, &upstream, version);
                     return Ok(Placement::new(
                         Rc::clone(self),
@@ -223,7 +223,7 @@
                 }) => {
                     pending.is_settled.set(true);
                     if refusal.kind == ErrorKind::RateLimited {
-                        self.desk.note_own(&spec, OwnDecision::OverRate);
+                        self.desk.note_own(&spec, RateDecision::RateLimited);
                     }
                     return Err(Unplaced {
                         refusal,
--- a/crates/entry/src/scheduling/convert.rs
+++ b/crates/entry/src/scheduling/convert.rs
@@ -146,7 +146,7 @@
 
 pub(super) fn read_verdict(from: verdict::Reader<'_>) -> Result<Verdict, capnp::Error> {
     let word = from.get_waited_for()?.to_str()?;
-    let waited_for = WaitReason::from_word(word)
+    let waited_for = WaitReason::from_name(word)
         .ok_or_else(|| capnp::Error::failed(format!("unknown wait reason: {word:?}")))?;
     let upstream = from.get_upstream()?.to_str()?;
     if !upstream.is_empty() {
--- a/crates/entry/src/scheduling/desk.rs
+++ b/crates/entry/src/scheduling/desk.rs
@@ -10,8 +10,9 @@
         ids::UpstreamId,
         ingress::{EngineHoldings, IngressConfig, UpstreamEntry},
         scheduler::{
-            Adopted, Announcement, Order, OrderEnd, Outcome, OwnDecision, Rest, RightsShare,
-            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, WaitReason, WaitTimes,
+            Announcement, Order, OrderResult, Outcome, PausedEngines, RateDecision, RateShare,
+            RunningRequest, Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket,
+            WaitReason, WaitTimes,
         },
     },
     std::{
@@ -79,7 +80,7 @@
         Self {
             clock: Clock,
             names: RefCell::default(),
-            scheduler: RefCell::new(Scheduler::new(settings, RightsShare::Part(1))),
+            scheduler: RefCell::new(Scheduler::new(settings, RateShare::Part(1))),
             waiters: RefCell::default(),
             addresses: RefCell::default(),
             removed_upstreams: RefCell::default(),
@@ -106,7 +107,7 @@
     pub fn set_role(
         &self,
         may_order: bool,
-        share: RightsShare,
+        share: RateShare,
     ) {
         self.may_order.set(may_order);
         let now = self.clock.now();
@@ -136,7 +137,7 @@
     /// Stops orders to the selected engines.
     pub fn rest(
         &self,
-        engines: Rest,
+        engines: PausedEngines,
     ) {
         self.scheduler.borrow_mut().rest(engines);
     }
@@ -242,7 +243,7 @@
     pub fn note_own(
         &self,
         spec: &JobSpec,
-        decided: OwnDecision,
+        decided: RateDecision,
     ) {
         let Some(account) = spec.account.as_ref().filter(|_| spec.attempt == 1) else {
             return;
@@ -279,7 +280,7 @@
     ) {
         let now = self.clock.now();
         let mut names = self.names.borrow_mut();
-        let adopted = Adopted {
+        let adopted = RunningRequest {
             ticket: Ticket {
                 vm,
                 number: spec.job.number,
@@ -319,7 +320,7 @@
         &self,
         upstream: UpstreamId,
         order: Order,
-        end: OrderEnd,
+        end: OrderResult,
     ) {
         self.apply(|scheduler, now| scheduler.order_ended(upstream, order, end, now));
     }
@@ -416,7 +417,7 @@
                 order,
                 after_seq,
             } => self.queue_task(EngineTask::Order(upstream, order, after_seq)),
-            Action::AskReport { upstream } => self.queue_task(EngineTask::Report(upstream)),
+            Action::RequestReport { upstream } => self.queue_task(EngineTask::Report(upstream)),
         }
     }
 
--- a/crates/entry/src/scheduling/facts.rs
+++ b/crates/entry/src/scheduling/facts.rs
@@ -5,7 +5,7 @@
     jasmine_core::{
         ids::AdapterVersion,
         ingress::{EngineHoldings, EngineSpec, HeldAdapter, UpstreamEntry, UpstreamState},
-        scheduler::{EngineFacts, EngineLimits, UpstreamFacts},
+        scheduler::{EngineLimits, EngineStatus, UpstreamStatus},
     },
 };
 
@@ -32,14 +32,14 @@
 pub(super) fn upstream_facts(
     entry: &UpstreamEntry,
     names: &mut NameInterner,
-) -> UpstreamFacts {
-    UpstreamFacts {
+) -> UpstreamStatus {
+    UpstreamStatus {
         service: names.service(&entry.service),
         data_centre: Some(names.data_centre(&entry.data_centre)),
         slots: entry.slots,
         is_ready: entry.state == UpstreamState::Ready,
         cold: entry.warm_up_remaining,
-        started: entry.started_unix_ms,
+        started_unix_ms: entry.started_unix_ms,
         engine: entry
             .holdings
             .as_ref()
@@ -52,7 +52,7 @@
     holdings: &EngineHoldings,
     is_busy: bool,
     names: &mut NameInterner,
-) -> EngineFacts {
+) -> EngineStatus {
     let mut version = |model: &str, held: &HeldAdapter| {
         let adapter = names.adapter(model, &held.name);
         let version = held.version;
@@ -71,7 +71,7 @@
         .map(|coming| version(&coming.model, &coming.adapter))
         .collect();
     let models = holdings.models.iter();
-    EngineFacts {
+    EngineStatus {
         seq: holdings.seq,
         adapters,
         coming,
--- a/crates/entry/src/scheduling/orders.rs
+++ b/crates/entry/src/scheduling/orders.rs
@@ -7,7 +7,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{AdapterVersion, ModelId, UpstreamId},
-        scheduler::{Order, OrderEnd},
+        scheduler::{Order, OrderResult},
     },
     jasmine_platform::{
         engine::{
@@ -65,18 +65,18 @@
         upstream: UpstreamId,
         order: Order,
         after_seq: u64,
-    ) -> OrderEnd {
+    ) -> OrderResult {
         let target = self.scheduling.desk.upstream(upstream);
         let (Some((id, address)), Some(fence)) = (target, self.scheduling.fence_for_order()) else {
-            return OrderEnd::Unsent;
+            return OrderResult::Unsent;
         };
         let order = self.engine_order(order, after_seq, fence);
         let answer = self
             .call(&id, address, "POST", ORDER_TARGET, &encode_order(&order))
             .await;
         let end = match answer {
-            Err(CallError::Unsent) => OrderEnd::Unsent,
-            Err(CallError::Unanswered) => OrderEnd::Lost,
+            Err(CallError::Unsent) => OrderResult::Unsent,
+            Err(CallError::Unanswered) => OrderResult::Lost,
             Ok((status, _)) => self.order_end(decode_order_status(status)),
         };
         Line::new("order_given")
@@ -93,18 +93,18 @@
     fn order_end(
         &self,
         answer: OrderAnswer,
-    ) -> OrderEnd {
+    ) -> OrderResult {
         match answer {
-            OrderAnswer::Accepted => OrderEnd::Accepted,
-            OrderAnswer::Holds => OrderEnd::Holds,
-            OrderAnswer::Conflict => OrderEnd::Conflict,
-            OrderAnswer::OtherUpstream => OrderEnd::OtherUpstream,
-            OrderAnswer::Refused(_) => OrderEnd::Refused,
+            OrderAnswer::Accepted => OrderResult::Accepted,
+            OrderAnswer::Holds => OrderResult::AlreadyInEffect,
+            OrderAnswer::Conflict => OrderResult::Conflict,
+            OrderAnswer::OtherUpstream => OrderResult::OtherUpstream,
+            OrderAnswer::Refused(_) => OrderResult::Refused,
             // Another VM was elected: further orders under this token would be refused too.
             OrderAnswer::Fenced => {
                 self.scheduling
                     .step_down("an engine has seen a higher fencing token");
-                OrderEnd::Refused
+                OrderResult::Refused
             }
         }
     }
--- a/crates/entry/src/store/membership.rs
+++ b/crates/entry/src/store/membership.rs
@@ -1,7 +1,7 @@
 use {
     super::{VmEntry, VmRecord},
     crate::{clock::Clock, context::Context, scheduling::Leader},
-    jasmine_core::{clock::Millis, feed::VmRank, ids::Fence, scheduler::RightsShare},
+    jasmine_core::{clock::Millis, feed::VmRank, ids::Fence, scheduler::RateShare},
     jasmine_store::store::{KeyValue, Lease, LeaseId},
     jasmine_telemetry::log::Line,
     std::{
@@ -221,9 +221,9 @@
         // Where another VM has led already, it has let requests through and given orders.
         let is_first = cx.scheduling.leader().is_none() && self.last.borrow().is_none();
         let share = if cx.settings.first_start && age < FIRST_START && is_first {
-            RightsShare::Fresh
+            RateShare::Fresh
         } else {
-            RightsShare::TakenOver
+            RateShare::TakenOver
         };
         cx.scheduling.lead(fence, share);
         if continues_own {
--- a/crates/entry/tests/lead_changes.rs
+++ b/crates/entry/tests/lead_changes.rs
@@ -5,7 +5,7 @@
         clock::Millis,
         ids::{Fence, Revision},
         ingress::{IngressConfig, ServiceSpec, UpstreamEntry, UpstreamState},
-        scheduler::{RightsShare, SchedulerSettings},
+        scheduler::{RateShare, SchedulerSettings},
     },
     jasmine_entry::{
         scheduling::{Desk, JobSpec, Leader, SchedulerServer, Scheduling},
@@ -134,7 +134,7 @@
         let old = node("old", 1).await;
         let new = node("new", 2).await;
         let follower = node("follower", 0).await;
-        old.scheduling.lead(Fence(1), RightsShare::Fresh);
+        old.scheduling.lead(Fence(1), RateShare::Fresh);
         follower.scheduling.consider(old.leader.clone());
         until(|| follower.scheduling.is_following()).await;
         let asking = Rc::clone(&follower.scheduling);
@@ -142,7 +142,7 @@
         until(|| old.scheduling.desk.load().0 == 1).await;
 
         new.scheduling.desk.set_upstream(&server("s-new"));
-        new.scheduling.lead(Fence(2), RightsShare::TakenOver);
+        new.scheduling.lead(Fence(2), RateShare::TakenOver);
         old.scheduling.consider(new.leader.clone());
         follower.scheduling.consider(new.leader.clone());
         let placed = timeout(LIMIT, asked)
@@ -164,13 +164,13 @@
     run(async {
         let old = node("old", 1).await;
         let new = node("new", 2).await;
-        old.scheduling.lead(Fence(1), RightsShare::Fresh);
+        old.scheduling.lead(Fence(1), RateShare::Fresh);
         let asking = Rc::clone(&old.scheduling);
         let asked = spawn_local(async move { asking.place(job()).await });
         until(|| old.scheduling.desk.load().0 == 1).await;
 
         new.scheduling.desk.set_upstream(&server("s-new"));
-        new.scheduling.lead(Fence(2), RightsShare::TakenOver);
+        new.scheduling.lead(Fence(2), RateShare::TakenOver);
         old.scheduling.consider(new.leader.clone());
         let placed = timeout(LIMIT, asked)
             .await
--- a/crates/entry/tests/no_leader.rs
+++ b/crates/entry/tests/no_leader.rs
@@ -6,7 +6,7 @@
         ids::{Fence, Revision},
         ingress::{AccountSpec, IngressConfig, RateUnit, UpstreamEntry, UpstreamState},
         rights::Limit,
-        scheduler::{RightsShare, SchedulerSettings},
+        scheduler::{RateShare, SchedulerSettings},
     },
     jasmine_entry::scheduling::{Desk, JobSpec, Scheduling},
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
@@ -95,7 +95,7 @@
         let elected = Rc::clone(&vm);
         spawn_local(async move {
             sleep(Duration::from_millis(300)).await;
-            elected.lead(Fence(7), RightsShare::Fresh);
+            elected.lead(Fence(7), RateShare::Fresh);
         });
         let placed = vm.place(call()).await;
         assert!(placed.is_ok(), "{placed:?}");
@@ -111,7 +111,7 @@
         let elected = Rc::clone(&vm);
         spawn_local(async move {
             sleep(Duration::from_millis(200)).await;
-            elected.lead(Fence(7), RightsShare::Fresh);
+            elected.lead(Fence(7), RateShare::Fresh);
         });
         let began = std::time::Instant::now();
         assert!(vm.place(call()).await.is_ok());
