--- a/crates/core/examples/scheduler_cost/fleet.rs
+++ b/crates/core/examples/scheduler_cost/fleet.rs
@@ -131,8 +131,8 @@
         self.now.since(self.began)
     }
 
-    pub fn looked(&self) -> u64 {
-        self.scheduler.looked()
+    pub fn evaluations(&self) -> u64 {
+        self.scheduler.evaluations()
     }
 
     fn at(
--- a/crates/core/examples/scheduler_cost/main.rs
+++ b/crates/core/examples/scheduler_cost/main.rs
@@ -37,6 +37,6 @@
         "{:.1} us a request, {:.4} of a core, {:.2} looks a request",
         took.as_secs_f64() * 1e6 / asked as f64,
         took.as_secs_f64() / fleet.played().as_secs_f64(),
-        fleet.looked() as f64 / asked as f64,
+        fleet.evaluations() as f64 / asked as f64,
     );
 }
--- a/crates/core/src/scheduler/choose/mod.rs
+++ b/crates/core/src/scheduler/choose/mod.rs
@@ -46,7 +46,7 @@
 /// objective, to full, where they take all of it.
 const STALL_START_RATIO: f64 = 0.6;
 /// Services with up to this many engines have all of them evaluated for each request.
-pub(super) const MANY: usize = 24;
+pub(super) const MAX_FULL_SCAN_ENGINES: usize = 24;
 /// Preferred engines evaluated in a larger service, besides those that have the adapter.
 const MAX_PREFERRED_ENGINES: usize = 12;
 /// Bound on the engines sampled from those that may have the adapter, or from all members of the
@@ -184,7 +184,8 @@
         let copies = self.copies(generation, &engines, fraction);
         let mut best = BestOptions::default();
         self.evaluate_engines(job, generation, engines, copies, &mut best);
-        if best.is_short_of_slots() && self.fleet.members(job.service).len() > MANY {
+        if best.is_short_of_slots() && self.fleet.members(job.service).len() > MAX_FULL_SCAN_ENGINES
+        {
             let others = self.sample_members(job, generation);
             self.evaluate_engines(job, generation, others, copies, &mut best);
         }
@@ -244,7 +245,7 @@
         generation: &Generation,
     ) -> EngineSample<'_> {
         let members = self.fleet.members(job.service);
-        if members.len() <= MANY {
+        if members.len() <= MAX_FULL_SCAN_ENGINES {
             return EngineSample::all(self.candidates(job));
         }
         let filter = self.filter(job);
--- a/crates/core/src/scheduler/choose/preferred.rs
+++ b/crates/core/src/scheduler/choose/preferred.rs
@@ -43,7 +43,7 @@
 
 impl PreferredEngines {
     /// Records an engine that has joined a service.
-    pub(in crate::scheduler) fn note_joined(
+    pub(in crate::scheduler) fn record_join(
         &mut self,
         engine: UpstreamId,
     ) {
@@ -55,7 +55,7 @@
     }
 
     /// Records that an engine has left its service.
-    pub(in crate::scheduler) const fn note_left(&mut self) {
+    pub(in crate::scheduler) const fn record_departure(&mut self) {
         self.departures += 1;
     }
 
--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -2,7 +2,7 @@
     super::{
         EngineLimits, EngineStatus, Job, LoadSettings, Outcome, UpstreamStatus,
         backlog::PrefillSample,
-        choose::{MANY, PreferredEngines},
+        choose::{MAX_FULL_SCAN_ENGINES, PreferredEngines},
         engine::Engine,
         fleet_totals::FleetTotals,
         holders::Holders,
@@ -104,7 +104,7 @@
         if let Err(at) = members.binary_search(&id) {
             members.insert(at, id);
         }
-        self.preferred.note_joined(id);
+        self.preferred.record_join(id);
     }
 
     fn remove_member(
@@ -115,7 +115,7 @@
         if let Some(members) = self.members.get_mut(&service) {
             members.retain(|&member| member != id);
         }
-        self.preferred.note_left();
+        self.preferred.record_departure();
     }
 
     fn apply_entry_status(
@@ -222,7 +222,7 @@
             .members
             .get(&job.service)
             .map_or(&[][..], Vec::as_slice);
-        if members.len() > MANY {
+        if members.len() > MAX_FULL_SCAN_ENGINES {
             let holders = self.holders.of(adapter).len();
             self.preferred
                 .prepare(job.service, adapter, members, holders);
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -28,7 +28,6 @@
 mod load_slowdown;
 mod loads;
 mod local_usage;
-mod machine;
 mod outcome;
 mod prefill_estimator;
 mod prefix_cache;
@@ -37,6 +36,7 @@
 mod retry_budget;
 mod running;
 mod settings;
+mod state_machine;
 mod upstream;
 mod wait_reason;
 mod wait_times;
@@ -47,10 +47,10 @@
     announced_versions::Announcement,
     engine::EngineLimits,
     job::{Generation, Job, Ticket, Work},
-    machine::Scheduler,
     outcome::{OrderResult, Outcome, PausedEngines, RateDecision},
     running::RunningRequest,
     settings::{LoadSettings, RetrySettings, SchedulerSettings},
+    state_machine::Scheduler,
     upstream::{EngineStatus, UpstreamStatus},
     wait_reason::WaitReason,
     wait_times::WaitTimes,
--- a/crates/core/src/scheduler/machine/events.rs
+++ b/crates/core/src/scheduler/state_machine/events.rs
@@ -58,7 +58,7 @@
 
     /// Allows orders at once after a takeover from an earlier process on this VM, whose orders
     /// can't overlap with new ones.
-    pub fn continue_own_orders(
+    pub fn skip_order_gap(
         &mut self,
         now: Millis,
     ) {
@@ -69,7 +69,7 @@
     }
 
     /// Sets how long ago the previous scheduler sent an engine its last order.
-    pub fn note_rested(
+    pub fn set_order_idle_time(
         &mut self,
         upstream: UpstreamId,
         idle_time: Millis,
@@ -85,7 +85,7 @@
     ///
     /// Without fencing tokens, the next scheduler must wait for `order_gap` after an engine's last
     /// order. Stopping half of the engines early lets it load adapters on those at once.
-    pub fn rest(
+    pub fn pause_orders(
         &mut self,
         engines: PausedEngines,
     ) {
@@ -102,7 +102,7 @@
     ///
     /// An engine without an order from this scheduler counts as having had one just before the
     /// takeover, unless the previous scheduler reported a longer time.
-    pub fn rested(
+    pub fn order_idle_times(
         &self,
         now: Millis,
     ) -> Vec<(UpstreamId, Millis)> {
@@ -291,7 +291,7 @@
     }
 
     /// Records the decision about a request of this VM's own callers, by this or another scheduler.
-    pub fn note_own(
+    pub fn record_own_decision(
         &mut self,
         account: AccountId,
         cost: u64,
@@ -401,7 +401,7 @@
     }
 
     /// Removes all requests of VMs other than `vm`, after another scheduler has taken over.
-    pub fn forget_others(
+    pub fn forget_other_vms(
         &mut self,
         vm: u32,
         now: Millis,
--- a/crates/core/src/scheduler/machine/queries.rs
+++ b/crates/core/src/scheduler/state_machine/queries.rs
@@ -48,7 +48,7 @@
 
     /// Number of evaluations of queued requests so far; they make up most of the scheduler's CPU
     /// time.
-    pub const fn looked(&self) -> u64 {
+    pub const fn evaluations(&self) -> u64 {
         self.evaluations
     }
 
--- a/crates/core/tests/adapter_loads.rs
+++ b/crates/core/tests/adapter_loads.rs
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn a_waiting_request_has_one_load() {
+fn a_queued_request_starts_one_load() {
     // Guards against a second load on another engine while the first one waits for an eviction.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_adapter_in_use_stays() {
+fn an_adapter_in_use_is_not_evicted() {
     // Guards against evicting an adapter that a running request uses, which would abort its answer.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_copy_is_waited_for_rather_than_loaded_again() {
+fn a_short_wait_is_preferred_to_a_second_copy() {
     // Guards against a needless load on an idle engine when the engine that has the adapter can
     // serve all three in time.
     let mut world = World::leading(0);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_crowd_gets_a_second_copy() {
+fn a_burst_of_requests_gets_a_second_copy() {
     // Guards against queueing thirty requests at the only engine with the adapter while another
     // engine is idle.
     let mut world = World::leading(0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_an_engine_dropped_lately_returns_there() {
+fn a_recently_evicted_adapter_reloads_on_the_same_engine() {
     // Guards against a cold load on an idle engine when the engine that evicted the adapter still
     // caches it.
     let mut world = World::leading(0);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_old_report_changes_nothing() {
+fn an_outdated_report_is_ignored() {
     // Guards against dropping a load in progress because of a report made before it was ordered:
     // the engine would be given more adapters than it has slots for.
     let mut world = World::leading(1);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_repeated() {
+fn an_unanswered_order_is_sent_again() {
     // Guards against a delayed order that takes effect after newer ones. Sending it again with the
     // same sequence number voids the first copy.
     let mut world = World::leading(1);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn two_lost_answers_end_trust() {
+fn two_lost_answers_stop_orders_until_a_report() {
     // Guards against ordering more adapters than the engine has slots for while its state is
     // unknown: it gets no orders until a report has arrived.
     let mut world = World::leading(1);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn an_engine_out_of_reach_is_not_asked_again_and_again() {
+fn an_unreachable_engine_gets_no_repeated_orders() {
     // Guards against a busy loop of orders to an engine that refuses connections.
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_new_version_replaces_the_old_one_in_time() {
+fn the_old_version_serves_until_the_new_one_is_loaded() {
     // Guards against an interruption while version 2 loads, and against use of version 1 once it is
     // loaded.
     let mut world = World::leading(0);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_stand_by_gives_no_orders() {
+fn a_standby_sends_no_orders() {
     // Guards against two schedulers that send orders to the same engine.
     let mut world = World::with(1, SchedulerSettings::default(), false);
     world.generate(7);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_version_found_at_the_start_is_in_force() {
+fn a_version_found_at_startup_gets_no_grace_period() {
     // Guards against restarting the grace period of an old version when a VM starts after the
     // announcement.
     let mut world = World::leading(0);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_new_leader_drops_nothing_at_first() {
+fn a_new_leader_evicts_nothing_at_first() {
     // Guards against evicting an adapter that is in use by requests the new leader doesn't know
     // yet, which would block the engine until they end.
     let mut world = World::with(0, SchedulerSettings::default(), false);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn an_engine_that_waits_for_runs_is_left_alone() {
+fn an_engine_draining_an_adapter_gets_no_orders() {
     // Guards against further orders to an engine that waits for requests of an unreachable VM
     // before it unloads an adapter.
     let mut world = World::leading(0);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn engines_without_tokens_get_no_orders_in_a_takeover() {
+fn engines_without_fencing_tokens_wait_for_the_order_gap() {
     // Guards against orders of two consecutive schedulers that overlap on an engine without fencing
     // tokens.
     let settings = SchedulerSettings {
@@ -328,16 +328,16 @@
 }
 
 #[test]
-fn a_rested_engine_is_ordered_at_once() {
+fn an_engine_idle_for_the_order_gap_gets_orders_at_once() {
     // Guards against waiting the order gap again for an engine that got no orders for that long
     // before the handover.
     let mut world = world_after_takeover(2);
     world
         .scheduler
-        .note_rested(UpstreamId(1), Millis(3_000), world.now);
+        .set_order_idle_time(UpstreamId(1), Millis(3_000), world.now);
     world
         .scheduler
-        .note_rested(UpstreamId(0), Millis(1_000), world.now);
+        .set_order_idle_time(UpstreamId(0), Millis(1_000), world.now);
     let request = world.generate(9);
     world.advance(400);
     assert_eq!(world.sent_to(request), Some(UpstreamId(1)));
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn an_engine_named_late_rests_too() {
+fn an_engine_configured_after_a_takeover_waits_for_the_order_gap() {
     // Guards against an order within the gap to an upstream that the configuration names as an
     // engine after the takeover.
     let settings = SchedulerSettings {
@@ -378,22 +378,22 @@
 }
 
 #[test]
-fn ones_own_orders_need_no_rest() {
+fn a_restart_on_the_same_vm_skips_the_order_gap() {
     // Guards against a needless order gap when the scheduler process restarts and becomes leader
     // again.
     let mut world = world_after_takeover(1);
-    world.scheduler.continue_own_orders(world.now);
+    world.scheduler.skip_order_gap(world.now);
     let request = world.generate(9);
     world.advance(400);
     assert!(world.sent_to(request).is_some());
 }
 
 #[test]
-fn half_the_engines_rest_before_a_stop() {
+fn half_the_engines_get_no_orders_before_a_planned_stop() {
     // Guards against a planned stop after which the next scheduler must wait the order gap on every
     // engine.
     let mut world = World::leading(4);
-    world.scheduler.rest(PausedEngines::EverySecond);
+    world.scheduler.pause_orders(PausedEngines::EverySecond);
     for adapter in 1..5 {
         world.generate(adapter);
     }
@@ -402,7 +402,7 @@
     assert!(!ordered.is_empty());
     assert!(ordered.iter().all(|of| of % 2 == 1), "{ordered:?}");
     world.advance(3_000);
-    world.scheduler.rest(PausedEngines::All);
+    world.scheduler.pause_orders(PausedEngines::All);
     let before = world.orders.len();
     world.generate(7);
     world.advance(400);
@@ -411,26 +411,26 @@
         before,
         "no orders after all engines were stopped"
     );
-    for (upstream, idle_time) in world.scheduler.rested(world.now) {
+    for (upstream, idle_time) in world.scheduler.order_idle_times(world.now) {
         assert!(idle_time >= Millis(3_000), "{upstream:?}: {idle_time:?}");
     }
 }
 
 #[test]
-fn a_short_lead_knows_no_rest() {
+fn order_idle_times_count_from_the_takeover_at_most() {
     // Guards against reporting an engine as idle for longer than this scheduler has led: the
     // previous one may have sent it an order just before the takeover.
     let mut world = world_after_takeover(1);
     world.advance(1_000);
-    world.scheduler.rest(PausedEngines::All);
+    world.scheduler.pause_orders(PausedEngines::All);
     assert_eq!(
-        world.scheduler.rested(world.now),
+        world.scheduler.order_idle_times(world.now),
         [(UpstreamId(0), Millis(1_000))]
     );
 }
 
 #[test]
-fn a_wrong_count_of_orders_is_mended() {
+fn a_wrong_order_count_is_corrected() {
     // Guards against an engine without orders for good after it counted one order fewer than the
     // scheduler, whose reports would then all look outdated.
     let mut world = World::leading(1);
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn an_idle_engine_is_used() {
+fn an_engine_without_measurements_is_used() {
     // Guards against an engine that stays idle because its unmeasured prompt speed is assumed to be
     // slow.
     let mut world = World::leading(4);
--- a/crates/core/tests/scheduler_refusals.rs
+++ b/crates/core/tests/scheduler_refusals.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn overload_serves_what_can_be_in_time() {
+fn overload_serves_requests_that_can_be_on_time() {
     // Guards against serving requests in order of arrival under overload, which makes nearly all of
     // them late.
     let (on_time, total) = simulate_overload();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_hopeless_request_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     // Guards against keeping a request queued until its deadline when the queue ahead of it already
     // takes longer.
     let mut world = World::leading(0);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn waiting_for_an_adapter_refuses_nobody_else() {
+fn requests_waiting_for_an_adapter_cause_no_refusals() {
     // Guards against estimating waits from the drain rate of the queue: requests that wait for
     // adapter loads would then cause refusals while engines are idle.
     let mut world = World::leading(0);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_account_over_its_rate_is_refused_with_a_time() {
+fn an_account_over_its_rate_is_refused_with_a_retry_time() {
     let mut world = World::leading(0);
     world.add_server(UpstreamId(9));
     world.limit(1, 1_000, 1_000);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_was_refused_costs_nothing() {
+fn a_refused_request_is_refunded() {
     // Guards against charging an account's rate for requests that never ran.
     let mut world = World::leading(0);
     world.limit(1, 1_000, 4_000);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_takeover_assumes_little() {
+fn a_takeover_does_not_refill_bursts() {
     // Guards against a full token bucket after a takeover, which would allow the same burst twice.
     let mut world = World::leading(0);
     world.add_server(UpstreamId(9));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn repeats_have_a_budget() {
+fn retries_have_a_budget() {
     // Guards against retries that double the load on a failing service.
     let mut world = World::with(0, retry_settings(), true);
     let retried = simulate_failures(&mut world);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_takeover_repeats_little() {
+fn a_takeover_does_not_refill_the_retry_budget() {
     // Guards against a full retry budget after a takeover, which would allow twice the retries
     // within one window.
     let mut world = World::with(0, retry_settings(), false);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_failing_upstream_gets_less() {
+fn a_failing_upstream_gets_fewer_requests() {
     // Guards against sending requests to a server that fails them while its health check passes.
     let mut world = World::leading(0);
     world.add_server(UpstreamId(8));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_vm_that_is_gone_holds_nothing() {
+fn requests_of_a_lost_vm_are_removed() {
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1]);
     for _ in 0..5 {
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn many_waiting_requests_are_looked_at_in_turn() {
+fn a_long_queue_bounds_the_evaluations() {
     // Guards against evaluating every queued request after every event, which would saturate the
     // scheduler's CPU.
     let mut world = World::leading(90);
@@ -305,6 +305,6 @@
             world.advance(1);
         }
     }
-    let evaluations = world.scheduler.looked();
+    let evaluations = world.scheduler.evaluations();
     assert!(evaluations < 5_000, "{evaluations}");
 }
--- a/crates/core/tests/standalone_rate_limits.rs
+++ b/crates/core/tests/standalone_rate_limits.rs
@@ -29,7 +29,9 @@
     for _ in 0..10 {
         let now = world.now;
         let decided = RateDecision::Admitted;
-        world.scheduler.note_own(ACCOUNT, COST, decided, now);
+        world
+            .scheduler
+            .record_own_decision(ACCOUNT, COST, decided, now);
         world.advance(REQUEST_INTERVAL_MS);
     }
     world
@@ -103,7 +105,9 @@
     let mut world = standby_world();
     let now = world.now;
     let decided = RateDecision::RateLimited;
-    world.scheduler.note_own(ACCOUNT, COST, decided, now);
+    world
+        .scheduler
+        .record_own_decision(ACCOUNT, COST, decided, now);
     let (served, asked) = run_standalone(&mut world, 1_200, 50);
     assert!(
         served <= 1,
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -84,7 +84,7 @@
     latest: Instant,
 ) {
     if cx.scheduling.is_leading() && cx.settings.order_gap() > Millis::ZERO {
-        cx.scheduling.desk.rest(PausedEngines::EverySecond);
+        cx.scheduling.desk.pause_orders(PausedEngines::EverySecond);
         sleep_until((Instant::now() + cx.settings.order_gap().to_std()).min(latest)).await;
     }
     keeping.iter().for_each(AbortHandle::abort);
--- a/crates/entry/src/scheduling/client/leading.rs
+++ b/crates/entry/src/scheduling/client/leading.rs
@@ -160,7 +160,7 @@
             ..leader
         };
         self.leader.replace(Some(leader.clone()));
-        self.desk.rest(PausedEngines::All);
+        self.desk.pause_orders(PausedEngines::All);
         self.broadcast_leaving(&leader, &self.desk.idle_times())
             .await;
     }
@@ -179,7 +179,7 @@
 
     fn become_standalone(&self) {
         self.desk.set_role(false, self.rights_share());
-        self.desk.forget_others(LOCAL_VM);
+        self.desk.forget_other_vms(LOCAL_VM);
         self.set_mode(Mode::Standalone);
     }
 
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -199,7 +199,7 @@
                         sleep(STALE_ASSIGNMENT_DELAY.to_std()).await;
                         continue;
                     }
-                    self.desk.note_own(&spec, RateDecision::Admitted);
+                    self.desk.record_own_decision(&spec, RateDecision::Admitted);
                     let running = self.track_running(spec, &upstream, version);
                     return Ok(Placement::new(
                         Rc::clone(self),
@@ -223,7 +223,8 @@
                 }) => {
                     pending.is_settled.set(true);
                     if refusal.kind == ErrorKind::RateLimited {
-                        self.desk.note_own(&spec, RateDecision::RateLimited);
+                        self.desk
+                            .record_own_decision(&spec, RateDecision::RateLimited);
                     }
                     return Err(Unplaced {
                         refusal,
--- a/crates/entry/src/scheduling/desk.rs
+++ b/crates/entry/src/scheduling/desk.rs
@@ -116,9 +116,9 @@
     }
 
     /// Allows orders at once, because the previous leader was an earlier run of this VM.
-    pub fn continue_own_orders(&self) {
+    pub fn skip_order_gap(&self) {
         let now = self.clock.now();
-        self.scheduler.borrow_mut().continue_own_orders(now);
+        self.scheduler.borrow_mut().skip_order_gap(now);
         self.wake.notify_one();
     }
 
@@ -130,21 +130,23 @@
     ) {
         let id = self.names.borrow_mut().upstream(upstream);
         let now = self.clock.now();
-        self.scheduler.borrow_mut().note_rested(id, idle_time, now);
+        self.scheduler
+            .borrow_mut()
+            .set_order_idle_time(id, idle_time, now);
         self.wake.notify_one();
     }
 
     /// Stops orders to the selected engines.
-    pub fn rest(
+    pub fn pause_orders(
         &self,
         engines: PausedEngines,
     ) {
-        self.scheduler.borrow_mut().rest(engines);
+        self.scheduler.borrow_mut().pause_orders(engines);
     }
 
     /// The time since the last order to each engine.
     pub fn idle_times(&self) -> Vec<(String, Millis)> {
-        let idle_times = self.scheduler.borrow().rested(self.clock.now());
+        let idle_times = self.scheduler.borrow().order_idle_times(self.clock.now());
         let names = self.names.borrow();
         idle_times
             .into_iter()
@@ -240,7 +242,7 @@
     }
 
     /// Counts a decision on a first attempt of this VM's own callers, made here or by the leader.
-    pub fn note_own(
+    pub fn record_own_decision(
         &self,
         spec: &JobSpec,
         decided: RateDecision,
@@ -251,7 +253,7 @@
         let account = self.names.borrow_mut().account(account);
         let now = self.clock.now();
         let mut scheduler = self.scheduler.borrow_mut();
-        scheduler.note_own(account, spec.cost, decided, now);
+        scheduler.record_own_decision(account, spec.cost, decided, now);
     }
 
     /// Records that the first event of a request's answer was received.
@@ -305,14 +307,14 @@
     }
 
     /// Removes the requests of all VMs except `vm`, after this VM stopped leading.
-    pub fn forget_others(
+    pub fn forget_other_vms(
         &self,
         vm: u32,
     ) {
         self.waiters
             .borrow_mut()
             .retain(|ticket, _| ticket.vm == vm);
-        self.apply(|scheduler, now| scheduler.forget_others(vm, now));
+        self.apply(|scheduler, now| scheduler.forget_other_vms(vm, now));
     }
 
     /// Processes the result of an order.
--- a/crates/entry/src/store/membership.rs
+++ b/crates/entry/src/store/membership.rs
@@ -227,7 +227,7 @@
         };
         cx.scheduling.lead(fence, share);
         if continues_own {
-            cx.scheduling.desk.continue_own_orders();
+            cx.scheduling.desk.skip_order_gap();
         }
     }
 
