--- a/crates/entry/examples/scheduler_calls.rs
+++ b/crates/entry/examples/scheduler_calls.rs
@@ -12,7 +12,7 @@
         scheduler::{Outcome, RateShare, SchedulerSettings},
     },
     jasmine_entry::{
-        scheduling::{Desk, JobSpec, Leader, SchedulerServer, Scheduling},
+        scheduling::{JobSpec, Leader, LocalScheduler, SchedulerNode, SchedulerServer},
         store::{Feed, KvStore},
     },
     jasmine_wire::{link::serve, scheduler_capnp::scheduler},
@@ -69,9 +69,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let scheduling = vm("leader", address);
-        scheduling.desk.set_config(&config());
-        scheduling.desk.set_upstream(&server());
-        scheduling.lead(FENCE, RateShare::Fresh);
+        scheduling.local_scheduler.set_config(&config());
+        scheduling.local_scheduler.set_upstream(&server());
+        scheduling.become_leader(FENCE, RateShare::Fresh);
         let feed = Rc::new(Feed::new(Millis(2_000)));
         let nowhere: SocketAddr = "127.0.0.1:9".parse().expect("an address");
         let server = SchedulerServer::new(
@@ -100,10 +100,10 @@
         let names: BTreeMap<String, SocketAddr> = (0..vms)
             .map(|number| (format!("vm-{number}"), leader))
             .collect();
-        let vms: Vec<Rc<Scheduling>> = names.keys().map(|name| vm(name, leader)).collect();
+        let vms: Vec<Rc<SchedulerNode>> = names.keys().map(|name| vm(name, leader)).collect();
         for vm in &vms {
             vm.set_vms(names.clone());
-            vm.consider(Leader {
+            vm.observe_leader(Leader {
                 vm: "leader".to_owned(),
                 address: leader,
                 fence: FENCE,
@@ -132,10 +132,15 @@
 fn vm(
     name: &str,
     address: SocketAddr,
-) -> Rc<Scheduling> {
+) -> Rc<SchedulerNode> {
     let (tasks, _engines) = mpsc::unbounded_channel();
-    let desk = Rc::new(Desk::new(SchedulerSettings::default(), tasks));
-    let scheduling = Rc::new(Scheduling::new(desk, name.to_owned(), address, 1));
+    let local_scheduler = Rc::new(LocalScheduler::new(SchedulerSettings::default(), tasks));
+    let scheduling = Rc::new(SchedulerNode::new(
+        local_scheduler,
+        name.to_owned(),
+        address,
+        1,
+    ));
     scheduling.start();
     scheduling
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,7 +1,7 @@
 //! What the parts of the daemon share; all of it lives on one thread.
 
 use {
-    crate::{clock::Clock, metrics::EntryMetrics, scheduling::Scheduling, upstream::Pool},
+    crate::{clock::Clock, metrics::EntryMetrics, scheduling::SchedulerNode, upstream::Pool},
     jasmine_conf::settings::EntrySettings,
     jasmine_core::{
         clock::Millis,
@@ -34,7 +34,7 @@
     /// The time.
     pub clock: Clock,
     /// The way to a decision about a request.
-    pub scheduling: Rc<Scheduling>,
+    pub scheduling: Rc<SchedulerNode>,
     /// Connections to upstreams.
     pub pool: Rc<Pool>,
     /// What is counted.
@@ -48,7 +48,7 @@
     /// The state of a daemon that knows nothing yet.
     pub fn new(
         settings: EntrySettings,
-        scheduling: Rc<Scheduling>,
+        scheduling: Rc<SchedulerNode>,
         pool: Rc<Pool>,
         metrics: Rc<EntryMetrics>,
     ) -> Self {
@@ -102,7 +102,7 @@
             .with("before", current.map_or(0, |version| version.0))
             .with("routes", config.routes.len())
             .info();
-        self.scheduling.desk.set_config(&config);
+        self.scheduling.local_scheduler.set_config(&config);
         self.config.send_replace(Some(Rc::new(config)));
     }
 
--- a/crates/entry/src/daemon/run.rs
+++ b/crates/entry/src/daemon/run.rs
@@ -4,7 +4,9 @@
         caller::{bind, serve_callers, serve_readiness},
         context::Context,
         metrics::{EntryMetrics, serve_metrics},
-        scheduling::{Desk, OrderContext, SchedulerServer, Scheduling, carry_out},
+        scheduling::{
+            LocalScheduler, OrderContext, SchedulerNode, SchedulerServer, run_engine_tasks,
+        },
         store::{Feed, KvStore, Membership, VmRecord, follow, keep_lead, keep_membership},
         upstream::Pool,
     },
@@ -60,11 +62,16 @@
     let incarnation: u64 = rand::random();
 
     let (tasks, orders) = mpsc::unbounded_channel();
-    let desk = Rc::new(Desk::new(scheduler_settings(&settings), tasks));
+    let local_scheduler = Rc::new(LocalScheduler::new(scheduler_settings(&settings), tasks));
     let me = settings.vm.clone();
-    let scheduling = Rc::new(Scheduling::new(desk, me.clone(), peer_address, incarnation));
+    let scheduling = Rc::new(SchedulerNode::new(
+        local_scheduler,
+        me.clone(),
+        peer_address,
+        incarnation,
+    ));
     if !settings.engines_check_fences {
-        scheduling.order_only_under_lease();
+        scheduling.require_valid_lease();
     }
     let pool = Rc::new(Pool::default());
     let store = KvStore::new(settings.store, watch_held(&settings));
@@ -100,7 +107,7 @@
         pool: Rc::clone(&pool),
         metrics,
     };
-    spawn_local(carry_out(order_cx, orders));
+    spawn_local(run_engine_tasks(order_cx, orders));
     spawn_local(follow(
         Rc::clone(&cx),
         store.clone(),
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -84,11 +84,13 @@
     latest: Instant,
 ) {
     if cx.scheduling.is_leading() && cx.settings.order_gap() > Millis::ZERO {
-        cx.scheduling.desk.pause_orders(PausedEngines::EverySecond);
+        cx.scheduling
+            .local_scheduler
+            .pause_orders(PausedEngines::EverySecond);
         sleep_until((Instant::now() + cx.settings.order_gap().to_std()).min(latest)).await;
     }
     keeping.iter().for_each(AbortHandle::abort);
-    cx.scheduling.say_leaving().await;
+    cx.scheduling.announce_leaving().await;
     if let Err(e) = leave(store, membership).await {
         Line::new("lease_not_ended").with("reason", e).info();
     }
--- a/crates/entry/src/forward/driver.rs
+++ b/crates/entry/src/forward/driver.rs
@@ -8,7 +8,7 @@
         caller::{AnswerWriter, OwnAnswer},
         context::{Context, StopStage},
         http1::AnswerHead,
-        scheduling::{Placement, Unplaced},
+        scheduling::{Placement, PlacementError},
     },
     bytes::Bytes,
     jasmine_core::{
@@ -89,9 +89,9 @@
             self.waited += self.cx.clock.now().since(asked);
             let placement = match placed {
                 Ok(placement) => placement,
-                Err(unplaced) => {
-                    self.waited_for = unplaced.waited_for;
-                    return self.give_up(unplaced.refusal, out).await;
+                Err(placement_error) => {
+                    self.waited_for = placement_error.waited_for;
+                    return self.give_up(placement_error.refusal, out).await;
                 }
             };
             self.waited_for = placement.waited_for;
@@ -124,7 +124,7 @@
 
     /// Waits for an upstream, until the deadline at the longest, or until this VM is about to end: the process would
     /// leave its caller without a word, while another VM has the time to serve it.
-    async fn place(&self) -> Result<Placement, Unplaced> {
+    async fn place(&self) -> Result<Placement, PlacementError> {
         let now = self.cx.clock.now();
         let number = self.attempts.next_attempt();
         let data_centre = &self.cx.settings.data_centre;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -171,10 +171,10 @@
         &self,
         cx: &Context,
     ) -> String {
-        let (queued, running) = cx.scheduling.desk.load();
+        let (queued, running) = cx.scheduling.local_scheduler.load();
         self.gauges.queued.record(queued as u64, &[]);
         self.gauges.running.record(running as u64, &[]);
-        let waits = cx.scheduling.desk.waits();
+        let waits = cx.scheduling.local_scheduler.waits();
         for reason in WaitReason::ALL {
             let label = KeyValue::new("reason", reason.as_str());
             self.gauges.waited.record(waits.of(reason).0, &[label]);
--- a/crates/entry/src/scheduling/client/following.rs
+++ b/crates/entry/src/scheduling/client/following.rs
@@ -1,7 +1,7 @@
 //! Follows the leader: discovery, session, health checks and request updates.
 
 use {
-    super::{LINK_OPTIONS, Mode, SchedulerLink, Scheduling},
+    super::{LINK_OPTIONS, Mode, SchedulerLink, SchedulerNode},
     crate::scheduling::{
         Leader,
         convert::{
@@ -31,7 +31,7 @@
 const BATCH_DELAY_MS_PER_VM: f64 = 0.25;
 const MAX_BATCH_DELAY: Millis = Millis(20);
 
-impl Scheduling {
+impl SchedulerNode {
     /// Announces a new leader to all VMs and to the previous leader.
     ///
     /// VMs that can't reach the store, and a previous leader that still gives orders, learn it this way.
@@ -82,7 +82,7 @@
                 }
             });
         let known = join_all(queries).await.into_iter().flatten();
-        known.map(|leader| self.consider(leader)).count() > 0
+        known.map(|leader| self.observe_leader(leader)).count() > 0
     }
 
     pub(super) async fn follow_leader(self: Rc<Self>) {
@@ -146,7 +146,7 @@
         {
             sleep(PING_INTERVAL.to_std()).await;
             match call_ping(link).await {
-                Ok(Some(other)) => self.consider(other),
+                Ok(Some(other)) => self.observe_leader(other),
                 Ok(None) => return self.drop_leader("it no longer leads"),
                 Err(e) => return self.drop_leader(&e.to_string()),
             }
@@ -187,7 +187,7 @@
             })
             .await?;
         if let Some(other) = other {
-            self.consider(other);
+            self.observe_leader(other);
         }
         match session {
             0 => Err(LinkError::Failed("it does not lead".to_owned())),
--- a/crates/entry/src/scheduling/client/leading.rs
+++ b/crates/entry/src/scheduling/client/leading.rs
@@ -1,7 +1,7 @@
 //! Tracks the leader: taking and giving up leadership, and standalone mode without a leader.
 
 use {
-    super::{LOCAL_VM, Mode, Scheduling},
+    super::{LOCAL_VM, Mode, SchedulerNode},
     crate::scheduling::{Handover, Leader},
     jasmine_core::{
         clock::Millis,
@@ -11,26 +11,26 @@
     jasmine_telemetry::log::Line,
 };
 
-impl Scheduling {
+impl SchedulerNode {
     /// How long the leader hasn't answered, if no other leader is known.
-    pub fn silent_for(&self) -> Option<Millis> {
+    pub fn leader_silent_for(&self) -> Option<Millis> {
         let since = self.leader_silent_since.get()?;
         Some(self.clock.now().since(since))
     }
 
     /// How long this VM has scheduled without a leader; `None` while it leads or follows.
-    pub fn alone_for(&self) -> Option<Millis> {
+    pub fn standalone_for(&self) -> Option<Millis> {
         let since = self.standalone_since.get()?;
         Some(self.clock.now().since(since))
     }
 
     /// Restricts orders to the time of a valid leader lease, for engines that don't check fencing tokens.
-    pub fn order_only_under_lease(&self) {
+    pub fn require_valid_lease(&self) {
         self.lease_valid_until.set(Some(Millis::ZERO));
     }
 
     /// Sets the time until which the leader lease is guaranteed to be valid.
-    pub fn lead_lasts_until(
+    pub fn set_lease_valid_until(
         &self,
         until: Millis,
     ) {
@@ -60,7 +60,7 @@
     }
 
     /// Makes this VM the leader, under a fencing token issued by the store.
-    pub fn lead(
+    pub fn become_leader(
         &self,
         fence: Fence,
         share: RateShare,
@@ -73,10 +73,10 @@
         };
         Line::new("lead_taken").with("fence", fence).info();
         let previous = self.leader.replace(Some(leader.clone()));
-        self.desk.set_role(true, share);
+        self.local_scheduler.set_role(true, share);
         self.apply_handover(previous.as_ref().map(|previous| previous.fence));
         for running in self.running_specs() {
-            self.desk.adopt(LOCAL_VM, &running);
+            self.local_scheduler.adopt(LOCAL_VM, &running);
         }
         self.set_mode(Mode::Leading(fence));
         self.announce(&leader, previous.as_ref());
@@ -93,7 +93,7 @@
             .as_ref()
             .map(|last| last.idle_times_at(previous, now));
         for (upstream, idle_time) in idle_times.unwrap_or_default() {
-            self.desk.set_idle_time(upstream, idle_time);
+            self.local_scheduler.set_idle_time(upstream, idle_time);
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Processes an announced leader; one with a lower fencing token than the known one is ignored.
-    pub fn consider(
+    pub fn observe_leader(
         &self,
         leader: Leader,
     ) {
@@ -151,7 +151,7 @@
     }
 
     /// Announces that this leader is stopping, so that another VM can take over at once; gives no more orders.
-    pub async fn say_leaving(&self) {
+    pub async fn announce_leaving(&self) {
         let Some(leader) = self.leader().filter(|_| self.is_leading()) else {
             return;
         };
@@ -160,8 +160,8 @@
             ..leader
         };
         self.leader.replace(Some(leader.clone()));
-        self.desk.pause_orders(PausedEngines::All);
-        self.broadcast_leaving(&leader, &self.desk.idle_times())
+        self.local_scheduler.pause_orders(PausedEngines::All);
+        self.broadcast_leaving(&leader, &self.local_scheduler.idle_times())
             .await;
     }
 
@@ -178,8 +178,8 @@
     }
 
     fn become_standalone(&self) {
-        self.desk.set_role(false, self.rights_share());
-        self.desk.forget_other_vms(LOCAL_VM);
+        self.local_scheduler.set_role(false, self.rights_share());
+        self.local_scheduler.forget_other_vms(LOCAL_VM);
         self.set_mode(Mode::Standalone);
     }
 
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Desk, Handover, JobSpec, Leader, Placement, RunningSpec, Unplaced, Verdict,
+        Handover, JobSpec, Leader, LocalScheduler, Placement, PlacementError, RunningSpec, Verdict,
         convert::{JobUpdate, read_verdict, write_job},
     },
     crate::clock::Clock,
@@ -67,9 +67,9 @@
 
 /// This VM's part in scheduling: as leader, as follower, or on its own without a leader.
 #[derive(Debug)]
-pub struct Scheduling {
+pub struct SchedulerNode {
     /// The scheduler that runs in this process.
-    pub desk: Rc<Desk>,
+    pub local_scheduler: Rc<LocalScheduler>,
     me: String,
     address: SocketAddr,
     incarnation: u64,
@@ -108,16 +108,16 @@
     since: Millis,
 }
 
-impl Scheduling {
+impl SchedulerNode {
     /// Creates the scheduling state of the VM `me`, which its peers reach at `address`.
     pub fn new(
-        desk: Rc<Desk>,
+        local_scheduler: Rc<LocalScheduler>,
         me: String,
         address: SocketAddr,
         incarnation: u64,
     ) -> Self {
         Self {
-            desk,
+            local_scheduler,
             me,
             address,
             incarnation,
@@ -145,8 +145,8 @@
     pub fn start(self: &Rc<Self>) {
         spawn_local(Rc::clone(self).follow_leader());
         spawn_local(Rc::clone(self).send_updates());
-        let desk = Rc::clone(&self.desk);
-        spawn_local(async move { desk.run().await });
+        let local_scheduler = Rc::clone(&self.local_scheduler);
+        spawn_local(async move { local_scheduler.run().await });
     }
 
     /// This VM's name.
@@ -162,7 +162,7 @@
     pub async fn place(
         self: &Rc<Self>,
         spec: JobSpec,
-    ) -> Result<Placement, Unplaced> {
+    ) -> Result<Placement, PlacementError> {
         let began = self.clock.now();
         let mut avoid = spec.avoid.clone();
         loop {
@@ -199,7 +199,8 @@
                         sleep(STALE_ASSIGNMENT_DELAY.to_std()).await;
                         continue;
                     }
-                    self.desk.record_own_decision(&spec, RateDecision::Admitted);
+                    self.local_scheduler
+                        .record_own_decision(&spec, RateDecision::Admitted);
                     let running = self.track_running(spec, &upstream, version);
                     return Ok(Placement::new(
                         Rc::clone(self),
@@ -223,10 +224,10 @@
                 }) => {
                     pending.is_settled.set(true);
                     if refusal.kind == ErrorKind::RateLimited {
-                        self.desk
+                        self.local_scheduler
                             .record_own_decision(&spec, RateDecision::RateLimited);
                     }
-                    return Err(Unplaced {
+                    return Err(PlacementError {
                         refusal,
                         waited_for,
                     });
@@ -245,7 +246,7 @@
         refusal: &Refusal,
         spec: &JobSpec,
     ) -> Option<Millis> {
-        let standalone_for = self.alone_for()?;
+        let standalone_for = self.standalone_for()?;
         let is_retryable = matches!(refusal.kind, ErrorKind::RateLimited | ErrorKind::NoUpstream);
         let wait = MAX_ELECTION_WAIT
             .since(standalone_for)
@@ -269,12 +270,12 @@
                 if let Some(running) = self.running.borrow_mut().get_mut(&number) {
                     running.spec.has_begun = true;
                 }
-                self.desk.first_event(ticket);
+                self.local_scheduler.first_event(ticket);
             }
             JobUpdate::Ended(outcome) => {
                 let running = self.running.borrow_mut().remove(&number);
                 is_urgent = running.is_none_or(|running| running.spec.job.generation.is_none());
-                self.desk.ended(ticket, outcome);
+                self.local_scheduler.ended(ticket, outcome);
             }
         }
         if !self.is_leading() {
@@ -289,7 +290,7 @@
     }
 
     /// Sets whether only part of the store's upstreams has been read so far.
-    pub fn set_knows_part(
+    pub fn set_partial_upstreams(
         &self,
         has_partial_upstreams: bool,
     ) {
@@ -329,7 +330,7 @@
         // The share of a VM that leaves stays unused; only additional VMs make the shares smaller.
         let has_more_vms = self.vms.borrow().len() as u64 > self.share_count.get();
         if has_more_vms && matches!(*self.mode.borrow(), Mode::Standalone) {
-            self.desk.set_role(false, self.rights_share());
+            self.local_scheduler.set_role(false, self.rights_share());
         }
     }
 
@@ -343,7 +344,7 @@
         &self,
         upstream: &str,
     ) -> bool {
-        self.is_following() && self.desk.is_leaving_or_removed(upstream)
+        self.is_following() && self.local_scheduler.is_leaving_or_removed(upstream)
     }
 
     /// Records a request as running and returns its number.
@@ -412,7 +413,9 @@
                 refusal: Refusal::after(ErrorKind::NoUpstream, NO_UPSTREAM_RETRY_DELAY),
                 waited_for: WaitReason::NoUpstream,
             }),
-            Mode::Leading(_) | Mode::Standalone => self.desk.place(LOCAL_VM, spec).await.ok(),
+            Mode::Leading(_) | Mode::Standalone => {
+                self.local_scheduler.place(LOCAL_VM, spec).await.ok()
+            }
         }
     }
 
@@ -455,7 +458,7 @@
 ///
 /// Dropped unsettled, because the caller disconnected or the mode changed, it releases what was reserved for it.
 struct PendingPlacement<'a> {
-    scheduling: &'a Rc<Scheduling>,
+    scheduling: &'a Rc<SchedulerNode>,
     number: u64,
     is_settled: Cell<bool>,
 }
--- a/crates/entry/src/scheduling/desk.rs
+++ b/crates/entry/src/scheduling/local_scheduler.rs
@@ -58,7 +58,7 @@
 
 /// Runs the scheduler state machine of this process: maps names to ids, answers waiting requests, queues engine tasks.
 #[derive(Debug)]
-pub struct Desk {
+pub struct LocalScheduler {
     clock: Clock,
     names: RefCell<NameInterner>,
     scheduler: RefCell<Scheduler>,
@@ -71,7 +71,7 @@
     may_order: Cell<bool>,
 }
 
-impl Desk {
+impl LocalScheduler {
     /// Creates a scheduler that sends its engine tasks to `tasks`.
     pub fn new(
         settings: SchedulerSettings,
--- a/crates/entry/src/scheduling/mod.rs
+++ b/crates/entry/src/scheduling/mod.rs
@@ -2,26 +2,26 @@
 
 mod client;
 mod convert;
-mod desk;
 mod facts;
 mod handover;
 mod job_spec;
 mod leader;
+mod local_scheduler;
 mod name_interner;
 mod orders;
 mod placement;
+mod placement_error;
 mod server;
-mod unplaced;
 
 pub use {
-    client::Scheduling,
-    desk::{Desk, Verdict},
+    client::SchedulerNode,
     handover::Handover,
     job_spec::{GenerationSpec, JobSpec, RunningSpec},
     leader::Leader,
+    local_scheduler::{LocalScheduler, Verdict},
     name_interner::NameInterner,
-    orders::{OrderContext, carry_out},
+    orders::{OrderContext, run_engine_tasks},
     placement::Placement,
+    placement_error::PlacementError,
     server::SchedulerServer,
-    unplaced::Unplaced,
 };
--- a/crates/entry/src/scheduling/orders.rs
+++ b/crates/entry/src/scheduling/orders.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Scheduling, desk::EngineTask},
+    super::{SchedulerNode, local_scheduler::EngineTask},
     crate::{
         metrics::EntryMetrics,
         upstream::{CallError, HttpCall, Pool},
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct OrderContext {
     /// Supplies the fencing token and receives the results.
-    pub scheduling: Rc<Scheduling>,
+    pub scheduling: Rc<SchedulerNode>,
     /// Connections to engines.
     pub pool: Rc<Pool>,
     /// Counts orders by result.
@@ -36,7 +36,7 @@
 }
 
 /// Sends the scheduler's engine tasks concurrently and reports their results back; ends when the channel closes.
-pub async fn carry_out(
+pub async fn run_engine_tasks(
     cx: OrderContext,
     mut tasks: mpsc::UnboundedReceiver<EngineTask>,
 ) {
@@ -47,12 +47,14 @@
                 EngineTask::Order(upstream, order, after_seq) => {
                     let end = cx.order(upstream, order, after_seq).await;
                     cx.metrics.order(end);
-                    cx.scheduling.desk.order_ended(upstream, order, end);
+                    cx.scheduling
+                        .local_scheduler
+                        .order_ended(upstream, order, end);
                 }
                 EngineTask::Report(upstream) => {
                     let report = cx.report(upstream).await;
                     let holdings = report.as_ref().map(|r| (&r.holdings, r.is_busy));
-                    cx.scheduling.desk.report(upstream, holdings);
+                    cx.scheduling.local_scheduler.report(upstream, holdings);
                 }
             }
         });
@@ -66,7 +68,7 @@
         order: Order,
         after_seq: u64,
     ) -> OrderResult {
-        let target = self.scheduling.desk.upstream(upstream);
+        let target = self.scheduling.local_scheduler.upstream(upstream);
         let (Some((id, address)), Some(fence)) = (target, self.scheduling.fence_for_order()) else {
             return OrderResult::Unsent;
         };
@@ -115,7 +117,7 @@
         after_seq: u64,
         fence: jasmine_core::ids::Fence,
     ) -> EngineOrder {
-        let names = self.scheduling.desk.names();
+        let names = self.scheduling.local_scheduler.names();
         let build =
             |kind, model: ModelId, adapter: Option<AdapterVersion>, announced: bool| EngineOrder {
                 kind,
@@ -143,7 +145,7 @@
         &self,
         upstream: UpstreamId,
     ) -> Option<EngineReport> {
-        let (id, address) = self.scheduling.desk.upstream(upstream)?;
+        let (id, address) = self.scheduling.local_scheduler.upstream(upstream)?;
         let (status, body) = self
             .call(&id, address, "GET", REPORT_TARGET, &[])
             .await
--- a/crates/entry/src/scheduling/placement.rs
+++ b/crates/entry/src/scheduling/placement.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Scheduling, convert::JobUpdate},
+    super::{SchedulerNode, convert::JobUpdate},
     jasmine_core::scheduler::{Outcome, WaitReason},
     std::{cell::Cell, net::SocketAddr, rc::Rc},
 };
@@ -9,7 +9,7 @@
 /// Dropped without [`Placement::end`], it reports the request as abandoned, which releases the slot.
 #[derive(Debug)]
 pub struct Placement {
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerNode>,
     number: u64,
     /// The upstream's id.
     pub upstream: String,
@@ -24,7 +24,7 @@
 
 impl Placement {
     pub(super) fn new(
-        scheduling: Rc<Scheduling>,
+        scheduling: Rc<SchedulerNode>,
         number: u64,
         upstream: String,
         address: SocketAddr,
--- a/crates/entry/src/scheduling/server.rs
+++ b/crates/entry/src/scheduling/server.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Desk, Scheduling, Verdict,
+        LocalScheduler, SchedulerNode, Verdict,
         convert::{
             JobUpdate, read_idle_times, read_job, read_leader, read_running, read_update,
             write_leader, write_verdict,
@@ -26,7 +26,7 @@
 /// Serves the scheduler RPCs of the other entry VMs.
 #[derive(Debug)]
 pub struct SchedulerServer {
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerNode>,
     feed: Rc<Feed>,
     store: KvStore,
     /// The session of each VM, by VM name, under `sessions_fence`.
@@ -38,7 +38,7 @@
 impl SchedulerServer {
     /// Creates a server of this VM's scheduler, its cached store changes and its access to the store.
     pub fn new(
-        scheduling: Rc<Scheduling>,
+        scheduling: Rc<SchedulerNode>,
         feed: Rc<Feed>,
         store: KvStore,
     ) -> Self {
@@ -64,7 +64,7 @@
         let session = self.next_session.replace(self.next_session.get() + 1);
         let previous = self.sessions.borrow_mut().insert(vm.to_owned(), session);
         if let Some(previous) = previous {
-            self.scheduling.desk.forget_vm(previous);
+            self.scheduling.local_scheduler.forget_vm(previous);
         }
         Some(session)
     }
@@ -100,7 +100,7 @@
         };
         for running in params.get_running()? {
             let running = read_running(running)?;
-            self.scheduling.desk.adopt(session, &running);
+            self.scheduling.local_scheduler.adopt(session, &running);
         }
         results.get().set_session(session);
         Ok(())
@@ -118,14 +118,14 @@
         }
         let spec = read_job(params.get_job()?)?;
         let guard = WithdrawOnDrop {
-            desk: &self.scheduling.desk,
+            local_scheduler: &self.scheduling.local_scheduler,
             ticket: Ticket {
                 vm: session,
                 number: spec.number,
             },
             is_settled: Cell::new(false),
         };
-        let verdict = self.scheduling.desk.place(session, &spec).await;
+        let verdict = self.scheduling.local_scheduler.place(session, &spec).await;
         guard.is_settled.set(true);
         // The session ended: `known` is false and the follower ignores the verdict.
         let session_ended = Verdict::Refused {
@@ -159,8 +159,8 @@
                 number,
             };
             match update {
-                JobUpdate::FirstEvent => self.scheduling.desk.first_event(ticket),
-                JobUpdate::Ended(outcome) => self.scheduling.desk.ended(ticket, outcome),
+                JobUpdate::FirstEvent => self.scheduling.local_scheduler.first_event(ticket),
+                JobUpdate::Ended(outcome) => self.scheduling.local_scheduler.ended(ticket, outcome),
             }
         }
         Ok(())
@@ -177,7 +177,7 @@
                 let idle_times = read_idle_times(params.get_rested()?)?;
                 self.scheduling.set_handover(leader.fence, idle_times);
             }
-            self.scheduling.consider(leader);
+            self.scheduling.observe_leader(leader);
         }
         write_leader(
             results.get().init_leader(),
@@ -246,7 +246,7 @@
 
 /// Withdraws a placement request if its call is dropped because the caller disconnected.
 struct WithdrawOnDrop<'a> {
-    desk: &'a Desk,
+    local_scheduler: &'a LocalScheduler,
     ticket: Ticket,
     is_settled: Cell<bool>,
 }
@@ -254,7 +254,7 @@
 impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if !self.is_settled.get() {
-            self.desk.ended(self.ticket, Outcome::Abandoned);
+            self.local_scheduler.ended(self.ticket, Outcome::Abandoned);
         }
     }
 }
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -170,7 +170,7 @@
     /// and it is among the first to take the lead, or nobody else has for a while.
     fn needs_upstreams(&self) -> bool {
         let scheduling = &self.cx.scheduling;
-        let alone = scheduling.alone_for();
+        let alone = scheduling.standalone_for();
         self.feed.is_reading()
             || scheduling.is_leading()
             || alone.is_some() && self.membership.is_candidate(&self.cx)
--- a/crates/entry/src/store/lead.rs
+++ b/crates/entry/src/store/lead.rs
@@ -89,7 +89,7 @@
 
     /// Whether the leader has fallen silent and it is this VM's turn to ask the store about it.
     fn asks_now(&self) -> bool {
-        let Some(silent) = self.cx.scheduling.silent_for() else {
+        let Some(silent) = self.cx.scheduling.leader_silent_for() else {
             return false;
         };
         let before = self.membership.before_me(&self.cx);
@@ -182,7 +182,7 @@
         lease: Lease,
     ) {
         let surely = lease.ttl.since(MARGIN);
-        self.cx.scheduling.lead_lasts_until(sent + surely);
+        self.cx.scheduling.set_lease_valid_until(sent + surely);
     }
 
     /// The lease of a lead that another VM has taken over keeps nothing alive; it ends by itself where this fails.
--- a/crates/entry/src/store/membership.rs
+++ b/crates/entry/src/store/membership.rs
@@ -166,7 +166,7 @@
             // The answer to the call that wrote it was lost.
             return self.take_lead(cx, fence, false);
         }
-        cx.scheduling.consider(Leader {
+        cx.scheduling.observe_leader(Leader {
             vm: record.vm,
             address: record.peers,
             fence,
@@ -225,9 +225,9 @@
         } else {
             RateShare::TakenOver
         };
-        cx.scheduling.lead(fence, share);
+        cx.scheduling.become_leader(fence, share);
         if continues_own {
-            cx.scheduling.desk.skip_order_gap();
+            cx.scheduling.local_scheduler.skip_order_gap();
         }
     }
 
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -150,7 +150,7 @@
             .iter()
             .filter_map(|kv| kv.key.strip_prefix(entries::PREFIX));
         self.found.borrow_mut().extend(ids.map(str::to_owned));
-        self.cx.scheduling.set_knows_part(page.more);
+        self.cx.scheduling.set_partial_upstreams(page.more);
         if page.more {
             return;
         }
@@ -295,7 +295,7 @@
                 .info();
         }
         self.lapsed.borrow_mut().remove(&entry.id);
-        self.cx.scheduling.desk.set_upstream(&entry);
+        self.cx.scheduling.local_scheduler.set_upstream(&entry);
         upstreams.insert(entry.id.clone(), entry);
     }
 
@@ -307,8 +307,13 @@
         match versions::decode(&kv.value) {
             Ok(announced) => {
                 if let Some(adapter) = &announced.adapter {
-                    let desk = &self.cx.scheduling.desk;
-                    desk.announce_version(&announced.model, adapter, announced.version, how);
+                    let local_scheduler = &self.cx.scheduling.local_scheduler;
+                    local_scheduler.announce_version(
+                        &announced.model,
+                        adapter,
+                        announced.version,
+                        how,
+                    );
                     Line::new("version_announced")
                         .with("adapter", adapter)
                         .with("version", announced.version)
@@ -353,7 +358,7 @@
                 .with("upstream", id)
                 .with("reason", reason)
                 .info();
-            self.cx.scheduling.desk.remove_upstream(id);
+            self.cx.scheduling.local_scheduler.remove_upstream(id);
         }
     }
 }
--- a/crates/entry/tests/killed_leader.rs
+++ b/crates/entry/tests/killed_leader.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn adapters_are_loaded_and_make_way() {
+fn adapters_are_loaded_and_evicted() {
     // Guards against ordering a third adapter on an engine with two adapter slots, which would crash it.
     let (store, _) = platform(&[]);
     let engine = EngineStandIn::start("e-1").unwrap();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn lost_answers_to_orders_overfill_nothing() {
+fn lost_order_answers_do_not_overfill_engines() {
     // Guards against ordering too many adapters when the engine's answers to earlier orders are lost.
     let (store, _) = platform(&[]);
     let engine = EngineStandIn::start("e-1").unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_frozen_leader_gives_no_more_orders() {
+fn a_suspended_leader_gives_no_more_orders() {
     // Guards against orders from two leaders after the first is suspended for longer than its lease and resumes.
     let (store, _upstreams) = platform(&["s-1"]);
     let engine = EngineStandIn::start("e-1").unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_thawed_leader_is_not_followed() {
+fn a_resumed_leader_is_not_followed() {
     // Guards against a new leader following its suspended predecessor because of a late answer: each would follow the
     // other, and no VM would lead.
     let (store, _upstreams) = platform(&["s-1"]);
--- a/crates/entry/tests/lead_changes.rs
+++ b/crates/entry/tests/leader_changes.rs
@@ -8,7 +8,7 @@
         scheduler::{RateShare, SchedulerSettings},
     },
     jasmine_entry::{
-        scheduling::{Desk, JobSpec, Leader, SchedulerServer, Scheduling},
+        scheduling::{JobSpec, Leader, LocalScheduler, SchedulerNode, SchedulerServer},
         store::{Feed, KvStore},
     },
     jasmine_wire::{link::serve, scheduler_capnp::scheduler},
@@ -26,7 +26,7 @@
 
 /// A VM's scheduling without the rest of the daemon.
 struct Node {
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerNode>,
     leader: Leader,
 }
 
@@ -38,9 +38,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (tasks, _engines) = mpsc::unbounded_channel();
-    let desk = Rc::new(Desk::new(SchedulerSettings::default(), tasks));
-    desk.set_config(&config());
-    let scheduling = Rc::new(Scheduling::new(desk, name.to_owned(), address, fence));
+    let local_scheduler = Rc::new(LocalScheduler::new(SchedulerSettings::default(), tasks));
+    local_scheduler.set_config(&config());
+    let scheduling = Rc::new(SchedulerNode::new(
+        local_scheduler,
+        name.to_owned(),
+        address,
+        fence,
+    ));
     scheduling.start();
     let feed = Rc::new(Feed::new(Millis(2_000)));
     let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
@@ -134,24 +139,26 @@
         let old = node("old", 1).await;
         let new = node("new", 2).await;
         let follower = node("follower", 0).await;
-        old.scheduling.lead(Fence(1), RateShare::Fresh);
-        follower.scheduling.consider(old.leader.clone());
+        old.scheduling.become_leader(Fence(1), RateShare::Fresh);
+        follower.scheduling.observe_leader(old.leader.clone());
         until(|| follower.scheduling.is_following()).await;
         let asking = Rc::clone(&follower.scheduling);
         let asked = spawn_local(async move { asking.place(job()).await });
-        until(|| old.scheduling.desk.load().0 == 1).await;
+        until(|| old.scheduling.local_scheduler.load().0 == 1).await;
 
-        new.scheduling.desk.set_upstream(&server("s-new"));
-        new.scheduling.lead(Fence(2), RateShare::TakenOver);
-        old.scheduling.consider(new.leader.clone());
-        follower.scheduling.consider(new.leader.clone());
+        new.scheduling
+            .local_scheduler
+            .set_upstream(&server("s-new"));
+        new.scheduling.become_leader(Fence(2), RateShare::TakenOver);
+        old.scheduling.observe_leader(new.leader.clone());
+        follower.scheduling.observe_leader(new.leader.clone());
         let placed = timeout(LIMIT, asked)
             .await
             .expect("decided in time")
             .unwrap();
         assert_eq!(placed.expect("not refused").upstream, "s-new");
         assert_eq!(
-            old.scheduling.desk.load(),
+            old.scheduling.local_scheduler.load(),
             (0, 0),
             "no request is left at the old leader"
         );
@@ -164,14 +171,16 @@
     run(async {
         let old = node("old", 1).await;
         let new = node("new", 2).await;
-        old.scheduling.lead(Fence(1), RateShare::Fresh);
+        old.scheduling.become_leader(Fence(1), RateShare::Fresh);
         let asking = Rc::clone(&old.scheduling);
         let asked = spawn_local(async move { asking.place(job()).await });
-        until(|| old.scheduling.desk.load().0 == 1).await;
+        until(|| old.scheduling.local_scheduler.load().0 == 1).await;
 
-        new.scheduling.desk.set_upstream(&server("s-new"));
-        new.scheduling.lead(Fence(2), RateShare::TakenOver);
-        old.scheduling.consider(new.leader.clone());
+        new.scheduling
+            .local_scheduler
+            .set_upstream(&server("s-new"));
+        new.scheduling.become_leader(Fence(2), RateShare::TakenOver);
+        old.scheduling.observe_leader(new.leader.clone());
         let placed = timeout(LIMIT, asked)
             .await
             .expect("decided in time")
@@ -181,13 +190,16 @@
 }
 
 #[test]
-fn a_dead_leader_is_done_without() {
+fn an_unresponsive_leader_is_bypassed() {
     // Guards against waiting until the deadline for a leader that accepts connections but never answers.
     run(async {
         let follower = node("follower", 0).await;
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        follower.scheduling.desk.set_upstream(&server("s-own"));
-        follower.scheduling.consider(Leader {
+        follower
+            .scheduling
+            .local_scheduler
+            .set_upstream(&server("s-own"));
+        follower.scheduling.observe_leader(Leader {
             vm: "dead".to_owned(),
             address: silent.local_addr().unwrap(),
             fence: Fence(7),
@@ -205,14 +217,14 @@
 }
 
 #[test]
-fn an_older_leader_is_not_listened_to() {
+fn an_older_leader_is_ignored() {
     // Guards against following an earlier leader whose announcement arrives after that of a later one.
     run(async {
         let follower = node("follower", 0).await;
         let newer = node("newer", 9).await;
         let older = node("older", 3).await;
-        follower.scheduling.consider(newer.leader.clone());
-        follower.scheduling.consider(older.leader.clone());
+        follower.scheduling.observe_leader(newer.leader.clone());
+        follower.scheduling.observe_leader(older.leader.clone());
         assert_eq!(follower.scheduling.leader(), Some(newer.leader));
     });
 }
--- a/crates/entry/tests/no_leader.rs
+++ b/crates/entry/tests/no_leader.rs
@@ -8,7 +8,7 @@
         rights::Limit,
         scheduler::{RateShare, SchedulerSettings},
     },
-    jasmine_entry::scheduling::{Desk, JobSpec, Scheduling},
+    jasmine_entry::scheduling::{JobSpec, LocalScheduler, SchedulerNode},
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
         sync::mpsc,
@@ -18,12 +18,12 @@
 };
 
 /// A newly started VM among 300: its share of the account's rate limit is less than one request.
-fn started_vm() -> Rc<Scheduling> {
+fn started_vm() -> Rc<SchedulerNode> {
     let (tasks, _orders) = mpsc::unbounded_channel();
-    let desk = Rc::new(Desk::new(SchedulerSettings::default(), tasks));
+    let local_scheduler = Rc::new(LocalScheduler::new(SchedulerSettings::default(), tasks));
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let scheduling = Rc::new(Scheduling::new(
-        Rc::clone(&desk),
+    let scheduling = Rc::new(SchedulerNode::new(
+        Rc::clone(&local_scheduler),
         "vm-0".to_owned(),
         address,
         1,
@@ -39,12 +39,12 @@
         unit: RateUnit::Requests,
         priority: None,
     };
-    desk.set_config(&IngressConfig {
+    local_scheduler.set_config(&IngressConfig {
         version: Revision(1),
         accounts: vec![account],
         ..IngressConfig::default()
     });
-    desk.set_upstream(&UpstreamEntry {
+    local_scheduler.set_upstream(&UpstreamEntry {
         id: "i-1".to_owned(),
         service: "app".to_owned(),
         address,
@@ -89,13 +89,13 @@
 
 /// Guards against rate-limit refusals of most requests during an election.
 #[test]
-fn an_election_is_waited_for() {
+fn requests_wait_for_an_election() {
     run(async {
         let vm = started_vm();
         let elected = Rc::clone(&vm);
         spawn_local(async move {
             sleep(Duration::from_millis(300)).await;
-            elected.lead(Fence(7), RateShare::Fresh);
+            elected.become_leader(Fence(7), RateShare::Fresh);
         });
         let placed = vm.place(call()).await;
         assert!(placed.is_ok(), "{placed:?}");
@@ -104,14 +104,14 @@
 
 /// Guards against sending all requests to the few upstreams that a VM has read so far.
 #[test]
-fn a_part_is_not_enough() {
+fn a_partial_upstream_list_is_not_used() {
     run(async {
         let vm = started_vm();
-        vm.set_knows_part(true);
+        vm.set_partial_upstreams(true);
         let elected = Rc::clone(&vm);
         spawn_local(async move {
             sleep(Duration::from_millis(200)).await;
-            elected.lead(Fence(7), RateShare::Fresh);
+            elected.become_leader(Fence(7), RateShare::Fresh);
         });
         let began = std::time::Instant::now();
         assert!(vm.place(call()).await.is_ok());
@@ -121,7 +121,7 @@
 
 /// Guards against holding requests when no leader is elected: they are refused with a retry delay.
 #[test]
-fn a_missing_leader_is_not() {
+fn requests_are_refused_without_an_election() {
     run(async {
         let vm = started_vm();
         sleep(Duration::from_millis(1_700)).await;
--- a/crates/entry/tests/handed_on.rs
+++ b/crates/entry/tests/store_changes_relay.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn few_read_the_store() {
+fn few_vms_read_the_store() {
     // Guards against store load that grows with the number of VMs: only the relay and the leader read the store.
     let (store, _upstreams) = platform(&["s-1"]);
     let vms: Vec<Vm> = (0..12).map(|_| Vm::start(&store)).collect();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_reader_cut_off_from_the_store_is_left() {
+fn a_relay_cut_off_from_the_store_is_replaced() {
     // Guards against stale configuration, such as a revoked key, on all VMs when the relay loses the store unnoticed.
     let (store, _upstreams) = platform(&["s-1"]);
     let links: Vec<Proxy> = (0..3)
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_frozen_reader_is_left() {
+fn a_suspended_relay_is_replaced() {
     // Guards against waiting forever for a suspended relay, whose connections stay open.
     let (store, _upstreams) = platform(&["s-1"]);
     let vms: Vec<Vm> = (0..3).map(|_| Vm::start(&store)).collect();
--- a/crates/entry/tests/store_outages.rs
+++ b/crates/entry/tests/store_outages.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn lost_history_is_read_anew() {
+fn lost_history_triggers_a_full_read() {
     // Guards against missing changes for good when the store drops the history that contains them.
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_others_wrote_harms_nobody() {
+fn malformed_entries_are_skipped() {
     // Guards against malformed upstream entries from other writers affecting the valid ones.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_nothing_new() {
+fn a_leaving_upstream_gets_no_new_requests() {
     // Guards against new requests to an upstream that is draining or whose entry was removed.
     let (store, upstreams) = platform(&["s-1", "s-2", "s-3"]);
     let vm = Vm::start(&store);
@@ -128,7 +128,7 @@
 
 /// Guards against missing a removed upstream when the entries span several pages of the store.
 #[test]
-fn pages_tell_who_left() {
+fn paged_reads_detect_removed_upstreams() {
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     for number in 0..40 {
         let key = format!("servers/r-{number:02}");
--- a/crates/entry/tests/unfenced_engines.rs
+++ b/crates/entry/tests/unfenced_engines.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_leader_without_the_store_goes_on() {
+fn a_leader_cut_off_from_the_store_keeps_leading() {
     // Guards against a leader change, and delayed adapter loads, when only the leader loses the store: another VM renews
     // its lease for it.
     let (store, _) = platform(&[]);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn after_a_power_loss_the_last_one_leads() {
+fn after_a_power_loss_the_last_leader_leads() {
     // Guards against another VM taking over after all VMs restart: it would have to wait for the order gap before loads.
     let (store, _) = platform(&[]);
     let engines = engines(&store);
