--- a/crates/core/examples/scheduler_cost/fleet.rs
+++ b/crates/core/examples/scheduler_cost/fleet.rs
@@ -198,7 +198,7 @@
                 upstream, order, ..
             } => {
                 let end = match order {
-                    Order::Unload { .. } => OrderResult::AlreadyInEffect,
+                    Order::Unload { .. } => OrderResult::Holds,
                     Order::Load { .. } | Order::LoadModel(_) => OrderResult::Accepted,
                 };
                 self.loads += u64::from(matches!(order, Order::Load { .. }));
--- a/crates/core/src/scheduler/loads.rs
+++ b/crates/core/src/scheduler/loads.rs
@@ -193,8 +193,8 @@
                 resident.accepted_at = Some(now);
             }
         }
-        (Order::Load { adapter, .. }, OrderResult::AlreadyInEffect) => engine.note_loaded(adapter),
-        (Order::Unload { adapter, .. }, OrderResult::AlreadyInEffect) => {
+        (Order::Load { adapter, .. }, OrderResult::Holds) => engine.note_loaded(adapter),
+        (Order::Unload { adapter, .. }, OrderResult::Holds) => {
             engine.seq += 1;
             engine.remove_resident(adapter, load.warm_capacity);
             return load_reserved(engine, versions, upstream, reserved, load, cold_time, now);
@@ -207,7 +207,7 @@
             engine.mark_stale(now);
         }
         (Order::LoadModel(_), OrderResult::Accepted) => engine.seq += 1,
-        (Order::LoadModel(model), OrderResult::AlreadyInEffect) => {
+        (Order::LoadModel(model), OrderResult::Holds) => {
             engine.loading = None;
             engine.models.push(model);
         }
--- a/crates/core/src/scheduler/outcome.rs
+++ b/crates/core/src/scheduler/outcome.rs
@@ -32,7 +32,7 @@
     /// The engine is executing the order.
     Accepted,
     /// The requested state is already in effect.
-    AlreadyInEffect,
+    Holds,
     /// The sequence number doesn't match, or the engine is busy.
     Conflict,
     /// The engine rejected the order for another reason.
--- a/crates/core/tests/adapter_loads.rs
+++ b/crates/core/tests/adapter_loads.rs
@@ -36,7 +36,7 @@
         world.orders
     );
     let (upstream, unload) = world.unanswered.remove(0);
-    world.answer(upstream, unload, OrderResult::AlreadyInEffect);
+    world.answer(upstream, unload, OrderResult::Holds);
     let (upstream, load) = world.unanswered.remove(0);
     world.answer(upstream, load, OrderResult::Accepted);
     assert_eq!(world.loads_of(9), 1);
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -264,7 +264,7 @@
         assert_eq!(*seq, after_seq, "sequence number mismatch for {order:?}");
         *seq += 1;
         let end = match order {
-            Order::Unload { .. } => OrderResult::AlreadyInEffect,
+            Order::Unload { .. } => OrderResult::Holds,
             Order::Load { .. } | Order::LoadModel(_) => OrderResult::Accepted,
         };
         self.answer(upstream, order, end);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -122,7 +122,7 @@
     ) {
         let word = match end {
             OrderResult::Accepted => "accepted",
-            OrderResult::AlreadyInEffect => "holds",
+            OrderResult::Holds => "holds",
             OrderResult::Conflict => "conflict",
             OrderResult::Refused => "refused",
             OrderResult::OtherUpstream => "other_upstream",
--- a/crates/entry/src/scheduling/orders.rs
+++ b/crates/entry/src/scheduling/orders.rs
@@ -98,7 +98,7 @@
     ) -> OrderResult {
         match answer {
             OrderAnswer::Accepted => OrderResult::Accepted,
-            OrderAnswer::Holds => OrderResult::AlreadyInEffect,
+            OrderAnswer::Holds => OrderResult::Holds,
             OrderAnswer::Conflict => OrderResult::Conflict,
             OrderAnswer::OtherUpstream => OrderResult::OtherUpstream,
             OrderAnswer::Refused(_) => OrderResult::Refused,
