--- a/crates/gateway/src/brain/running.rs
+++ b/crates/gateway/src/brain/active_request.rs
@@ -6,46 +6,46 @@
     tokio::sync::oneshot,
 };
 
-/// Where a request stands.
+/// The stage of a request between arrival and end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Waits for rights that peers may give.
-    Asking {
-        /// Since when.
+    /// Waits for rights from peers or from the next epoch.
+    AwaitingRights {
+        /// Start of the wait.
         since: Millis,
     },
     /// Waits in the queue.
     Queued,
-    /// At an upstream.
+    /// Sent to an upstream.
     Sent {
-        /// Which.
+        /// The upstream.
         upstream: UpstreamId,
-        /// The instance that it named there.
+        /// The adapter instance it uses there, if any.
         instance: Option<Instance>,
     },
-    /// Between two attempts, or over.
+    /// Between two attempts, or ended.
     Idle,
 }
 
-/// A request that the brain knows of.
+/// A request from its admission to its end.
 #[derive(Debug)]
-pub struct Running {
-    /// What it asked for.
+pub struct ActiveRequest {
+    /// The request as submitted for admission.
     pub admission: Admission,
-    /// Where it stands.
+    /// Its current stage.
     pub stage: Stage,
-    /// What it has been charged and not settled.
+    /// Its charge, unless settled.
     pub charge: Option<Charge>,
-    /// The upstream at which its last attempt failed.
+    /// The upstream to avoid, as the last attempt failed there.
     pub avoid: Option<UpstreamId>,
-    /// When it began to wait.
+    /// Start of its current wait for a route.
     pub waiting_since: Millis,
     reply: Option<oneshot::Sender<Result<Routed, Refusal>>>,
     withdrawn: Option<oneshot::Sender<()>>,
 }
 
-impl Running {
-    /// A request that has just come.
+impl ActiveRequest {
+    /// Creates an idle, uncharged request that waits since `now`.
     pub const fn new(
         admission: Admission,
         reply: oneshot::Sender<Result<Routed, Refusal>>,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Waits once more, for another route.
-    pub fn wait_again(
+    /// Starts a new wait for a route, which is sent to `reply`.
+    pub fn restart_wait(
         &mut self,
         reply: oneshot::Sender<Result<Routed, Refusal>>,
         now: Millis,
@@ -73,8 +73,8 @@
         self.waiting_since = now;
     }
 
-    /// Tells the worker; one that has gone says so by its own message.
-    pub fn answer(
+    /// Sends the route or the refusal to the worker, if it still waits.
+    pub fn send_reply(
         &mut self,
         answer: Result<Routed, Refusal>,
     ) {
@@ -83,15 +83,15 @@
         }
     }
 
-    /// Tells the worker that the key is withdrawn.
-    pub fn withdraw(&mut self) {
+    /// Notifies the worker that the key is withdrawn.
+    pub fn notify_withdrawn(&mut self) {
         if let Some(withdrawn) = self.withdrawn.take() {
             withdrawn.send(()).unwrap_or_default();
         }
     }
 
-    /// Whether the worker still waits for its route.
-    pub fn is_awaited(&self) -> bool {
+    /// Whether the worker still waits for the route.
+    pub fn is_reply_awaited(&self) -> bool {
         self.reply.as_ref().is_some_and(|reply| !reply.is_closed())
     }
 }
--- a/crates/gateway/src/brain/actor.rs
+++ b/crates/gateway/src/brain/actor.rs
@@ -7,10 +7,10 @@
     std::{net::TcpListener, rc::Rc},
 };
 
-/// How often time is looked at.
-const TICK: Millis = Millis(50);
+/// Interval of the state's periodic work.
+const TICK_INTERVAL: Millis = Millis(50);
 
-/// The actor behind all decisions.
+/// Actor that owns the gateway's state and handles the messages of the HTTP workers.
 #[derive(Debug)]
 pub struct Brain {
     core: Rc<Core>,
@@ -18,7 +18,7 @@
 }
 
 impl Brain {
-    /// A brain that serves other daemons on `peers`.
+    /// Creates a coordinator that serves other daemons on `peers`.
     pub const fn new(
         core: Rc<Core>,
         peers: TcpListener,
@@ -49,8 +49,8 @@
                 Err(e) => Line::new("peers_not_served").with("reason", e).error(),
             }
         }
-        cx.run_interval(TICK.to_std(), |brain, _| {
-            brain.core.decide(super::State::tick);
+        cx.run_interval(TICK_INTERVAL.to_std(), |actor, _| {
+            actor.core.update(super::State::tick);
         });
     }
 }
@@ -70,11 +70,11 @@
                 withdrawn,
             } => self
                 .core
-                .decide(|state| state.admit(admission, reply, withdrawn)),
+                .update(|state| state.admit(admission, reply, withdrawn)),
             BrainMessage::RouteAgain { again, reply } => {
-                self.core.decide(|state| state.route_again(again, reply));
+                self.core.update(|state| state.route_again(again, reply));
             }
-            BrainMessage::Finished(finished) => self.core.decide(|state| state.finish(finished)),
+            BrainMessage::Finished(finished) => self.core.update(|state| state.finish(finished)),
             BrainMessage::Claim { claim, reply } => {
                 let core = Rc::clone(&self.core);
                 tokio::task::spawn_local(async move {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Gives the rights back: the last thing before a planned stop.
+/// Returns all rights to a controller, as the last step before a planned stop.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
@@ -113,14 +113,14 @@
     ) -> Self::Result {
         let core = Rc::clone(&self.core);
         Box::pin(async move {
-            let (epoch, held) = core.decide(super::State::give_back);
+            let (epoch, held) = core.update(super::State::release_rights);
             for (vm, address) in core.controllers() {
                 if core.links.leave(address, epoch, held.clone()).await.is_ok() {
                     Line::new("rights_given_back").with("to", vm).info();
                     return;
                 }
             }
-            // They come back with an epoch once this VM is gone from the platform's list.
+            // A later epoch grants them again once this VM is off the platform's list.
             Line::new("rights_not_given_back").warn();
         })
     }
--- a/crates/gateway/src/brain/admission.rs
+++ b/crates/gateway/src/brain/admission.rs
@@ -1,7 +1,7 @@
-//! From a request's arrival to its place in the queue.
+//! Admission: checks a new request, charges its account and queues it.
 
 use {
-    super::{Admission, Effect, Routed, Running, Stage, State},
+    super::{ActiveRequest, Admission, Effect, Routed, Stage, State},
     jasmine_core::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -14,17 +14,15 @@
     tokio::sync::oneshot,
 };
 
-/// How long a request waits for rights that peers may give before it is refused for its rate.
-///
-/// Peers answer within a few milliseconds; one that doesn't is slow or gone.
-const ASK_LIMIT: Millis = Millis(300);
-/// The same while holders come and go, when rights may be nowhere for a moment.
-const FLUX_LIMIT: Millis = Millis(1_000);
-/// The same for an account that is new: the epoch that gives out its rights waits for the one before to settle.
-const NEW_LIMIT: Millis = Millis(1_500);
+/// How long a request waits for rights from peers before it is refused as rate limited.
+const PEER_RIGHTS_TIMEOUT: Millis = Millis(300);
+/// The same while holders join or leave, when some rights may have no holder.
+const TRANSITION_TIMEOUT: Millis = Millis(1_000);
+/// The same for a new account, whose rights are granted only after the current epoch change.
+const NEW_ACCOUNT_TIMEOUT: Millis = Millis(1_500);
 
 impl State {
-    /// Takes a request in.
+    /// Admits a new request; `reply` receives its route or the refusal.
     pub fn admit(
         &mut self,
         admission: Admission,
@@ -32,18 +30,18 @@
         withdrawn: oneshot::Sender<()>,
     ) {
         let now = self.clock.now();
-        let mut running = Running::new(admission, reply, withdrawn, now);
-        if let Err(kind) = self.may_begin(&admission) {
-            running.answer(Err(Refusal::new(kind)));
+        let mut active = ActiveRequest::new(admission, reply, withdrawn, now);
+        if let Err(kind) = self.check_admissible(&admission) {
+            active.send_reply(Err(Refusal::new(kind)));
             return;
         }
         let request = admission.request;
-        self.running.insert(request, running);
+        self.active.insert(request, active);
         self.charge(request, now);
         self.dispatch(now);
     }
 
-    fn may_begin(
+    fn check_admissible(
         &self,
         admission: &Admission,
     ) -> Result<(), ErrorKind> {
@@ -57,46 +55,46 @@
         }
     }
 
-    /// Charges a request, asks peers where too little is held here, or refuses it.
+    /// Charges a request and queues it, requests missing rights from peers, or refuses it.
     pub(super) fn charge(
         &mut self,
         request: RequestId,
         now: Millis,
     ) {
-        let Some(running) = self.running.get(&request) else {
+        let Some(active) = self.active.get(&request) else {
             return;
         };
-        let admission = running.admission;
-        let since = match running.stage {
-            Stage::Asking { since } => since,
+        let admission = active.admission;
+        let since = match active.stage {
+            Stage::AwaitingRights { since } => since,
             _ => now,
         };
         let (account, cost, caller) = (admission.account, admission.cost, admission.caller);
         match self.ledger.try_admit(account, cost, caller, now) {
             rights::Admission::Admitted(charge) => {
                 self.set_stage(request, Stage::Idle);
-                if let Some(running) = self.running.get_mut(&request) {
-                    running.charge = Some(charge);
+                if let Some(active) = self.active.get_mut(&request) {
+                    active.charge = Some(charge);
                 }
                 self.enqueue(request, now);
             }
             rights::Admission::NeedsRights { .. }
-                if now.since(since) >= self.ask_limit(account, now) =>
+                if now.since(since) >= self.rights_wait_timeout(account, now) =>
             {
                 let refusal = self.ledger.refuse_with_retry(account, cost, caller, now);
                 self.refuse(request, refusal);
             }
             rights::Admission::NeedsRights { shortfall } => {
-                let asks = self.ledger.create_take_requests(account, shortfall, now);
+                let take_requests = self.ledger.create_take_requests(account, shortfall, now);
                 self.effects
-                    .extend(asks.into_iter().map(Effect::TakeRights));
+                    .extend(take_requests.into_iter().map(Effect::TakeRights));
                 self.wait_for_rights(request, account, since);
             }
-            // What is refused now may be admitted in a moment, when the rights that are on their way
-            // between two epochs, or to their first holders, have arrived.
+            // Some rights have no holder during an epoch change or before an account's first grant;
+            // once they are granted the request may be admitted.
             rights::Admission::Refused(refusal)
                 if refusal.kind == ErrorKind::RateLimited
-                    && now.since(since) < self.flux_limit(account, now) =>
+                    && now.since(since) < self.transition_wait_timeout(account, now) =>
             {
                 self.wait_for_rights(request, account, since);
             }
@@ -104,23 +102,24 @@
         }
     }
 
-    fn ask_limit(
+    fn rights_wait_timeout(
         &self,
         account: AccountId,
         now: Millis,
     ) -> Millis {
-        self.flux_limit(account, now).max(ASK_LIMIT)
+        self.transition_wait_timeout(account, now)
+            .max(PEER_RIGHTS_TIMEOUT)
     }
 
-    /// How long to wait for rights that are nowhere for a moment; nothing where they are at their holders.
-    fn flux_limit(
+    /// How long to wait for rights that have no holder; zero while all rights are held.
+    fn transition_wait_timeout(
         &self,
         account: AccountId,
         now: Millis,
     ) -> Millis {
         match () {
-            () if self.settling.is_new(account, now) => NEW_LIMIT,
-            () if self.settling.is_in_flux(now) => FLUX_LIMIT,
+            () if self.rights_availability.is_new_account(account, now) => NEW_ACCOUNT_TIMEOUT,
+            () if self.rights_availability.is_in_transition(now) => TRANSITION_TIMEOUT,
             () => Millis::ZERO,
         }
     }
@@ -131,37 +130,37 @@
         account: AccountId,
         since: Millis,
     ) {
-        self.set_stage(request, Stage::Asking { since });
-        let line = self.asking.entry(account).or_default();
-        if !line.contains(&request) {
-            line.push_back(request);
+        self.set_stage(request, Stage::AwaitingRights { since });
+        let waiters = self.awaiting_rights.entry(account).or_default();
+        if !waiters.contains(&request) {
+            waiters.push_back(request);
         }
     }
 
-    /// Tries again for the requests of an account that wait for rights, in their order.
+    /// Retries the charge of an account's requests that wait for rights, in arrival order.
     pub(super) fn retry_account(
         &mut self,
         account: AccountId,
         now: Millis,
     ) {
-        let line = self.asking.remove(&account).unwrap_or_default();
-        for request in line {
-            let is_asking = self
-                .running
+        let waiters = self.awaiting_rights.remove(&account).unwrap_or_default();
+        for request in waiters {
+            let is_awaiting_rights = self
+                .active
                 .get(&request)
-                .is_some_and(|running| matches!(running.stage, Stage::Asking { .. }));
-            if is_asking {
+                .is_some_and(|active| matches!(active.stage, Stage::AwaitingRights { .. }));
+            if is_awaiting_rights {
                 self.charge(request, now);
             }
         }
     }
 
-    /// Tries again for all requests that wait for rights.
-    pub(super) fn retry_asking(
+    /// Retries the charge of all requests that wait for rights.
+    pub(super) fn retry_awaiting_rights(
         &mut self,
         now: Millis,
     ) {
-        let accounts: VecDeque<AccountId> = self.asking.keys().copied().collect();
+        let accounts: VecDeque<AccountId> = self.awaiting_rights.keys().copied().collect();
         for account in accounts {
             self.retry_account(account, now);
         }
@@ -172,12 +171,12 @@
         request: RequestId,
         now: Millis,
     ) {
-        let Some(running) = self.running.get_mut(&request) else {
+        let Some(active) = self.active.get_mut(&request) else {
             return;
         };
-        let admission = running.admission;
-        running.waiting_since = now;
-        let waiting = QueuedRequest {
+        let admission = active.admission;
+        active.waiting_since = now;
+        let queued_request = QueuedRequest {
             request,
             account: admission.account,
             priority: admission.priority,
@@ -185,25 +184,25 @@
             deadline: admission.deadline,
             target: queue_target(admission.target),
         };
-        match self.queue.push(waiting, now) {
+        match self.queue.push(queued_request, now) {
             Ok(_) => self.set_stage(request, Stage::Queued),
             Err(refusal) => self.refuse(request, refusal),
         }
     }
 
-    /// Refuses a request of which nothing has been sent in this attempt.
+    /// Refuses a request that hasn't been sent in this attempt, and refunds its charge.
     pub(super) fn refuse(
         &mut self,
         request: RequestId,
         refusal: Refusal,
     ) {
         let now = self.clock.now();
-        let Some(running) = self.running.get_mut(&request) else {
+        let Some(active) = self.active.get_mut(&request) else {
             return;
         };
-        running.stage = Stage::Idle;
-        running.answer(Err(refusal));
-        if let Some(charge) = running.charge.take() {
+        active.stage = Stage::Idle;
+        active.send_reply(Err(refusal));
+        if let Some(charge) = active.charge.take() {
             self.ledger.settle(charge, 0, now);
         }
     }
@@ -213,8 +212,8 @@
         request: RequestId,
         stage: Stage,
     ) {
-        if let Some(running) = self.running.get_mut(&request) {
-            running.stage = stage;
+        if let Some(active) = self.active.get_mut(&request) {
+            active.stage = stage;
         }
     }
 }
--- a/crates/gateway/src/brain/configuration.rs
+++ b/crates/gateway/src/brain/configuration.rs
@@ -1,4 +1,4 @@
-//! Taking in what controllers tell of configuration, fleet and engines.
+//! Applies responses of controllers and peers: configuration, fleet, engines and rights.
 
 use {
     super::{Effect, Member, State},
@@ -23,71 +23,75 @@
     },
 };
 
-/// A controller's answer about the configuration.
+/// A controller's response to a configuration poll.
 #[derive(Clone, Debug)]
-pub struct ConfigAnswer {
-    /// Which VM's controller answered.
+pub struct ConfigResponse {
+    /// The VM of the responding controller.
     pub vm: VmId,
-    /// The edits or the tree; empty when there is nothing newer.
+    /// JSON of the edits or of the whole tree; empty if there is nothing newer.
     pub body: Vec<u8>,
-    /// Whether the body is the whole tree.
-    pub full: bool,
-    /// Time since the store confirmed what that controller has.
-    pub fresh: Millis,
+    /// Whether `body` holds the whole tree instead of edits.
+    pub is_full_tree: bool,
+    /// Time since the store last confirmed that controller's configuration.
+    pub store_confirmation_age: Millis,
 }
 
-/// A controller's answer about the fleet.
+/// A controller's response to a fleet poll.
 #[derive(Clone, Debug)]
-pub struct FleetAnswer {
-    /// The VMs.
+pub struct FleetResponse {
+    /// All VMs of the serving layer.
     pub members: Vec<Member>,
-    /// Owners of engines.
+    /// The owner of each engine.
     pub owners: HashMap<UpstreamId, VmId>,
-    /// The epoch of rights.
+    /// The rights epoch that this gateway is a member of; the default if it is in none.
     pub epoch: Epoch,
-    /// The newest epoch, also where this gateway is no member of it.
-    pub newest: Epoch,
-    /// Whether holdings are still being gathered for it.
-    pub closing: bool,
-    /// What it adds to this gateway.
+    /// The newest rights epoch, whether or not this gateway is a member.
+    pub newest_epoch: Epoch,
+    /// Whether the epoch still collects its members' reports of the rights that they hold.
+    pub is_closing: bool,
+    /// The rights that the epoch grants to this gateway.
     pub grants: Vec<Right>,
 }
 
 impl State {
-    /// The revision in force.
+    /// The revision of the current configuration.
     pub fn revision(&self) -> Revision {
         self.fleet.revision
     }
 
-    /// Takes in a controller's answer about the configuration.
+    /// Applies a controller's response to a configuration poll.
     ///
-    /// Only what is newer is taken, so that nothing reverts whoever answers.
-    pub fn take_config(
+    /// Revisions that aren't newer are ignored, so a lagging controller can't revert the configuration.
+    pub fn apply_config(
         &mut self,
-        answer: &ConfigAnswer,
+        response: &ConfigResponse,
     ) {
         let before = self.revision();
-        if !answer.body.is_empty() && !self.apply(answer) {
-            // Not understood, so not confirmed either; the next question asks for all.
+        if !response.body.is_empty() && !self.apply(response) {
+            // Doesn't count as a confirmation; the next poll requests the whole tree.
             Line::new("config_not_understood")
-                .with("vm", answer.vm)
+                .with("vm", response.vm)
                 .warn();
             return;
         }
         let now = self.clock.now();
-        self.freshness.heard(answer.vm, Some(answer.fresh), now);
+        self.config_freshness.record_response(
+            response.vm,
+            Some(response.store_confirmation_age),
+            now,
+        );
         if self.revision() > before {
-            self.config_changed();
+            self.on_config_change();
         }
         self.tick();
     }
 
     fn apply(
         &mut self,
-        answer: &ConfigAnswer,
+        response: &ConfigResponse,
     ) -> bool {
-        if answer.full {
-            let Ok(body) = serde_json::from_slice::<TreeBody>(&answer.body) else {
+        if response.is_full_tree {
+            let Ok(body) = serde_json::from_slice::<TreeBody>(&response.body) else {
                 return false;
             };
             if body.revision > self.revision() {
@@ -97,7 +101,7 @@
             }
             return true;
         }
-        let Ok(body) = serde_json::from_slice::<EditsBody>(&answer.body) else {
+        let Ok(body) = serde_json::from_slice::<EditsBody>(&response.body) else {
             return false;
         };
         let Some(tree) = &mut self.tree else {
@@ -115,11 +119,11 @@
         true
     }
 
-    fn config_changed(&mut self) {
+    fn on_config_change(&mut self) {
         let now = self.clock.now();
         self.set_upstreams();
         self.set_accounts(now);
-        self.end_withdrawn();
+        self.cancel_withdrawn_keys();
         self.remove_accounts(now);
         self.published.send_replace(Arc::new(self.fleet.clone()));
         Line::new("config_in_force")
@@ -133,9 +137,9 @@
         let own = own.map(|dc| dc.id).unwrap_or_default();
         if self.own_data_centre != own && self.router.held().is_empty() {
             self.own_data_centre = own;
-            self.router = Self::router_at(own);
+            self.router = Self::new_router(own);
         }
-        let specs: Vec<UpstreamSpec> = specs(&self.fleet);
+        let specs: Vec<UpstreamSpec> = upstream_specs(&self.fleet);
         self.router.set_upstreams(&specs);
     }
 
@@ -144,11 +148,11 @@
         now: Millis,
     ) {
         if self.accounts.is_empty() && self.fleet.accounts.iter().next().is_some() {
-            self.settling.note_first_accounts(now);
+            self.rights_availability.note_first_accounts(now);
         }
         for account in self.fleet.accounts.iter() {
             if self.accounts.insert(account.id) {
-                self.settling.note_account(account.id, now);
+                self.rights_availability.note_new_account(account.id, now);
             }
             let limit = Limit {
                 rate: account.rate,
@@ -163,96 +167,110 @@
         }
     }
 
-    /// Forgets accounts that have been deleted; their numbers are never used again.
+    /// Removes deleted accounts, whose ids are never reused.
     ///
-    /// Without this what is held of them would be kept and reported in each epoch for as long as this runs.
+    /// Otherwise their rights would be kept and reported in every epoch until the process stops.
     fn remove_accounts(
         &mut self,
         now: Millis,
     ) {
-        let there: BTreeSet<AccountId> = self.fleet.accounts.iter().map(|one| one.id).collect();
-        let deleted: Vec<AccountId> = self.accounts.difference(&there).copied().collect();
+        let current: BTreeSet<AccountId> = self
+            .fleet
+            .accounts
+            .iter()
+            .map(|account| account.id)
+            .collect();
+        let deleted: Vec<AccountId> = self.accounts.difference(&current).copied().collect();
         for account in deleted {
             self.accounts.remove(&account);
-            let asking = self.asking.remove(&account).unwrap_or_default();
+            let awaiting_rights = self.awaiting_rights.remove(&account).unwrap_or_default();
             let queued = self.queue.remove(account, now);
-            let queued = queued.into_iter().map(|waiting| waiting.request);
-            for request in asking.into_iter().chain(queued) {
+            let queued = queued
+                .into_iter()
+                .map(|queued_request| queued_request.request);
+            for request in awaiting_rights.into_iter().chain(queued) {
                 self.refuse(request, Refusal::new(ErrorKind::KeyUnknown));
             }
             self.ledger.remove(account);
-            self.settling.note_issued(account);
+            self.rights_availability.note_grant(account);
         }
     }
 
-    /// Ends what withdrawn keys have open.
-    fn end_withdrawn(&mut self) {
-        for running in self.running.values_mut() {
-            let key = self.fleet.key(running.admission.key);
+    /// Cancels active requests whose key has been withdrawn.
+    fn cancel_withdrawn_keys(&mut self) {
+        for active in self.active.values_mut() {
+            let key = self.fleet.key(active.admission.key);
             if key.is_none_or(|key| key.withdrawn) {
-                running.withdraw();
+                active.notify_withdrawn();
             }
         }
     }
 
-    /// Takes in a controller's answer about the fleet; what has to be reported of rights, if anything.
-    pub fn take_fleet(
+    /// Applies a controller's response to a fleet poll.
+    ///
+    /// Returns the rights to report if a new epoch has begun.
+    pub fn apply_fleet(
         &mut self,
-        answer: FleetAnswer,
+        response: FleetResponse,
     ) -> Option<(Epoch, Vec<Right>)> {
         let now = self.clock.now();
-        self.members.set(answer.members, answer.owners);
-        let newer_run = self
+        self.members.set(response.members, response.owners);
+        let is_superseded = self
             .members
-            .gateway_run(self.me.vm)
-            .is_some_and(|run| run > self.me.incarnation);
-        // The others go on without what this run holds, and share it out among themselves. They do so
-        // only with proof that its VM is gone or that a later run has taken its place; a VM that was
-        // frozen for long enough and thaws has missed it. What it admitted now would come on top.
-        let left_out = answer.epoch == Epoch::default()
-            && self.ledger.epoch().is_some_and(|own| own < answer.newest);
-        if newer_run || left_out {
+            .gateway_incarnation(self.me.vm)
+            .is_some_and(|incarnation| incarnation > self.me.incarnation);
+        // The rights of this process have been granted to others, because its VM was confirmed dead
+        // (it may only have been suspended) or a newer process replaced it. Admitting requests with
+        // them would exceed the accounts' limits.
+        let is_excluded = response.epoch == Epoch::default()
+            && self
+                .ledger
+                .epoch()
+                .is_some_and(|own| own < response.newest_epoch);
+        if is_superseded || is_excluded {
             Line::new("rights_forfeited")
-                .with("epoch", answer.newest)
-                .with("newer_run", newer_run)
+                .with("epoch", response.newest_epoch)
+                .with("newer_run", is_superseded)
                 .error();
             self.ledger.discard_all();
             self.readiness.ask_to_stop();
             return None;
         }
         self.ledger.set_peers(self.members.holders());
-        self.settling.note_holders(self.members.stopping(), now);
-        let is_known = self.members.gateway_run(self.me.vm) == Some(self.me.incarnation);
-        self.settling
-            .note(answer.epoch, answer.closing, is_known, now);
-        if answer.epoch == Epoch::default() {
+        self.rights_availability
+            .note_holders(self.members.holders_with_draining(), now);
+        let is_listed = self.members.gateway_incarnation(self.me.vm) == Some(self.me.incarnation);
+        self.rights_availability
+            .note_epoch(response.epoch, response.is_closing, is_listed, now);
+        if response.epoch == Epoch::default() {
             return None;
         }
         let entered = self
             .ledger
-            .enter_epoch(answer.epoch, now)
+            .enter_epoch(response.epoch, now)
             .map(<[_]>::to_vec);
-        self.ledger.apply_grants(answer.epoch, &answer.grants, now);
-        for grant in &answer.grants {
-            self.settling.note_issued(grant.account);
+        self.ledger
+            .apply_grants(response.epoch, &response.grants, now);
+        for grant in &response.grants {
+            self.rights_availability.note_grant(grant.account);
         }
-        self.retry_asking(now);
+        self.retry_awaiting_rights(now);
         self.dispatch(now);
         entered
-            .filter(|_| self.reported != Some(answer.epoch))
-            .map(|held| (answer.epoch, held))
+            .filter(|_| self.reported_epoch != Some(response.epoch))
+            .map(|held| (response.epoch, held))
     }
 
-    /// Notes that the holdings on entering an epoch have been reported.
-    pub const fn reported(
+    /// Records that the rights held at the start of `epoch` have been reported.
+    pub const fn note_reported_epoch(
         &mut self,
         epoch: Epoch,
     ) {
-        self.reported = Some(epoch);
+        self.reported_epoch = Some(epoch);
     }
 
-    /// Takes in what an owner tells of its engines; those not named are as it last told.
-    pub fn take_upstreams(
+    /// Applies an owner's response to a poll of its engines; engines not listed are unchanged.
+    pub fn apply_engine_views(
         &mut self,
         of: VmId,
         engines: Vec<EngineView>,
@@ -274,7 +292,7 @@
         self.dispatch(now);
     }
 
-    /// Takes in an owner's answer about an adapter.
+    /// Applies an owner's response to a request for an adapter.
     pub fn handle_acquire_outcome(
         &mut self,
         upstream: UpstreamId,
@@ -286,15 +304,15 @@
         self.router
             .handle_acquire_outcome(upstream, adapter, ask, outcome, now);
         if let (AcquireOutcome::Granted { .. }, Some(load)) =
-            (outcome, self.loads.get_mut(&adapter))
+            (outcome, self.adapter_loads.get_mut(&adapter))
         {
-            load.to = Some(now);
+            load.ended_at = Some(now);
         }
         self.dispatch(now);
     }
 
-    /// Takes in rights that a peer has given.
-    pub fn received(
+    /// Applies a peer's response to a request for rights.
+    pub fn apply_rights(
         &mut self,
         transfer: jasmine_core::ids::TransferId,
         account: AccountId,
@@ -307,7 +325,7 @@
     }
 }
 
-fn specs(fleet: &Fleet) -> Vec<UpstreamSpec> {
+fn upstream_specs(fleet: &Fleet) -> Vec<UpstreamSpec> {
     fleet
         .upstreams
         .iter()
--- a/crates/gateway/src/brain/core.rs
+++ b/crates/gateway/src/brain/core.rs
@@ -11,24 +11,24 @@
     tokio::task::spawn_local,
 };
 
-/// How long an owner may hold back its answer while a load is under way.
+/// How long an owner may hold its response while the adapter is being loaded.
 const ACQUIRE_WAIT: Millis = Millis(2_000);
-/// Attempts to give an owner the word that an instance has been dropped; after that the next poll says so.
+/// Attempts to report a release to an owner; if all fail, the next engine poll reports it.
 const RELEASE_ATTEMPTS: u32 = 3;
 
-/// Decisions and connections together, on the brain's thread.
+/// State and RPC links of the coordinator; runs the effects of state changes on its thread.
 #[derive(Debug)]
 pub struct Core {
-    /// What is decided by.
+    /// State that all decisions are based on.
     pub state: RefCell<State>,
-    /// The connections.
+    /// RPC links to other daemons.
     pub links: Links,
     me: Holder,
     own_controller: SocketAddr,
 }
 
 impl Core {
-    /// Puts decisions and connections together.
+    /// Creates the core of a gateway whose local controller is `settings.controller`.
     pub fn new(
         state: State,
         links: Links,
@@ -43,22 +43,22 @@
         }
     }
 
-    /// The own VM.
+    /// The VM that this gateway runs on.
     pub const fn vm(&self) -> VmId {
         self.me.vm
     }
 
-    /// The controllers in the order in which they are asked: the own one first, then the others.
+    /// The controllers in the order in which they are tried, the local one first.
     ///
-    /// The own one may be dead, which must not take this daemon with it.
+    /// The others keep the gateway working while the local one is down.
     pub fn controllers(&self) -> Vec<(VmId, SocketAddr)> {
         let mut all = vec![(self.me.vm, self.own_controller)];
-        all.extend(self.state.borrow().members.controllers_but_for(self.me.vm));
+        all.extend(self.state.borrow().members.controllers_except(self.me.vm));
         all
     }
 
-    /// Changes the state and sends what follows from it.
-    pub fn decide<T, F>(
+    /// Applies `f` to the state and spawns the effects that it produced.
+    pub fn update<T, F>(
         self: &Rc<Self>,
         f: F,
     ) -> T
@@ -71,25 +71,25 @@
             (result, state.take_effects())
         };
         for effect in effects {
-            spawn_local(Rc::clone(self).carry_out(effect));
+            spawn_local(Rc::clone(self).run_effect(effect));
         }
         result
     }
 
-    async fn carry_out(
+    async fn run_effect(
         self: Rc<Self>,
         effect: Effect,
     ) {
         match effect {
-            Effect::TakeRights(ask) => {
-                let address = self.state.borrow().members.gateway(ask.to);
+            Effect::TakeRights(take) => {
+                let address = self.state.borrow().members.gateway(take.to);
                 let Some(address) = address else {
                     return;
                 };
-                // No answer is no loss here: the ledger sends the same transfer again.
-                if let Ok(given) = self.links.take_rights(address, ask).await {
-                    let account = ask.request.account;
-                    self.decide(|state| state.received(ask.request.transfer, account, &given));
+                // On failure the ledger sends the same transfer again.
+                if let Ok(given) = self.links.take_rights(address, take).await {
+                    let account = take.request.account;
+                    self.update(|state| state.apply_rights(take.request.transfer, account, &given));
                 }
             }
             Effect::Acquire {
@@ -107,7 +107,7 @@
                         .unwrap_or(AcquireOutcome::NotOwner),
                     None => AcquireOutcome::NotOwner,
                 };
-                self.decide(|state| state.handle_acquire_outcome(upstream, adapter, ask, outcome));
+                self.update(|state| state.handle_acquire_outcome(upstream, adapter, ask, outcome));
             }
             Effect::Release {
                 instance,
@@ -142,7 +142,7 @@
             let answer = self
                 .links
                 .controller(address)
-                .call(CLAIM_WAIT, move |client| async move {
+                .call(CLAIM_TIMEOUT, move |client| async move {
                     let mut req = client.claim_request();
                     write_peer(req.get().init_from(), me);
                     req.get().set_key(&claim.key);
@@ -161,28 +161,30 @@
             match answer {
                 Ok(answer) => return answer,
                 Err(e) if e.is_not_begun() => {}
-                // The claim may have been written. Asking another controller would find it and say
-                // that a call is running; nothing was begun, so that would be wrong too.
+                // The claim may have been stored. Another controller would then report it as
+                // running, which is wrong because this request hasn't started.
                 Err(_) => return ClaimAnswer::Unavailable,
             }
         }
         ClaimAnswer::Unavailable
     }
 
-    /// Records an answer, or gives a claim back with none.
+    /// Stores the answer of a claimed request, or releases the claim if `answer` is none.
+    ///
+    /// Returns whether it was stored.
     pub async fn finish_claim(
         &self,
         claim: ClaimRequest,
         answer: Option<Arc<[u8]>>,
     ) -> bool {
         let answer = answer.unwrap_or_default();
-        let gives_back = answer.is_empty();
+        let is_release = answer.is_empty();
         for (_, address) in self.controllers() {
             let (me, claim, answer) = (self.me, claim.clone(), Arc::clone(&answer));
             let stored = self
                 .links
                 .controller(address)
-                .call(CLAIM_WAIT, move |client| async move {
+                .call(CLAIM_TIMEOUT, move |client| async move {
                     let mut req = client.finish_claim_request();
                     write_peer(req.get().init_from(), me);
                     req.get().set_key(&claim.key);
@@ -195,9 +197,9 @@
             match stored {
                 Ok(true) => return true,
                 Err(e) if e.is_not_begun() => {}
-                // Writing the same answer again does no harm; giving back again could take away the
+                // Storing the same answer twice is idempotent; a repeated release could remove the
                 // claim of the caller's next attempt.
-                _ if gives_back => return false,
+                _ if is_release => return false,
                 _ => {}
             }
         }
@@ -205,5 +207,5 @@
     }
 }
 
-/// How long the store may take to record a claim.
-const CLAIM_WAIT: Millis = Millis(3_000);
+/// Timeout for a claim to be written to the store.
+const CLAIM_TIMEOUT: Millis = Millis(3_000);
--- a/crates/gateway/src/brain/dispatch.rs
+++ b/crates/gateway/src/brain/dispatch.rs
@@ -1,7 +1,10 @@
-//! From the queue to an upstream, and what follows when a request has ended.
+//! Routes queued requests to upstreams, reroutes failed attempts and settles ended requests.
 
 use {
-    super::{Effect, Finished, Outcome, RouteAgain, Routed, Running, Stage, State, state::Load},
+    super::{
+        ActiveRequest, Effect, Finished, Outcome, RouteAgain, Routed, Stage, State,
+        state::AdapterLoad,
+    },
     jasmine_conf::fleet::Fleet,
     jasmine_core::{
         clock::Millis,
@@ -15,69 +18,72 @@
     tokio::sync::oneshot,
 };
 
-/// What the router has said about the requests that the queue offered.
+/// The router's results for the requests tried in one pass over the queue.
 #[derive(Debug, Default)]
-struct Offers {
+struct RoutingResults {
     sent: Option<(UpstreamId, Option<Instance>)>,
     refused: Vec<(RequestId, Refusal)>,
 }
 
 impl State {
-    /// Sends what can run and refuses what can't be served any more.
+    /// Routes all queued requests that can run and refuses those that can't be served any more.
     pub(super) fn dispatch(
         &mut self,
         now: Millis,
     ) {
-        for waiting in self.queue.expire(now) {
-            self.refuse(waiting.request, Refusal::new(ErrorKind::CannotMeetDeadline));
+        for queued_request in self.queue.expire(now) {
+            self.refuse(
+                queued_request.request,
+                Refusal::new(ErrorKind::CannotMeetDeadline),
+            );
         }
         loop {
-            let mut offers = Offers::default();
-            let popped = self.offer(&mut offers, now);
-            for &(request, refusal) in &offers.refused {
+            let mut results = RoutingResults::default();
+            let popped = self.pop_routable(&mut results, now);
+            for &(request, refusal) in &results.refused {
                 self.queue.cancel(request, now);
                 self.refuse(request, refusal);
             }
-            match (popped, offers.sent) {
+            match (popped, results.sent) {
                 (Some(request), Some((upstream, instance))) => {
                     self.send(request, upstream, instance, now);
                 }
-                _ if offers.refused.is_empty() => return,
+                _ if results.refused.is_empty() => return,
                 _ => {}
             }
         }
     }
 
-    fn offer(
+    fn pop_routable(
         &mut self,
-        offers: &mut Offers,
+        results: &mut RoutingResults,
         now: Millis,
     ) -> Option<RequestId> {
         let Self {
             queue,
             router,
-            running,
+            active,
             effects,
-            loads,
+            adapter_loads,
             ..
         } = self;
-        let can_run = |waiting: &jasmine_core::queue::QueuedRequest| {
-            let Some(running) = running.get(&waiting.request) else {
-                offers
+        let can_run = |queued_request: &jasmine_core::queue::QueuedRequest| {
+            let Some(active) = active.get(&queued_request.request) else {
+                results
                     .refused
-                    .push((waiting.request, Refusal::new(ErrorKind::Internal)));
+                    .push((queued_request.request, Refusal::new(ErrorKind::Internal)));
                 return false;
             };
-            let admission = running.admission;
+            let admission = active.admission;
             let account = admission.account;
             let (target, prefix) = (admission.target, admission.prefix);
-            let route = match running.avoid {
+            let route = match active.avoid {
                 Some(avoid) => router.route_avoiding(avoid, target, prefix, account, now),
                 None => router.route(target, prefix, account, now),
             };
             match route {
                 Route::Send { upstream, instance } => {
-                    offers.sent = Some((upstream, instance));
+                    results.sent = Some((upstream, instance));
                     true
                 }
                 Route::Acquire { upstream, ask } => {
@@ -88,24 +94,26 @@
                             account,
                             ask,
                         });
-                        loads
+                        adapter_loads
                             .entry(adapter)
-                            .and_modify(|load| load.to = None)
-                            .or_insert(Load {
-                                from: now,
-                                to: None,
+                            .and_modify(|load| load.ended_at = None)
+                            .or_insert(AdapterLoad {
+                                started_at: now,
+                                ended_at: None,
                             });
                     }
                     false
                 }
                 Route::Wait(_) => false,
                 Route::Refuse(refusal) => {
-                    offers.refused.push((waiting.request, refusal));
+                    results.refused.push((queued_request.request, refusal));
                     false
                 }
             }
         };
-        queue.pop(now, can_run).map(|waiting| waiting.request)
+        queue
+            .pop(now, can_run)
+            .map(|queued_request| queued_request.request)
     }
 
     fn send(
@@ -116,29 +124,30 @@
         now: Millis,
     ) {
         let batch = self.router.in_flight(upstream);
-        let Some(running) = self.running.get_mut(&request) else {
+        let Some(active) = self.active.get_mut(&request) else {
             self.router
                 .finished(upstream, instance, RequestOutcome::Done, now);
             return;
         };
-        let target = running.admission.target;
-        let routed = place(&self.fleet, target, upstream, instance).map(|place| Routed {
-            upstream,
-            address: place.address,
-            model: place.model,
-            weights: place.weights,
-            batch,
-            waited: now.since(running.waiting_since),
-            stalled: stall(&self.loads, running, now),
-        });
+        let target = active.admission.target;
+        let routed =
+            destination(&self.fleet, target, upstream, instance).map(|destination| Routed {
+                upstream,
+                address: destination.address,
+                model: destination.model,
+                weights: destination.weights,
+                batch,
+                waited: now.since(active.waiting_since),
+                stalled: adapter_load_time(&self.adapter_loads, active, now),
+            });
         match routed {
-            Some(routed) if running.is_awaited() => {
-                running.stage = Stage::Sent { upstream, instance };
-                running.answer(Ok(routed));
+            Some(routed) if active.is_reply_awaited() => {
+                active.stage = Stage::Sent { upstream, instance };
+                active.send_reply(Ok(routed));
             }
-            // The caller has gone, or the configuration has lost what the request is for.
+            // The caller has disconnected, or the requested target was removed from the configuration.
             _ => {
-                running.stage = Stage::Idle;
+                active.stage = Stage::Idle;
                 let actions = self
                     .router
                     .finished(upstream, instance, RequestOutcome::Done, now);
@@ -148,7 +157,7 @@
         }
     }
 
-    /// Routes a request whose last attempt came to nothing.
+    /// Routes a request again after a failed attempt.
     pub fn route_again(
         &mut self,
         again: RouteAgain,
@@ -160,22 +169,22 @@
         } else {
             RequestOutcome::Failed
         };
-        let left = self.leave_upstream(again.request, finish, now);
-        let Some(running) = self.running.get_mut(&again.request) else {
+        let failed_upstream = self.release_upstream(again.request, finish, now);
+        let Some(active) = self.active.get_mut(&again.request) else {
             return;
         };
-        running.avoid = left.filter(|_| !again.not_loaded);
-        running.wait_again(reply, now);
-        // What may have run has been used; a second run is charged like a new request.
+        active.avoid = failed_upstream.filter(|_| !again.not_loaded);
+        active.restart_wait(reply, now);
+        // The failed attempt may have run, so its charge is spent; the next one is charged anew.
         if again.cause == RouteCause::MayHaveRun
-            && let Some(charge) = running.charge.take()
+            && let Some(charge) = active.charge.take()
         {
             self.ledger.settle(charge, charge.tokens, now);
         }
         if self
-            .running
+            .active
             .get(&again.request)
-            .is_some_and(|running| running.charge.is_some())
+            .is_some_and(|active| active.charge.is_some())
         {
             self.enqueue(again.request, now);
         } else {
@@ -184,7 +193,7 @@
         self.dispatch(now);
     }
 
-    /// Settles a request that has ended.
+    /// Removes an ended request and settles its charge.
     pub fn finish(
         &mut self,
         finished: Finished,
@@ -194,12 +203,12 @@
             Outcome::Answered | Outcome::Stopped => RequestOutcome::Done,
             Outcome::Failed => RequestOutcome::Failed,
         };
-        self.leave_upstream(finished.request, finish, now);
+        self.release_upstream(finished.request, finish, now);
         self.queue.cancel(finished.request, now);
-        let Some(running) = self.running.remove(&finished.request) else {
+        let Some(active) = self.active.remove(&finished.request) else {
             return;
         };
-        if let Some(charge) = running.charge {
+        if let Some(charge) = active.charge {
             let used = finished.used.unwrap_or(charge.tokens);
             self.ledger.settle(charge, used, now);
             self.queue.settle(charge.account, charge.tokens, used);
@@ -207,52 +216,52 @@
         self.dispatch(now);
     }
 
-    /// Notes that a request is no longer at its upstream; which that was.
-    fn leave_upstream(
+    /// Ends a request's attempt at its upstream and returns that upstream, if it had one.
+    fn release_upstream(
         &mut self,
         request: RequestId,
         finish: RequestOutcome,
         now: Millis,
     ) -> Option<UpstreamId> {
-        let running = self.running.get_mut(&request)?;
-        let Stage::Sent { upstream, instance } = running.stage else {
+        let active = self.active.get_mut(&request)?;
+        let Stage::Sent { upstream, instance } = active.stage else {
             return None;
         };
-        running.stage = Stage::Idle;
+        active.stage = Stage::Idle;
         let actions = self.router.finished(upstream, instance, finish, now);
         self.effects.extend(actions.into_iter().map(Effect::from));
         Some(upstream)
     }
 }
 
-/// How much of a request's wait went into loading its adapter.
-fn stall(
-    loads: &HashMap<jasmine_core::ids::AdapterVersion, Load>,
-    running: &Running,
+/// The part of a request's wait during which its adapter was being loaded.
+fn adapter_load_time(
+    adapter_loads: &HashMap<jasmine_core::ids::AdapterVersion, AdapterLoad>,
+    active: &ActiveRequest,
     now: Millis,
 ) -> Millis {
-    let Target::Adapter(_, adapter) = running.admission.target else {
+    let Target::Adapter(_, adapter) = active.admission.target else {
         return Millis::ZERO;
     };
-    loads.get(&adapter).map_or(Millis::ZERO, |load| {
-        let from = load.from.max(running.waiting_since);
-        load.to.unwrap_or(now).min(now).since(from)
+    adapter_loads.get(&adapter).map_or(Millis::ZERO, |load| {
+        let started_at = load.started_at.max(active.waiting_since);
+        load.ended_at.unwrap_or(now).min(now).since(started_at)
     })
 }
 
-/// Where an upstream is and what a request names there.
-struct Place {
+/// The address of an upstream and the model that a request names there.
+struct Destination {
     address: std::net::SocketAddr,
     model: String,
     weights: String,
 }
 
-fn place(
+fn destination(
     fleet: &Fleet,
     target: Target,
     upstream: UpstreamId,
     instance: Option<Instance>,
-) -> Option<Place> {
+) -> Option<Destination> {
     let address = fleet.upstreams.get(upstream)?.address;
     let (model, weights) = match (target, instance) {
         (Target::Base(model), _) => (fleet.models.get(model)?.name.clone(), String::new()),
@@ -264,7 +273,7 @@
         }
         (Target::Adapter(..), None) => return None,
     };
-    Some(Place {
+    Some(Destination {
         address,
         model,
         weights,
--- a/crates/gateway/src/brain/effect.rs
+++ b/crates/gateway/src/brain/effect.rs
@@ -5,29 +5,29 @@
     routing::RouterAction,
 };
 
-/// A message to another daemon that a decision has led to.
+/// A message to another daemon, produced by a change of the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Ask a peer for rights.
+    /// Request rights from a peer.
     TakeRights(OutgoingTakeRequest),
-    /// Ask an engine's owner for an adapter.
+    /// Request an adapter from an engine's owner.
     Acquire {
         /// The engine.
         upstream: UpstreamId,
-        /// What is wanted.
+        /// The adapter version to load.
         adapter: AdapterVersion,
-        /// For whose requests.
+        /// The account that needs the adapter.
         account: AccountId,
-        /// The question's number.
+        /// The number of this acquire request.
         ask: u64,
     },
-    /// Tell an engine's owner that an instance has been dropped.
+    /// Tell an engine's owner that an instance has been released.
     Release {
         /// The instance.
         instance: Instance,
-        /// The highest fencing token seen of the engine.
+        /// The highest fencing token seen for the engine.
         fence: Fence,
-        /// The word covers questions up to this number.
+        /// The release covers acquire requests up to this number.
         ask: u64,
     },
 }
--- a/crates/gateway/src/brain/handle.rs
+++ b/crates/gateway/src/brain/handle.rs
@@ -11,34 +11,34 @@
     tokio::sync::oneshot,
 };
 
-/// A worker's way to the brain.
+/// Sends messages of the HTTP workers to the coordinator.
 #[derive(Clone, Debug)]
 pub struct BrainHandle {
     recipient: Recipient<BrainMessage>,
 }
 
-/// A request that the brain knows of; it is settled when this is dropped.
+/// Guard of an admitted request; its drop reports the request's end to the coordinator.
 ///
-/// Whatever ends a request, a caller gone and a defect included, its charge and its place at the
-/// upstream have to be given back, or the account's rate would shrink with each.
+/// This settles the charge and frees the capacity at the upstream however the request ends,
+/// including a disconnect or a panic.
 #[derive(Debug)]
 pub struct Lease {
     brain: BrainHandle,
     request: RequestId,
-    /// Tokens used, once known.
+    /// Tokens used; none if unknown, in which case the whole charge counts as used.
     pub used: Option<u64>,
-    /// How the last attempt ended.
+    /// The result of the last attempt.
     pub outcome: Outcome,
     withdrawn: oneshot::Receiver<()>,
 }
 
 impl BrainHandle {
-    /// A way to the brain behind `recipient`.
+    /// Creates a handle that sends to `recipient`.
     pub const fn new(recipient: Recipient<BrainMessage>) -> Self {
         Self { recipient }
     }
 
-    /// Announces a request; its route comes through the receiver.
+    /// Submits a request for admission; the receiver yields its route or the refusal.
     pub fn admit(
         &self,
         admission: Admission,
@@ -70,7 +70,7 @@
         answer.await.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Records the answer to a claimed key, or gives the claim back.
+    /// Records the answer for a claimed key, or releases the claim; returns whether it was stored.
     pub async fn finish_claim(
         &self,
         claim: ClaimRequest,
@@ -87,7 +87,7 @@
 }
 
 impl Lease {
-    /// Asks for another upstream.
+    /// Requests another upstream after a failed attempt.
     pub fn route_again(
         &self,
         again: RouteAgain,
@@ -102,16 +102,16 @@
     /// Waits until the key is withdrawn.
     pub async fn withdrawn(&mut self) {
         if (&mut self.withdrawn).await.is_err() {
-            // The brain has forgotten the request: it will not say so any more.
+            // The coordinator has removed the request and sends no notification.
             std::future::pending::<()>().await;
         }
     }
 
-    /// What a worker makes of a reply that never came.
+    /// Converts a reply, treating a dropped sender as a shutdown.
     ///
     /// # Errors
     ///
-    /// The refusal, or `shutting_down` where the brain is no longer there.
+    /// The refusal, or `shutting_down` if the coordinator has stopped.
     pub fn route_of(
         reply: Result<Result<Routed, Refusal>, oneshot::error::RecvError>
     ) -> Result<Routed, Refusal> {
--- a/crates/gateway/src/brain/links.rs
+++ b/crates/gateway/src/brain/links.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ConfigAnswer, FleetAnswer, Member, wire_types},
+    super::{ConfigResponse, FleetResponse, Member, wire_types},
     capnp::capability::FromClientHook,
     jasmine_core::{
         clock::Millis,
@@ -20,21 +20,21 @@
     std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc},
 };
 
-/// What an owner tells of its engines.
+/// An owner's response to a poll of its engines.
 #[derive(Clone, Debug)]
-pub struct UpstreamsAnswer {
-    /// The number of the change.
+pub struct UpstreamsResponse {
+    /// Sequence number of the owner's latest change; sent back as `have` in the next poll.
     pub seq: u64,
-    /// Its engines.
+    /// Engines that have changed since the polled sequence number.
     pub engines: Vec<EngineView>,
-    /// Instances that are to be dropped.
+    /// Instances that this gateway must release.
     pub recalls: Vec<Instance>,
 }
 
-/// The connections to other daemons.
+/// RPC links to the controllers and to the other gateways.
 pub struct Links {
     me: Holder,
-    /// Where other gateways reach this one.
+    /// The address on which this gateway serves its peers.
     peer_address: SocketAddr,
     controllers: RefCell<HashMap<SocketAddr, Rc<Link<controller::Client>>>>,
     gateways: RefCell<HashMap<SocketAddr, Rc<Link<gateway::Client>>>>,
@@ -52,7 +52,7 @@
 }
 
 impl Links {
-    /// No connections yet.
+    /// Creates an empty set of links.
     pub fn new(
         me: Holder,
         peer_address: SocketAddr,
@@ -65,17 +65,17 @@
         }
     }
 
-    /// Asks for a configuration above `have`.
+    /// Polls a controller for a configuration newer than `have`; it may wait up to `wait` for one.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn poll_config(
         &self,
         (vm, address): (VmId, SocketAddr),
         have: Revision,
         wait: Millis,
-    ) -> Result<ConfigAnswer, LinkError> {
+    ) -> Result<ConfigResponse, LinkError> {
         let me = self.me;
         self.controller(address)
             .call(wait, move |client| async move {
@@ -85,27 +85,27 @@
                 req.get().set_wait_ms(wait.0 as u32);
                 let res = req.send().promise.await?;
                 let res = res.get()?;
-                Ok(ConfigAnswer {
+                Ok(ConfigResponse {
                     vm,
                     body: res.get_body()?.to_vec(),
-                    full: res.get_full(),
-                    fresh: Millis(res.get_fresh_ms()),
+                    is_full_tree: res.get_full(),
+                    store_confirmation_age: Millis(res.get_fresh_ms()),
                 })
             })
             .await
     }
 
-    /// Asks for the fleet once it is another than `have`.
+    /// Polls a controller for a fleet state other than `have`; it may wait up to `wait` for a change.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn poll_fleet(
         &self,
         address: SocketAddr,
         have: u64,
         wait: Millis,
-    ) -> Result<(u64, FleetAnswer), LinkError> {
+    ) -> Result<(u64, FleetResponse), LinkError> {
         let (me, peer_address) = (self.me, self.peer_address);
         self.controller(address)
             .call(wait, move |client| async move {
@@ -119,26 +119,28 @@
                 let epoch = res.get_epoch()?;
                 let members = res.get_members()?.iter().map(read_member);
                 let owners = res.get_owners()?.iter();
-                let answer = FleetAnswer {
+                let response = FleetResponse {
                     members: members.collect::<Result<Vec<_>, capnp::Error>>()?,
                     owners: owners
                         .map(|owner| (UpstreamId(owner.get_upstream()), VmId(owner.get_vm())))
                         .collect(),
                     epoch: Epoch(epoch.get_epoch()),
-                    newest: Epoch(epoch.get_newest()),
-                    closing: epoch.get_closing(),
+                    newest_epoch: Epoch(epoch.get_newest()),
+                    is_closing: epoch.get_closing(),
                     grants: read_rights(epoch.get_grants()?),
                 };
-                Ok((res.get_seq(), answer))
+                Ok((res.get_seq(), response))
             })
             .await
     }
 
-    /// Asks an owner for news of its engines.
+    /// Polls an owner for changes of its engines since `have`.
+    ///
+    /// `seen` are the highest fencing tokens known per engine, `held` the instances that this gateway uses.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn poll_upstreams(
         &self,
         address: SocketAddr,
@@ -146,7 +148,7 @@
         wait: Millis,
         seen: Vec<(UpstreamId, Fence)>,
         held: Vec<Instance>,
-    ) -> Result<UpstreamsAnswer, LinkError> {
+    ) -> Result<UpstreamsResponse, LinkError> {
         let me = self.me;
         self.controller(address)
             .call(wait, move |client| async move {
@@ -165,7 +167,7 @@
                 let res = req.send().promise.await?;
                 let res = res.get()?;
                 let engines = res.get_engines()?.iter().map(wire_types::read_engine);
-                Ok(UpstreamsAnswer {
+                Ok(UpstreamsResponse {
                     seq: res.get_seq(),
                     engines: engines.collect::<Result<Vec<_>, capnp::Error>>()?,
                     recalls: res
@@ -178,11 +180,11 @@
             .await
     }
 
-    /// Asks an owner for an adapter on one of its engines.
+    /// Requests an adapter on an engine from the engine's owner.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn acquire(
         &self,
         address: SocketAddr,
@@ -210,11 +212,11 @@
             .await
     }
 
-    /// Tells an owner that an instance has been dropped.
+    /// Tells an owner that this gateway has released an instance.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn release(
         &self,
         address: SocketAddr,
@@ -236,11 +238,11 @@
             .await
     }
 
-    /// Reports what was held on entering an epoch.
+    /// Reports the rights held at the start of an epoch.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn report_holdings(
         &self,
         address: SocketAddr,
@@ -259,11 +261,11 @@
             .await
     }
 
-    /// The last word before a planned stop.
+    /// Returns all rights to a controller before a planned stop.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn leave(
         &self,
         address: SocketAddr,
@@ -282,17 +284,17 @@
             .await
     }
 
-    /// Asks another gateway for rights.
+    /// Requests rights from another gateway.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where no answer came.
+    /// [`LinkError`] if the call failed or timed out.
     pub async fn take_rights(
         &self,
         address: SocketAddr,
-        ask: OutgoingTakeRequest,
+        take: OutgoingTakeRequest,
     ) -> Result<TakeResponse, LinkError> {
-        let request = ask.request;
+        let request = take.request;
         self.gateway(address)
             .call(Millis::ZERO, move |client| async move {
                 let holder: rights_holder::Client = client.cast_to();
@@ -304,38 +306,38 @@
             .await
     }
 
-    /// The connection to a controller.
+    /// The link to a controller, created on first use.
     pub fn controller(
         &self,
         address: SocketAddr,
     ) -> Rc<Link<controller::Client>> {
-        link(&self.controllers, address)
+        get_or_create(&self.controllers, address)
     }
 
-    /// Closes connections to daemons that are no longer there.
-    pub fn keep_only<F>(
+    /// Closes the links to all addresses that `is_current` rejects.
+    pub fn retain_addresses<F>(
         &self,
-        is_there: F,
+        is_current: F,
     ) where
         F: Fn(SocketAddr) -> bool,
     {
         self.controllers
             .borrow_mut()
-            .retain(|&address, _| is_there(address));
+            .retain(|&address, _| is_current(address));
         self.gateways
             .borrow_mut()
-            .retain(|&address, _| is_there(address));
+            .retain(|&address, _| is_current(address));
     }
 
     fn gateway(
         &self,
         address: SocketAddr,
     ) -> Rc<Link<gateway::Client>> {
-        link(&self.gateways, address)
+        get_or_create(&self.gateways, address)
     }
 }
 
-fn link<C>(
+fn get_or_create<C>(
     links: &RefCell<HashMap<SocketAddr, Rc<Link<C>>>>,
     address: SocketAddr,
 ) -> Rc<Link<C>> {
@@ -350,8 +352,9 @@
     reader: jasmine_wire::jasmine_capnp::member::Reader<'_>
 ) -> Result<Member, capnp::Error> {
     let address = |text: capnp::text::Reader<'_>| text.to_str().ok()?.parse().ok();
-    let controller = address(reader.get_controller_address()?)
-        .ok_or_else(|| capnp::Error::failed("a controller's address makes no sense".into()))?;
+    let controller = address(reader.get_controller_address()?).ok_or_else(|| {
+        capnp::Error::failed("invalid controller address in the member list".into())
+    })?;
     let gateway = address(reader.get_gateway_address()?)
         .filter(|_| reader.get_gateway_incarnation() > 0)
         .map(|address| (Incarnation(reader.get_gateway_incarnation()), address));
@@ -359,6 +362,6 @@
         vm: VmId(reader.get_vm()),
         controller,
         gateway,
-        leaving: reader.get_leaving(),
+        is_draining: reader.get_leaving(),
     })
 }
--- a/crates/gateway/src/brain/members.rs
+++ b/crates/gateway/src/brain/members.rs
@@ -6,20 +6,20 @@
     },
 };
 
-/// A VM of the serving layer as controllers tell of it.
+/// A VM of the serving layer, as reported by the controllers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its number.
+    /// The VM's id.
     pub vm: VmId,
-    /// Where its controller listens for other daemons.
+    /// The address on which its controller serves other daemons.
     pub controller: SocketAddr,
-    /// Its gateway's run and address.
+    /// Incarnation and address of its gateway, if one runs.
     pub gateway: Option<(Incarnation, SocketAddr)>,
-    /// Whether it is about to stop.
-    pub leaving: bool,
+    /// Whether it is draining before a planned stop.
+    pub is_draining: bool,
 }
 
-/// Who is there and who owns which engine.
+/// The VMs of the serving layer and the owner of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     by_vm: BTreeMap<VmId, Member>,
@@ -27,9 +27,9 @@
 }
 
 impl Members {
-    /// Takes a newer list.
+    /// Replaces the list of members and owners.
     ///
-    /// A list without anybody is no list: a controller that has just started knows nobody yet.
+    /// An empty list is ignored: it comes from a controller that has just started.
     pub fn set(
         &mut self,
         members: Vec<Member>,
@@ -45,13 +45,13 @@
         self.owners = owners;
     }
 
-    /// The VMs.
+    /// The ids of all VMs.
     pub fn vms(&self) -> impl Iterator<Item = VmId> {
         self.by_vm.keys().copied()
     }
 
-    /// The controllers of the other VMs.
-    pub fn controllers_but_for(
+    /// The controllers of all VMs other than `own`.
+    pub fn controllers_except(
         &self,
         own: VmId,
     ) -> Vec<(VmId, SocketAddr)> {
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// A VM's controller.
+    /// The address of a VM's controller.
     pub fn controller(
         &self,
         vm: VmId,
@@ -70,7 +70,7 @@
         self.by_vm.get(&vm).map(|member| member.controller)
     }
 
-    /// The controller that owns an engine.
+    /// The VM and address of the controller that owns an engine.
     pub fn owner(
         &self,
         upstream: UpstreamId,
@@ -88,13 +88,13 @@
         owned.map(|(&upstream, _)| upstream)
     }
 
-    /// The VMs whose controllers own any engine.
-    pub fn owning_vms(&self) -> BTreeSet<VmId> {
+    /// The VMs whose controllers own at least one engine.
+    pub fn owner_vms(&self) -> BTreeSet<VmId> {
         self.owners.values().copied().collect()
     }
 
-    /// The run of a VM's gateway.
-    pub fn gateway_run(
+    /// The incarnation of a VM's gateway.
+    pub fn gateway_incarnation(
         &self,
         vm: VmId,
     ) -> Option<Incarnation> {
@@ -102,7 +102,7 @@
         Some(incarnation)
     }
 
-    /// Where a holder listens, as long as that very run is the one that is known.
+    /// The address of a holder's gateway, unless another incarnation has replaced it.
     pub fn gateway(
         &self,
         holder: Holder,
@@ -113,12 +113,12 @@
         }
     }
 
-    /// The gateways that hold rights, and whether each is about to stop.
-    pub fn stopping(&self) -> Vec<(Holder, bool)> {
-        let leaving = |vm| self.by_vm.get(&vm).is_some_and(|member| member.leaving);
+    /// The gateways that hold rights, and whether each is draining.
+    pub fn holders_with_draining(&self) -> Vec<(Holder, bool)> {
+        let is_draining = |vm| self.by_vm.get(&vm).is_some_and(|member| member.is_draining);
         self.holders()
             .into_iter()
-            .map(|holder| (holder, leaving(holder.vm)))
+            .map(|holder| (holder, is_draining(holder.vm)))
             .collect()
     }
 
--- a/crates/gateway/src/brain/messages.rs
+++ b/crates/gateway/src/brain/messages.rs
@@ -13,106 +13,106 @@
     tokio::sync::oneshot,
 };
 
-/// A request that wants to run.
+/// A request to be admitted and routed.
 #[derive(Clone, Copy, Debug)]
 pub struct Admission {
-    /// Its number in this process.
+    /// Its id, unique within this process.
     pub request: RequestId,
-    /// The key that came with it.
+    /// Digest of the caller's API key.
     pub key: KeyDigest,
-    /// The client account it runs for.
+    /// The client account that is charged.
     pub account: AccountId,
-    /// The most that it can cost, in tokens.
+    /// Upper bound of its cost, in tokens.
     pub cost: u64,
     /// Its priority class.
     pub priority: Priority,
-    /// The point in time after which nobody waits for it.
+    /// The time after which the caller no longer waits.
     pub deadline: Millis,
-    /// What it needs.
+    /// The base model, adapter or service that it is for.
     pub target: Target,
-    /// A digest of the start of its prompt.
+    /// Digest of its prompt's prefix, for prefix-cache affinity.
     pub prefix: Option<u64>,
-    /// By what it is known when it comes back after a refusal.
+    /// Identifies the caller when it retries after a refusal.
     pub caller: CallerTag,
 }
 
-/// Where a request goes.
+/// The upstream chosen for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routed {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// The upstream's address.
     pub address: SocketAddr,
-    /// The model's name there: an instance or the base model; empty for a plain service.
+    /// The model name to send: an instance or the base model; empty for a plain service.
     pub model: String,
-    /// The weights that have to run: what the engine must name in its answer.
+    /// The weights that the engine must name in its response; empty unless an adapter runs.
     pub weights: String,
-    /// Requests that run there, this one included, as far as is known.
+    /// This gateway's requests in flight at the upstream, including this one.
     pub batch: u32,
-    /// How long it waited in the queue.
+    /// Time since the request was queued.
     pub waited: Millis,
-    /// How much of that went into a load.
+    /// The part of the wait during which the adapter was being loaded.
     pub stalled: Millis,
 }
 
-/// A request whose last attempt came to nothing.
+/// Asks for another upstream after a failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteAgain {
     /// The request.
     pub request: RequestId,
-    /// Why.
+    /// Why the last attempt failed.
     pub cause: RouteCause,
-    /// Whether the engine said that the instance isn't loaded.
+    /// Whether the engine reported that the instance isn't loaded.
     pub not_loaded: bool,
 }
 
-/// How a request's last attempt ended.
+/// The result of a request's last attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream answered.
+    /// The upstream responded.
     Answered,
     /// The upstream failed.
     Failed,
-    /// The caller or an operator ended it.
+    /// Cancelled by the caller or an operator.
     Stopped,
 }
 
-/// The end of a request.
+/// Reports that a request has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Finished {
     /// The request.
     pub request: RequestId,
-    /// Tokens that it used, where the upstream has counted; none: all that was charged.
+    /// Tokens used; none if unknown, in which case the whole charge counts as used.
     pub used: Option<u64>,
-    /// How it ended.
+    /// The result of its last attempt.
     pub outcome: Outcome,
 }
 
-/// An idempotency key to be claimed.
+/// Claims an idempotency key for a request.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Digest of account and key.
+    /// Digest of the account and the idempotency key.
     pub key: Vec<u8>,
-    /// Digest of the request.
+    /// Digest of the request's content.
     pub fingerprint: Vec<u8>,
 }
 
-/// What came of a claim.
+/// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// It is this request's: it may run.
+    /// The key is claimed for this request, which may run.
     Fresh,
-    /// Another run has it, or its outcome is unknown.
+    /// Another request holds the key, or its outcome is unknown.
     Running,
-    /// It ran; this was its answer.
+    /// A request with this key has completed; holds the recorded answer.
     Done(Vec<u8>),
-    /// The key came with another request before.
+    /// The key was used before with a different request.
     Mismatch,
-    /// Nobody can record it now.
+    /// No controller could record the claim.
     Unavailable,
 }
 
-/// What workers tell the brain.
+/// Messages from the HTTP workers to the coordinator.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
@@ -121,16 +121,16 @@
     Admit {
         /// The request.
         admission: Admission,
-        /// Where its route goes; dropped by the worker when the caller has gone.
+        /// Receives the route; the worker drops its receiver when the caller disconnects.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
-        /// Told when the key is withdrawn.
+        /// Notified when the key is withdrawn.
         withdrawn: oneshot::Sender<()>,
     },
-    /// Route a request once more.
+    /// Route a request again.
     RouteAgain {
         /// The request.
         again: RouteAgain,
-        /// Where its route goes.
+        /// Receives the new route.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
     },
     /// A request has ended.
@@ -139,16 +139,16 @@
     Claim {
         /// The key.
         claim: ClaimRequest,
-        /// Where the outcome goes.
+        /// Receives the result.
         reply: oneshot::Sender<ClaimAnswer>,
     },
-    /// Record the answer to a claimed key, or give the claim back with none.
+    /// Record the answer for a claimed key, or release the claim.
     FinishClaim {
         /// The key.
         claim: ClaimRequest,
-        /// The answer; none when the request certainly didn't run.
+        /// The answer; none to release the claim of a request that didn't run.
         answer: Option<Arc<[u8]>>,
-        /// Told when it is recorded or can't be.
+        /// Receives whether it was recorded.
         reply: oneshot::Sender<bool>,
     },
 }
--- a/crates/gateway/src/brain/mod.rs
+++ b/crates/gateway/src/brain/mod.rs
@@ -1,41 +1,41 @@
-//! The daemon's decisions, on a thread of their own.
+//! The gateway's coordinator: rate rights, queue, routing and configuration, on one thread.
 //!
-//! Rights, queue, routing and configuration each belong to one machine that sees all requests, and the
-//! connections to other daemons can't leave their thread either. So they live together, and the workers
-//! that speak HTTP ask by message: one for admission and route, one at the end.
+//! Each of these is a single state machine that must see all requests, and the RPC links to other daemons
+//! are bound to one thread. The HTTP workers send messages to this thread: one to have a request admitted
+//! and routed, one when it has ended.
 
+mod active_request;
 mod actor;
 mod admission;
+mod config_freshness;
 mod configuration;
 mod core;
 mod dispatch;
 mod effect;
-mod freshness;
 mod handle;
 mod links;
 mod members;
 mod messages;
 mod peer_server;
 mod polls;
-mod running;
-mod settling;
+mod rights_availability;
 mod state;
 mod wire_types;
 
 pub use {
+    active_request::{ActiveRequest, Stage},
     actor::{Brain, Leave},
-    configuration::{ConfigAnswer, FleetAnswer},
+    config_freshness::ConfigFreshness,
+    configuration::{ConfigResponse, FleetResponse},
     core::Core,
     effect::Effect,
-    freshness::Freshness,
     handle::{BrainHandle, Lease},
-    links::{Links, UpstreamsAnswer},
+    links::{Links, UpstreamsResponse},
     members::{Member, Members},
     messages::{
         Admission, BrainMessage, ClaimAnswer, ClaimRequest, Finished, Outcome, RouteAgain, Routed,
     },
     peer_server::PeerServer,
-    running::{Running, Stage},
-    settling::Settling,
+    rights_availability::RightsAvailability,
     state::State,
 };
--- a/crates/gateway/src/brain/peer_server.rs
+++ b/crates/gateway/src/brain/peer_server.rs
@@ -7,14 +7,14 @@
     std::rc::Rc,
 };
 
-/// What other daemons may ask of this gateway.
+/// RPC server for other daemons: transfers of rights and the gateway's status.
 #[derive(Clone, Debug)]
 pub struct PeerServer {
     core: Rc<Core>,
 }
 
 impl PeerServer {
-    /// Answers out of `core`.
+    /// Creates a server that answers from the state of `core`.
     pub const fn new(core: Rc<Core>) -> Self {
         Self { core }
     }
@@ -29,7 +29,7 @@
         let request = read_take(params.get()?)?;
         let given = self
             .core
-            .decide(|state| state.handle_take_request(&request));
+            .update(|state| state.handle_take_request(&request));
         write_given(results.get(), &given);
         Ok(())
     }
--- a/crates/gateway/src/brain/polls.rs
+++ b/crates/gateway/src/brain/polls.rs
@@ -1,4 +1,4 @@
-//! Long polls of the controllers: configuration, fleet, engines.
+//! Long polls of the controllers for configuration, fleet and engines.
 
 use {
     super::{Core, State},
@@ -19,121 +19,125 @@
     },
 };
 
-/// How long a controller may hold a question that has no news.
-const CONFIG_WAIT: Millis = Millis(2_000);
-/// The same for the fleet.
-const FLEET_WAIT: Millis = Millis(2_000);
-/// The same for engines, whose load changes all the time.
-const UPSTREAMS_WAIT: Millis = Millis(1_000);
-/// The pause after a question that nobody answered.
-const RETRY: Millis = Millis(200);
-/// The least time between two questions about engines: their reports lag by more than that.
-const UPSTREAMS_PACE: Millis = Millis(50);
-/// The least time between two questions for all engines of an owner of which some are not known.
-const ALL_AGAIN: Millis = Millis(1_000);
-/// How often it is looked whether other VMs have to confirm the configuration.
-const CONFIRM_EVERY: Millis = Millis(1_000);
+/// How long a controller may hold a configuration poll without changes.
+const CONFIG_POLL_WAIT: Millis = Millis(2_000);
+/// How long a controller may hold a fleet poll without changes.
+const FLEET_POLL_WAIT: Millis = Millis(2_000);
+/// How long a controller may hold an engine poll without changes; shorter as load changes often.
+const ENGINES_POLL_WAIT: Millis = Millis(1_000);
+/// Delay after a failed poll, and the interval at which the list of owners is checked.
+const RETRY_DELAY: Millis = Millis(200);
+/// Minimum time between two engine polls of one owner.
+const ENGINES_POLL_INTERVAL: Millis = Millis(50);
+/// Minimum time between two full engine polls of an owner while some of its engines are unknown.
+const FULL_POLL_INTERVAL: Millis = Millis(1_000);
+/// Interval of the check whether other VMs have to confirm the configuration.
+const CONFIRM_INTERVAL: Millis = Millis(1_000);
 
-/// Starts all polls.
+/// Spawns all polling tasks.
 pub(super) fn start(core: &Rc<Core>) {
-    spawn_local(config(Rc::clone(core)));
-    spawn_local(confirm(Rc::clone(core)));
-    spawn_local(fleet(Rc::clone(core)));
-    spawn_local(upstreams(Rc::clone(core)));
+    spawn_local(poll_config(Rc::clone(core)));
+    spawn_local(poll_for_confirmation(Rc::clone(core)));
+    spawn_local(poll_fleet(Rc::clone(core)));
+    spawn_local(poll_all_engines(Rc::clone(core)));
 }
 
-/// Follows the configuration, from the own controller or, while that is dead, from the others in turn.
-async fn config(core: Rc<Core>) {
-    let mut turn = 0;
+/// Polls the local controller for the configuration; while that fails, the others in turn.
+async fn poll_config(core: Rc<Core>) {
+    let mut controller_index = 0;
     loop {
         let have = core.state.borrow().revision();
-        if ask_config(&core, turn, have).await {
-            turn = 0;
+        if poll_config_once(&core, controller_index, have).await {
+            controller_index = 0;
         } else {
-            turn += 1;
-            sleep(RETRY.to_std()).await;
+            controller_index += 1;
+            sleep(RETRY_DELAY.to_std()).await;
         }
     }
 }
 
-async fn ask_config(
+async fn poll_config_once(
     core: &Rc<Core>,
-    turn: usize,
+    controller_index: usize,
     have: Revision,
 ) -> bool {
     let controllers = core.controllers();
-    let whom = controllers[turn % controllers.len()];
-    let answer = core.links.poll_config(whom, have, CONFIG_WAIT).await;
-    let Ok(answer) = answer else {
+    let controller = controllers[controller_index % controllers.len()];
+    let response = core
+        .links
+        .poll_config(controller, have, CONFIG_POLL_WAIT)
+        .await;
+    let Ok(response) = response else {
         return false;
     };
-    let understood = core.decide(|state| {
-        state.take_config(&answer);
-        answer.body.is_empty() || state.revision() > have
+    let is_applied = core.update(|state| {
+        state.apply_config(&response);
+        response.body.is_empty() || state.revision() > have
     });
-    if !understood {
-        // The edits didn't fit what is here: ask for the whole tree.
-        let whole = core
+    if !is_applied {
+        // The edits don't apply to the current tree: request the whole tree.
+        let tree_response = core
             .links
-            .poll_config(whom, Revision::default(), Millis::ZERO)
+            .poll_config(controller, Revision::default(), Millis::ZERO)
             .await;
-        if let Ok(whole) = whole {
-            core.decide(|state| state.take_config(&whole));
+        if let Ok(tree_response) = tree_response {
+            core.update(|state| state.apply_config(&tree_response));
         }
-        // One that tells nothing of use would be asked again at once, for ever.
+        // Without progress this counts as a failure, which avoids a busy loop on this controller.
         return core.state.borrow().revision() > have;
     }
     true
 }
 
-/// While the store confirms nothing, asks the other VMs.
-async fn confirm(core: Rc<Core>) {
+/// Polls other VMs for a confirmation of the configuration while the store gives none.
+async fn poll_for_confirmation(core: Rc<Core>) {
     loop {
-        sleep(CONFIRM_EVERY.to_std()).await;
-        let ask = core.state.borrow().vms_to_hear();
-        for whom in ask {
+        sleep(CONFIRM_INTERVAL.to_std()).await;
+        let controllers = core.state.borrow().vms_to_poll();
+        for controller in controllers {
             let core = Rc::clone(&core);
             spawn_local(async move {
                 let have = core.state.borrow().revision();
-                if let Ok(answer) = core.links.poll_config(whom, have, Millis::ZERO).await {
-                    core.decide(|state| state.take_config(&answer));
+                if let Ok(response) = core.links.poll_config(controller, have, Millis::ZERO).await {
+                    core.update(|state| state.apply_config(&response));
                 }
             });
         }
     }
 }
 
-/// Follows the fleet, and reports rights when an epoch begins.
-async fn fleet(core: Rc<Core>) {
-    let mut turn = 0;
+/// Polls for the fleet, and reports the rights held when an epoch begins.
+async fn poll_fleet(core: Rc<Core>) {
+    let mut controller_index = 0;
     let mut have = 0;
-    let mut told = None;
+    let mut last_response = None;
     loop {
         let controllers = core.controllers();
-        let (_, address) = controllers[turn % controllers.len()];
-        let Ok((seq, answer)) = core.links.poll_fleet(address, have, FLEET_WAIT).await else {
-            turn += 1;
-            // Another controller counts its changes in its own way.
+        let (_, address) = controllers[controller_index % controllers.len()];
+        let Ok((seq, response)) = core.links.poll_fleet(address, have, FLEET_POLL_WAIT).await
+        else {
+            controller_index += 1;
+            // Sequence numbers are local to a controller.
             have = 0;
-            sleep(RETRY.to_std()).await;
+            sleep(RETRY_DELAY.to_std()).await;
             continue;
         };
-        // Without news the last answer is taken once more: a report that didn't get through is due again.
-        let answer = match told.take() {
+        // Without a change the last response is applied again, which retries a failed report.
+        let response = match last_response.take() {
             Some(last) if seq == have => last,
-            _ => answer,
+            _ => response,
         };
         have = seq;
-        told = Some(answer.clone());
-        let report = core.decide(|state| state.take_fleet(answer));
+        last_response = Some(response.clone());
+        let report = core.update(|state| state.apply_fleet(response));
         if let Some((epoch, held)) = report {
             report_holdings(&core, epoch, held).await;
         }
-        if turn > 0 {
-            // The own controller may be back.
-            turn = 0;
+        if controller_index > 0 {
+            // Try the local controller again.
+            controller_index = 0;
             have = 0;
-            sleep(RETRY.to_std()).await;
+            sleep(RETRY_DELAY.to_std()).await;
         }
     }
 }
@@ -149,19 +153,19 @@
             .report_holdings(address, epoch, held.clone())
             .await;
         if reported.is_ok() {
-            core.state.borrow_mut().reported(epoch);
+            core.state.borrow_mut().note_reported_epoch(epoch);
             return;
         }
     }
 }
 
-/// Follows each controller that owns engines, with a task of its own.
-async fn upstreams(core: Rc<Core>) {
+/// Runs one polling task per controller that owns engines.
+async fn poll_all_engines(core: Rc<Core>) {
     let mut tasks: HashMap<VmId, (SocketAddr, JoinHandle<()>)> = HashMap::new();
     loop {
         let owners = {
             let state = core.state.borrow();
-            let vms = state.members.owning_vms();
+            let vms = state.members.owner_vms();
             vms.into_iter()
                 .filter_map(|vm| Some((vm, state.members.controller(vm)?)))
                 .collect::<HashMap<_, _>>()
@@ -175,70 +179,73 @@
         });
         for (vm, address) in owners {
             tasks.entry(vm).or_insert_with(|| {
-                let task = spawn_local(upstreams_of(Rc::clone(&core), vm, address));
+                let task = spawn_local(poll_engines(Rc::clone(&core), vm, address));
                 (address, task)
             });
         }
-        sleep(RETRY.to_std()).await;
+        sleep(RETRY_DELAY.to_std()).await;
     }
 }
 
-async fn upstreams_of(
+async fn poll_engines(
     core: Rc<Core>,
     vm: VmId,
     address: SocketAddr,
 ) {
     let mut have = 0;
-    let mut told = BTreeMap::new();
-    let mut all_asked = Instant::now();
+    let mut reported_fences = BTreeMap::new();
+    let mut last_full_poll = Instant::now();
     loop {
         let (seen, held) = {
             let state = core.state.borrow();
-            let named = engines_of(&state, vm, &mut told);
-            let is_missing_view = named
+            let polled = engines_to_poll(&state, vm, &mut reported_fences);
+            let is_missing_view = polled
                 .keys()
-                .any(|&named| state.router.is_missing_view(named));
-            // An owner tells each change once. What came before the configuration that lists the
-            // engine was of no use then and is asked for again.
-            if is_missing_view && all_asked.elapsed() >= ALL_AGAIN.to_std() {
+                .any(|&polled| state.router.is_missing_view(polled));
+            // An owner sends each change once. A view that arrived before the configuration listed
+            // its engine was ignored, so all engines are requested again.
+            if is_missing_view && last_full_poll.elapsed() >= FULL_POLL_INTERVAL.to_std() {
                 have = 0;
             }
             let mut held = state.router.held();
-            held.retain(|instance| named.contains_key(&instance.upstream));
-            (named.into_iter().collect(), held)
+            held.retain(|instance| polled.contains_key(&instance.upstream));
+            (polled.into_iter().collect(), held)
         };
         if have == 0 {
-            all_asked = Instant::now();
+            last_full_poll = Instant::now();
         }
-        let answer = core
+        let response = core
             .links
-            .poll_upstreams(address, have, UPSTREAMS_WAIT, seen, held)
+            .poll_upstreams(address, have, ENGINES_POLL_WAIT, seen, held)
             .await;
-        let Ok(answer) = answer else {
+        let Ok(response) = response else {
             have = 0;
-            sleep(RETRY.to_std()).await;
+            sleep(RETRY_DELAY.to_std()).await;
             continue;
         };
-        have = answer.seq;
-        let fences = answer.engines.iter();
-        told.extend(fences.map(|engine| (engine.upstream, engine.owner_fence)));
-        core.decide(|state| state.take_upstreams(vm, answer.engines, answer.recalls));
-        sleep(UPSTREAMS_PACE.to_std()).await;
+        have = response.seq;
+        let fences = response.engines.iter();
+        reported_fences.extend(fences.map(|engine| (engine.upstream, engine.owner_fence)));
+        core.update(|state| state.apply_engine_views(vm, response.engines, response.recalls));
+        sleep(ENGINES_POLL_INTERVAL.to_std()).await;
     }
 }
 
-/// The engines that a poll of this VM's controller names, with the highest fencing token seen.
+/// The engines to list in a poll of this VM's controller, with the highest fencing token seen.
 ///
-/// A controller hears only of its own engines. The list of owners lags: an engine that the controller
-/// has told of counts as its own until a later token of it is seen. Otherwise a new owner would wait for
-/// this gateway's word longer than it has to.
-fn engines_of(
+/// These are the engines that the controller owns. As the list of owners lags, they include engines that the
+/// controller has reported, until a higher fencing token is seen. Otherwise a new owner would wait longer for
+/// this gateway's confirmation of its token.
+fn engines_to_poll(
     state: &State,
     vm: VmId,
-    told: &mut BTreeMap<UpstreamId, Fence>,
+    reported_fences: &mut BTreeMap<UpstreamId, Fence>,
 ) -> BTreeMap<UpstreamId, Fence> {
-    told.retain(|&upstream, fence| state.router.seen_fence_of(upstream) <= Some(*fence));
-    let upstreams = state.members.owned_by(vm).chain(told.keys().copied());
+    reported_fences.retain(|&upstream, fence| state.router.seen_fence_of(upstream) <= Some(*fence));
+    let upstreams = state
+        .members
+        .owned_by(vm)
+        .chain(reported_fences.keys().copied());
     upstreams
         .filter_map(|upstream| Some((upstream, state.router.seen_fence_of(upstream)?)))
         .collect()
--- a/crates/gateway/src/brain/state.rs
+++ b/crates/gateway/src/brain/state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Effect, Freshness, Members, Running, Settling},
+    super::{ActiveRequest, ConfigFreshness, Effect, Members, RightsAvailability},
     crate::{clock::Clock, status::Readiness},
     jasmine_conf::{fleet::Fleet, settings::GatewaySettings, tree::Tree},
     jasmine_core::{
@@ -17,19 +17,19 @@
     tokio::sync::watch,
 };
 
-/// VMs that are asked for a confirmation at a time.
-const HEARD_AT_A_TIME: usize = 16;
-/// For how long a load that has ended explains the wait of requests.
-const LOADS_KEPT: Millis = Millis::from_secs(30);
+/// Maximum number of VMs polled for a confirmation at a time.
+const MAX_CONFIRMATION_POLLS: usize = 16;
+/// How long a finished adapter load is kept to compute the load time within requests' waits.
+const LOAD_RETENTION: Millis = Millis::from_secs(30);
 
-/// When an adapter was waited for.
+/// The time span of an adapter load; without an end while it runs.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Load {
-    pub(super) from: Millis,
-    pub(super) to: Option<Millis>,
+pub(super) struct AdapterLoad {
+    pub(super) started_at: Millis,
+    pub(super) ended_at: Option<Millis>,
 }
 
-/// All that the brain decides by.
+/// The coordinator's state: configuration, members, rights, queue and router.
 #[derive(Debug)]
 pub struct State {
     pub(super) me: Holder,
@@ -39,25 +39,25 @@
     pub(super) tree: Option<Tree>,
     pub(super) fleet: Fleet,
     pub(super) published: watch::Sender<Arc<Fleet>>,
-    pub(super) freshness: Freshness,
+    pub(super) config_freshness: ConfigFreshness,
     pub(super) members: Members,
     pub(super) ledger: RightsLedger,
     pub(super) queue: FairQueue,
     pub(super) router: Router,
-    pub(super) running: HashMap<RequestId, Running>,
-    /// Requests that wait for rights, in the order in which they came.
-    pub(super) asking: HashMap<AccountId, VecDeque<RequestId>>,
-    pub(super) loads: HashMap<AdapterVersion, Load>,
+    pub(super) active: HashMap<RequestId, ActiveRequest>,
+    /// Requests that wait for rights, in arrival order.
+    pub(super) awaiting_rights: HashMap<AccountId, VecDeque<RequestId>>,
+    pub(super) adapter_loads: HashMap<AdapterVersion, AdapterLoad>,
     pub(super) own_data_centre: DataCentreId,
-    pub(super) reported: Option<Epoch>,
-    pub(super) settling: Settling,
+    pub(super) reported_epoch: Option<Epoch>,
+    pub(super) rights_availability: RightsAvailability,
     /// Accounts whose limits and shares have been set.
     pub(super) accounts: BTreeSet<AccountId>,
     pub(super) effects: Vec<Effect>,
 }
 
 impl State {
-    /// A brain that knows nothing yet.
+    /// Creates a state without configuration, members or rights.
     pub fn new(
         me: Holder,
         clock: Clock,
@@ -77,33 +77,33 @@
             tree: None,
             fleet: Fleet::default(),
             published,
-            freshness: Freshness::default(),
+            config_freshness: ConfigFreshness::default(),
             members: Members::default(),
             ledger: RightsLedger::new(me, RightsSettings::default()),
             queue,
-            router: Self::router_at(DataCentreId::default()),
-            running: HashMap::new(),
-            asking: HashMap::new(),
-            loads: HashMap::new(),
+            router: Self::new_router(DataCentreId::default()),
+            active: HashMap::new(),
+            awaiting_rights: HashMap::new(),
+            adapter_loads: HashMap::new(),
             own_data_centre: DataCentreId::default(),
-            reported: None,
-            settling: Settling::default(),
+            reported_epoch: None,
+            rights_availability: RightsAvailability::default(),
             accounts: BTreeSet::new(),
             effects: Vec::new(),
         }
     }
 
-    /// Takes the messages that the last decisions have led to.
+    /// Takes the effects produced since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Requests that are known.
+    /// Number of active requests.
     pub fn in_flight(&self) -> usize {
-        self.running.len()
+        self.active.len()
     }
 
-    /// The epoch of rights, zero before the first.
+    /// The current rights epoch, zero before the first.
     pub fn epoch(&self) -> Epoch {
         self.ledger.epoch().unwrap_or_default()
     }
@@ -113,7 +113,7 @@
         self.readiness.is_stopping()
     }
 
-    /// Answers a peer that asks for rights.
+    /// Handles a peer's request for rights.
     pub fn handle_take_request(
         &mut self,
         request: &TakeRequest,
@@ -121,56 +121,57 @@
         self.ledger.handle_take_request(request, self.clock.now())
     }
 
-    /// Stops for good: the epoch and all that was held.
-    pub fn give_back(&mut self) -> (Epoch, Vec<Right>) {
+    /// Releases all rights before a stop; returns them with their epoch.
+    pub fn release_rights(&mut self) -> (Epoch, Vec<Right>) {
         let epoch = self.epoch();
         (epoch, self.ledger.release_all(self.clock.now()))
     }
 
-    /// The VMs to be asked for a confirmation of the configuration, those unheard for longest first.
+    /// The VMs to poll for a confirmation of the configuration, oldest response first.
     ///
-    /// Only while the store's own word is getting old, and only those whose last word is: nobody asks everybody
-    /// all the time.
-    pub fn vms_to_hear(&self) -> Vec<(VmId, SocketAddr)> {
+    /// Empty while the store's confirmation is recent; VMs with a recent response are skipped.
+    pub fn vms_to_poll(&self) -> Vec<(VmId, SocketAddr)> {
         let now = self.clock.now();
         let half = Millis(self.settings.config_stale_ms.0 / 2);
-        if !self.freshness.needs_peers(half, now) {
+        if !self.config_freshness.needs_peer_confirmation(half, now) {
             return Vec::new();
         }
-        let mut others = self.members.controllers_but_for(self.me.vm);
+        let mut others = self.members.controllers_except(self.me.vm);
         others.retain(|&(vm, _)| {
-            let heard = self.freshness.last_heard(vm);
+            let heard = self.config_freshness.last_response_at(vm);
             heard.is_none_or(|at| now.since(at) > half)
         });
-        others.sort_by_key(|&(vm, _)| self.freshness.last_heard(vm));
-        others.truncate(HEARD_AT_A_TIME);
+        others.sort_by_key(|&(vm, _)| self.config_freshness.last_response_at(vm));
+        others.truncate(MAX_CONFIRMATION_POLLS);
         others
     }
 
-    /// What is to be done as time passes.
+    /// Runs periodic work: readiness, router timers, transfers of rights, and queued requests.
     pub fn tick(&mut self) {
         let now = self.clock.now();
         let stale = self.settings.config_stale_ms;
-        let confirmed = self
-            .freshness
-            .is_confirmed(self.me.vm, self.members.vms(), stale, now);
+        let confirmed =
+            self.config_freshness
+                .is_confirmed(self.me.vm, self.members.vms(), stale, now);
         self.readiness
             .set_confirmed(confirmed && self.tree.is_some());
-        self.settling.tick(now);
-        self.readiness.set_settled(self.settling.is_settled(now));
+        self.rights_availability.tick(now);
+        self.readiness
+            .set_settled(self.rights_availability.is_startup_complete(now));
         let actions = self.router.tick(now);
         self.effects.extend(actions.into_iter().map(Effect::from));
-        let mut asks = self.ledger.due_resends(now);
-        asks.extend(self.ledger.prefetch(now));
+        let mut take_requests = self.ledger.due_resends(now);
+        take_requests.extend(self.ledger.prefetch(now));
         self.effects
-            .extend(asks.into_iter().map(Effect::TakeRights));
-        let recent = |at: Millis| now.since(at) < LOADS_KEPT;
-        self.loads.retain(|_, load| load.to.is_none_or(recent));
-        self.retry_asking(now);
+            .extend(take_requests.into_iter().map(Effect::TakeRights));
+        let recent = |at: Millis| now.since(at) < LOAD_RETENTION;
+        self.adapter_loads
+            .retain(|_, load| load.ended_at.is_none_or(recent));
+        self.retry_awaiting_rights(now);
         self.dispatch(now);
     }
 
-    pub(super) fn router_at(data_centre: DataCentreId) -> Router {
+    pub(super) fn new_router(data_centre: DataCentreId) -> Router {
         Router::new(RouterSettings::new(data_centre))
     }
 }
--- a/crates/gateway/src/brain/wire_types.rs
+++ b/crates/gateway/src/brain/wire_types.rs
@@ -1,4 +1,4 @@
-//! Between messages and the router's types.
+//! Conversions between Cap'n Proto messages and the router's types.
 
 use {
     jasmine_core::{
@@ -25,7 +25,7 @@
     }
 }
 
-/// Writes instances into a list that was made for as many.
+/// Writes instances into a list initialised with the same length.
 pub(super) fn write_instances(
     mut list: capnp::struct_list::Builder<'_, wire::instance::Owned>,
     instances: &[Instance],
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads what an owner tells of an engine.
+/// Reads an owner's view of an engine.
 pub(super) fn read_engine(reader: engine_view::Reader<'_>) -> Result<EngineView, capnp::Error> {
     Ok(EngineView {
         upstream: UpstreamId(reader.get_upstream()),
@@ -53,7 +53,7 @@
     })
 }
 
-/// Reads an owner's answer about an adapter.
+/// Reads an owner's response to a request for an adapter.
 pub(super) fn read_acquired(reader: acquire_results::Reader<'_>) -> Result<Outcome, capnp::Error> {
     let retry = Millis(u64::from(reader.get_retry_ms()));
     Ok(match reader.get_outcome()? {
