--- a/crates/gateway/src/brain/actor.rs
+++ b/crates/gateway/src/brain/actor.rs
@@ -71,8 +71,8 @@
             } => self
                 .core
                 .update(|state| state.admit(admission, reply, withdrawn)),
-            BrainMessage::RouteAgain { again, reply } => {
-                self.core.update(|state| state.route_again(again, reply));
+            BrainMessage::Reroute { reroute, reply } => {
+                self.core.update(|state| state.route_again(reroute, reply));
             }
             BrainMessage::Finished(finished) => self.core.update(|state| state.finish(finished)),
             BrainMessage::Claim { claim, reply } => {
--- a/crates/gateway/src/brain/config_freshness.rs
+++ b/crates/gateway/src/brain/config_freshness.rs
@@ -3,7 +3,7 @@
     std::collections::BTreeMap,
 };
 
-/// Tracks whether the current configuration is recently confirmed as the newest.
+/// Tracks whether the current configuration has recently been confirmed as the newest.
 ///
 /// A withdrawn key must stop working within a bound, also on a VM in a network partition. Responses of
 /// the store or of other VMs confirm the configuration; when the last confirmation is older than the
--- a/crates/gateway/src/brain/configuration.rs
+++ b/crates/gateway/src/brain/configuration.rs
@@ -125,7 +125,8 @@
         self.set_accounts(now);
         self.cancel_withdrawn_keys();
         self.remove_accounts(now);
-        self.published.send_replace(Arc::new(self.fleet.clone()));
+        self.fleet_updates
+            .send_replace(Arc::new(self.fleet.clone()));
         Line::new("config_in_force")
             .with("revision", self.fleet.revision)
             .info();
@@ -208,7 +209,7 @@
 
     /// Applies a controller's response to a fleet poll.
     ///
-    /// Returns the rights to report if a new epoch has begun.
+    /// Returns the epoch and the rights held at its start, unless they have been reported already.
     pub fn apply_fleet(
         &mut self,
         response: FleetResponse,
--- a/crates/gateway/src/brain/core.rs
+++ b/crates/gateway/src/brain/core.rs
@@ -14,7 +14,7 @@
 /// How long an owner may hold its response while the adapter is being loaded.
 const ACQUIRE_WAIT: Millis = Millis(2_000);
 /// Attempts to report a release to an owner; if all fail, the next engine poll reports it.
-const RELEASE_ATTEMPTS: u32 = 3;
+const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
 /// State and RPC links of the coordinator; runs the effects of state changes on its thread.
 #[derive(Debug)]
@@ -114,7 +114,7 @@
                 fence,
                 ask,
             } => {
-                for _ in 0..RELEASE_ATTEMPTS {
+                for _ in 0..MAX_RELEASE_ATTEMPTS {
                     let owner = self.state.borrow().members.owner(instance.upstream);
                     let Some((_, address)) = owner else {
                         return;
--- a/crates/gateway/src/brain/dispatch.rs
+++ b/crates/gateway/src/brain/dispatch.rs
@@ -160,35 +160,35 @@
     /// Routes a request again after a failed attempt.
     pub fn route_again(
         &mut self,
-        again: RouteAgain,
+        reroute: RouteAgain,
         reply: oneshot::Sender<Result<Routed, Refusal>>,
     ) {
         let now = self.clock.now();
-        let finish = if again.not_loaded {
+        let outcome = if reroute.not_loaded {
             RequestOutcome::NotLoaded
         } else {
             RequestOutcome::Failed
         };
-        let failed_upstream = self.release_upstream(again.request, finish, now);
-        let Some(active) = self.active.get_mut(&again.request) else {
+        let failed_upstream = self.release_upstream(reroute.request, outcome, now);
+        let Some(active) = self.active.get_mut(&reroute.request) else {
             return;
         };
-        active.avoid = failed_upstream.filter(|_| !again.not_loaded);
+        active.avoid = failed_upstream.filter(|_| !reroute.not_loaded);
         active.restart_wait(reply, now);
         // The failed attempt may have run, so its charge is spent; the next one is charged anew.
-        if again.cause == RouteCause::MayHaveRun
+        if reroute.cause == RouteCause::MayHaveRun
             && let Some(charge) = active.charge.take()
         {
             self.ledger.settle(charge, charge.tokens, now);
         }
         if self
             .active
-            .get(&again.request)
+            .get(&reroute.request)
             .is_some_and(|active| active.charge.is_some())
         {
-            self.enqueue(again.request, now);
+            self.enqueue(reroute.request, now);
         } else {
-            self.charge(again.request, now);
+            self.charge(reroute.request, now);
         }
         self.dispatch(now);
     }
@@ -199,11 +199,11 @@
         finished: Finished,
     ) {
         let now = self.clock.now();
-        let finish = match finished.outcome {
+        let outcome = match finished.outcome {
             Outcome::Answered | Outcome::Stopped => RequestOutcome::Done,
             Outcome::Failed => RequestOutcome::Failed,
         };
-        self.release_upstream(finished.request, finish, now);
+        self.release_upstream(finished.request, outcome, now);
         self.queue.cancel(finished.request, now);
         let Some(active) = self.active.remove(&finished.request) else {
             return;
@@ -220,7 +220,7 @@
     fn release_upstream(
         &mut self,
         request: RequestId,
-        finish: RequestOutcome,
+        outcome: RequestOutcome,
         now: Millis,
     ) -> Option<UpstreamId> {
         let active = self.active.get_mut(&request)?;
@@ -228,7 +228,7 @@
             return None;
         };
         active.stage = Stage::Idle;
-        let actions = self.router.finished(upstream, instance, finish, now);
+        let actions = self.router.finished(upstream, instance, outcome, now);
         self.effects.extend(actions.into_iter().map(Effect::from));
         Some(upstream)
     }
--- a/crates/gateway/src/brain/handle.rs
+++ b/crates/gateway/src/brain/handle.rs
@@ -90,12 +90,12 @@
     /// Requests another upstream after a failed attempt.
     pub fn route_again(
         &self,
-        again: RouteAgain,
+        reroute: RouteAgain,
     ) -> oneshot::Receiver<Result<Routed, Refusal>> {
         let (reply, routed) = oneshot::channel();
         self.brain
             .recipient
-            .do_send(BrainMessage::RouteAgain { again, reply });
+            .do_send(BrainMessage::Reroute { reroute, reply });
         routed
     }
 
--- a/crates/gateway/src/brain/messages.rs
+++ b/crates/gateway/src/brain/messages.rs
@@ -127,9 +127,9 @@
         withdrawn: oneshot::Sender<()>,
     },
     /// Route a request again.
-    RouteAgain {
+    Reroute {
         /// The request.
-        again: RouteAgain,
+        reroute: RouteAgain,
         /// Receives the new route.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
     },
--- a/crates/gateway/src/brain/state.rs
+++ b/crates/gateway/src/brain/state.rs
@@ -38,7 +38,7 @@
     pub(super) readiness: Arc<Readiness>,
     pub(super) tree: Option<Tree>,
     pub(super) fleet: Fleet,
-    pub(super) published: watch::Sender<Arc<Fleet>>,
+    pub(super) fleet_updates: watch::Sender<Arc<Fleet>>,
     pub(super) config_freshness: ConfigFreshness,
     pub(super) members: Members,
     pub(super) ledger: RightsLedger,
@@ -63,7 +63,7 @@
         clock: Clock,
         settings: GatewaySettings,
         readiness: Arc<Readiness>,
-        published: watch::Sender<Arc<Fleet>>,
+        fleet_updates: watch::Sender<Arc<Fleet>>,
     ) -> Self {
         let queue = FairQueue::new(QueueSettings {
             max_queued: settings.limits.max_in_flight as usize,
@@ -76,7 +76,7 @@
             readiness,
             tree: None,
             fleet: Fleet::default(),
-            published,
+            fleet_updates,
             config_freshness: ConfigFreshness::default(),
             members: Members::default(),
             ledger: RightsLedger::new(me, RightsSettings::default()),
