--- a/crates/entry/src/caller/connection.rs
+++ b/crates/entry/src/caller/connection.rs
@@ -20,12 +20,12 @@
     },
 };
 
-/// Bytes of a next request that are read while the one before is being answered.
+/// Most bytes of pipelined requests that are buffered while a request is being answered.
 const MAX_AHEAD: usize = 64 << 10;
-/// How long what a refused caller still sends is read, so that the answer reaches it before a reset does.
+/// How long data is drained before closing, so that a reset doesn't overtake the answer.
 const LINGER: Duration = Duration::from_millis(300);
 
-/// Serves one caller's connection, request by request.
+/// Serves the requests of one caller's connection in order.
 pub(super) async fn serve_connection(
     cx: Rc<Context>,
     mut stream: TcpStream,
@@ -50,8 +50,9 @@
     }
 }
 
-/// Waits for a request; between two of them the connection is closed when the daemon stops. The first one is read
-/// in any case: whoever has just connected is told to go elsewhere rather than cut off.
+/// Reads the next request; closes a connection that is idle between requests when the daemon stops.
+///
+/// The first request is always read, so that a new caller gets an answer.
 async fn next_request(
     cx: &Context,
     stream: &mut TcpStream,
@@ -66,7 +67,7 @@
     read_request(stream, buf, &limits).await
 }
 
-/// Answers a request and says whether the connection is used again.
+/// Answers a request; returns whether the connection stays open.
 async fn answer(
     cx: &Rc<Context>,
     stream: &mut TcpStream,
@@ -80,13 +81,12 @@
     let mut out = AnswerWriter::new(tx, req.head.minor_version, keeps, is_head);
     tokio::select! {
         served = serve_request(cx, req, &mut out) => served.is_ok() && out.keeps(),
-        // Dropping the work closes its connection to the upstream, which stops there too.
+        // Cancelling closes the connection to the upstream, which then stops working too.
         () = until_gone(rx, buf) => false,
     }
 }
 
-/// Ends when the caller has closed the connection, also while nothing is written to it. A caller may send its
-/// next request ahead; that is kept.
+/// Waits until the caller has closed the connection; keeps pipelined data in `buf`.
 async fn until_gone(
     mut rx: ReadHalf<'_>,
     buf: &mut BytesMut,
@@ -115,13 +115,12 @@
     }
 }
 
-/// Closes a connection without a reset that would overtake the answer: what arrives is read for a moment.
+/// Closes a connection after draining it, so that a reset doesn't overtake the answer.
 async fn close(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
     let mut rest = [0_u8; 1024];
     let drained = async { while matches!(stream.read(&mut rest).await, Ok(n) if n > 0) {} };
-    // Whatever is still on its way after that is not waited for.
     let _elapsed = timeout(LINGER, drained).await;
 }
--- a/crates/entry/src/caller/listener.rs
+++ b/crates/entry/src/caller/listener.rs
@@ -11,19 +11,18 @@
     },
 };
 
-/// Connections that wait to be accepted; beyond them callers' first packets are dropped and come again
-/// seconds later.
+/// Connections queued for accept; if the queue is full, SYN packets are dropped and retried after seconds.
 const BACKLOG: u32 = 1024;
-/// The pause after a failed accept, which comes from a lack of descriptors.
+/// Delay after a failed accept, usually due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long the balancer may take with its question.
+/// Timeout of one readiness probe.
 const PROBE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Listens on an address.
+/// Binds a TCP listener to an IPv4 address.
 ///
 /// # Errors
 ///
-/// Whatever the system says.
+/// Any I/O error.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -31,7 +30,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Hands each connection to `serve`, for ever.
+/// Passes each accepted connection to `serve`; never returns.
 pub async fn accept_each<S>(
     listener: TcpListener,
     serve: S,
@@ -49,7 +48,7 @@
     }
 }
 
-/// Serves callers, for ever.
+/// Accepts and serves callers; never returns.
 pub async fn serve_callers(
     cx: Rc<Context>,
     listener: TcpListener,
@@ -60,7 +59,7 @@
     .await;
 }
 
-/// Tells the balancer whether callers may be sent here, for ever.
+/// Answers the load balancer's readiness probes; never returns.
 pub async fn serve_readiness(
     cx: Rc<Context>,
     listener: TcpListener,
@@ -68,14 +67,14 @@
     accept_each(listener, |stream| {
         let cx = Rc::clone(&cx);
         spawn_local(async move {
-            // A balancer that says nothing is not waited for.
+            // A connection without a complete probe is dropped.
             let _elapsed = timeout(PROBE_LIMIT, answer_probes(&cx, stream)).await;
         });
     })
     .await;
 }
 
-/// Answers whatever is asked: the daemon has one thing to say here.
+/// Answers any request with the readiness status.
 async fn answer_probes(
     cx: &Context,
     mut stream: TcpStream,
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: requests are read here, answers are written here.
+//! Callers' connections: reading requests and writing answers.
 
 mod answer_writer;
 mod connection;
--- a/crates/entry/src/caller/read_request.rs
+++ b/crates/entry/src/caller/read_request.rs
@@ -13,26 +13,25 @@
 /// Bytes read at a time.
 const READ: usize = 8 << 10;
 
-/// A request that has arrived whole.
+/// A completely received request.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its body.
+    /// The decoded body; empty if there is none.
     pub body: Bytes,
 }
 
-/// Why no request has arrived.
+/// Why no request could be read.
 #[derive(Debug)]
 pub enum ReadEnd {
-    /// The caller has closed the connection, or it is idle for too long: nothing to answer.
+    /// The connection was closed, reset or idle for too long; no answer is sent.
     Closed,
-    /// The request can't be taken.
+    /// The request is refused with this error.
     Refused(ErrorKind),
 }
 
 impl From<io::Error> for ReadEnd {
-    /// Whoever has reset the connection waits for no answer.
     fn from(_: io::Error) -> Self {
         Self::Closed
     }
@@ -64,7 +63,7 @@
     }
 }
 
-/// Reads a whole request whose first byte has arrived.
+/// Reads a complete request whose first byte has arrived.
 pub(super) async fn read_request(
     stream: &mut TcpStream,
     buf: &mut BytesMut,
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,20 +1,19 @@
-//! The daemon's own clock.
+//! The clock for leases and other times that are compared with those of other processes.
 
 use {
     jasmine_core::clock::Millis,
     nix::time::{ClockId, clock_gettime},
 };
 
-/// Counts milliseconds, also while the VM is suspended.
+/// A monotonic clock in milliseconds that also runs while the VM is suspended.
 ///
-/// The steady clock of the runtime's timers stands still in a suspension. A lease measured by it looks
-/// valid long after it has ended, and the daemon would give orders that are another's by then; so whatever
-/// is compared with what others do is measured by this clock.
+/// `CLOCK_MONOTONIC`, which the runtime's timers use, stops during a suspension: a lease measured by it would look
+/// valid after it has expired.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
 impl Clock {
-    /// The present moment.
+    /// Returns the time since boot.
     ///
     /// # Panics
     ///
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the daemon share; all of it lives on one thread.
+//! State that the parts of the daemon share on its one thread.
 
 use {
     crate::{clock::Clock, metrics::EntryMetrics, scheduling::SchedulerNode, upstream::Pool},
@@ -12,32 +12,32 @@
     tokio::{sync::watch, time::timeout},
 };
 
-/// How far a planned stop has come.
+/// The stages of a planned stop, in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopStage {
-    /// Not begun.
+    /// No stop was requested.
     #[default]
     Running,
-    /// The balancer is told; callers are still served and told to leave.
+    /// Readiness probes fail; requests are still served, and connections closed after each answer.
     Leaving,
-    /// Idle connections are closed.
+    /// Idle connections are closed and new requests refused.
     Closing,
-    /// What still waits for an upstream is sent elsewhere.
+    /// Requests that still wait for an upstream are refused.
     Emptying,
 }
 
 /// The daemon's shared state.
 #[derive(Debug)]
 pub struct Context {
-    /// The settings file.
+    /// The settings of the daemon.
     pub settings: EntrySettings,
-    /// The time.
+    /// The clock for deadlines and leases.
     pub clock: Clock,
-    /// The way to a decision about a request.
+    /// Places requests on upstreams.
     pub scheduling: Rc<SchedulerNode>,
-    /// Connections to upstreams.
+    /// Idle connections to upstreams.
     pub pool: Rc<Pool>,
-    /// What is counted.
+    /// The metrics instruments.
     pub metrics: Rc<EntryMetrics>,
     config: watch::Sender<Option<Rc<IngressConfig>>>,
     stop: watch::Sender<StopStage>,
@@ -45,7 +45,7 @@
 }
 
 impl Context {
-    /// The state of a daemon that knows nothing yet.
+    /// Creates the state of a daemon without a configuration.
     pub fn new(
         settings: EntrySettings,
         scheduling: Rc<SchedulerNode>,
@@ -64,23 +64,23 @@
         }
     }
 
-    /// The configuration in force, once there is one.
+    /// The current configuration; none until the first one is read.
     pub fn config(&self) -> Option<Rc<IngressConfig>> {
         self.config.borrow().clone()
     }
 
-    /// The configuration in force; where there is none yet, what comes within `wait`.
+    /// The current configuration; waits up to `wait` for the first one.
     pub async fn config_soon(
         &self,
         wait: Millis,
     ) -> Option<Rc<IngressConfig>> {
         let mut config = self.config.subscribe();
         let first = timeout(wait.to_std(), config.wait_for(Option::is_some)).await;
-        // Either it didn't come in time, or this context, which sends it, is gone.
+        // Both the timeout and a closed channel mean no configuration.
         first.ok()?.ok()?.clone()
     }
 
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub fn limits(&self) -> CallerLimits {
         self.config
             .borrow()
@@ -88,7 +88,7 @@
             .map_or_else(CallerLimits::default, |config| config.limits)
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Applies a configuration, unless its version isn't newer than the current one.
     pub fn set_config(
         &self,
         config: IngressConfig,
@@ -106,34 +106,34 @@
         self.config.send_replace(Some(Rc::new(config)));
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send callers to this VM.
     pub fn is_ready(&self) -> bool {
         self.config.borrow().is_some() && *self.stop.borrow() == StopStage::Running
     }
 
-    /// How far a planned stop has come.
+    /// The current stage of a planned stop.
     pub fn stop_stage(&self) -> StopStage {
         *self.stop.borrow()
     }
 
-    /// Changes of that.
+    /// Subscribes to changes of the stop stage.
     pub fn stop_changes(&self) -> watch::Receiver<StopStage> {
         self.stop.subscribe()
     }
 
-    /// Ends when a planned stop has come to a stage.
+    /// Waits until a planned stop has reached a stage.
     pub async fn stop_reached(
         &self,
         stage: StopStage,
     ) {
         let mut stop = self.stop_changes();
         if stop.wait_for(|&reached| reached >= stage).await.is_err() {
-            // Only this context sends changes; without it nobody waits for one.
+            // The channel closes only with this context.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Goes on with a planned stop.
+    /// Sets the stage of a planned stop.
     pub fn set_stop_stage(
         &self,
         stage: StopStage,
@@ -141,19 +141,19 @@
         self.stop.send_replace(stage);
     }
 
-    /// Requests of callers that are being worked on.
+    /// Number of callers' requests that are being served.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Counts a request for as long as the guard is kept.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn count_request(self: &Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight(Rc::clone(self))
     }
 }
 
-/// Counts one request.
+/// Guard that counts one request as in flight.
 #[derive(Debug)]
 pub struct InFlight(Rc<Context>);
 
--- a/crates/entry/src/daemon/command.rs
+++ b/crates/entry/src/daemon/command.rs
@@ -1,6 +1,6 @@
 use {clap::Command, jasmine_conf::start::daemon_command};
 
-/// The command line.
+/// Builds the command-line parser.
 pub fn command() -> Command {
     daemon_command(
         "jasmine-entry",
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: command line, start, stop.
+//! The daemon process: command line, startup and planned stop.
 
 mod command;
 mod run;
--- a/crates/entry/src/daemon/run.rs
+++ b/crates/entry/src/daemon/run.rs
@@ -21,33 +21,34 @@
     tokio::{net::TcpListener, sync::mpsc, task::spawn_local, time::sleep},
 };
 
-/// How often idle connections are looked through.
+/// How often expired idle connections are closed.
 const SWEEP_EVERY: Duration = Duration::from_secs(2);
 
-/// For how long the store holds a watch, in percent of the time in which a change has to be in force. A connection
-/// may go silent without a word; it is noticed by an answer that is overdue.
+/// Long-poll timeout of store watches, in percent of the allowed propagation time of a change.
+///
+/// Short enough to detect a dead connection in time.
 const WATCH_HELD_PERCENT: u64 = 25;
 
-/// Why the daemon can't run.
+/// Why the daemon failed to start.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum DaemonError {
-    /// An address of the settings can't be listened on.
+    /// Binding a listener failed.
     #[display("can't listen on {key} = {address}: {source}")]
     Listen {
-        /// The settings' key.
+        /// The settings key of the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Metrics can't be set up.
+    /// Setting up the metrics failed.
     #[display("{_0}")]
     Metrics(MetricsError),
 }
 
-/// Serves until a planned stop is over.
+/// Runs the daemon until a planned stop has completed.
 ///
 /// # Errors
 ///
@@ -162,7 +163,7 @@
     }
 }
 
-/// For how long the store is asked to hold a watch.
+/// The long-poll timeout of store watches.
 const fn watch_held(settings: &EntrySettings) -> Millis {
     Millis(settings.change_ms.0 * WATCH_HELD_PERCENT / 100)
 }
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: the balancer first, then the lead, then idle connections, then what waits, then what is left.
+//! The planned stop: leaves the load balancer, resigns as leader, then drains connections and requests.
 
 use {
     crate::{
@@ -15,22 +15,21 @@
     },
 };
 
-/// How long the balancer may go on sending callers: it asks once a second and believes the second refusal. What
-/// comes later is told to go elsewhere: it could not end before this process does.
+/// How long the load balancer may still send new callers, two of its probe intervals; later requests are refused.
 const BALANCER: Millis = Millis(2_800);
-/// How long before the end of its time the daemon ends by itself.
+/// How long before the stop limit the daemon exits.
 const SPARE: Millis = Millis(500);
-/// How long before its end the daemon sends away what still waits for an upstream. A stream that begins later than that
-/// is mostly cut off midway; one that is still waiting at the end would get no answer at all.
+/// How long before its exit the daemon refuses requests that still wait for an upstream.
+///
+/// Streams that began later would mostly be cut off.
 const EMPTYING: Millis = Millis(2_500);
-/// How often it is looked whether all requests have ended.
+/// How often the number of running requests is checked.
 const LOOK_EVERY: Duration = Duration::from_millis(25);
 
-/// Waits for SIGTERM or SIGINT and stops in order; SIGHUP changes nothing here, as nothing that the settings
-/// file says may change while the process runs.
+/// Waits for SIGTERM or SIGINT and stops gracefully; SIGHUP is only logged, as settings can't be reloaded.
 ///
-/// The lead goes while this VM still answers, so that nobody waits for a lease to lapse. Callers are served until the
-/// balancer has stopped sending them, and are told with each answer to come back over another connection.
+/// Leadership is given up while this VM still serves, so that no VM waits for the lease to expire. Callers are served
+/// until the load balancer has stopped sending them; each answer closes its connection.
 pub(super) async fn on_signal(
     cx: &Context,
     store: &KvStore,
@@ -71,11 +70,10 @@
         .info();
 }
 
-/// Gives up the lead and this VM's entry in the store.
+/// Resigns as leader and removes this VM's record from the store.
 ///
-/// Where engines check no fencing tokens, a VM that follows must let each of them rest. So half of them get their last
-/// order now and the others with the end of the lead: whoever follows can load adapters from its first moment on, and
-/// this VM until its last.
+/// If engines check no fencing tokens, the next leader must wait the order gap since an engine's last order. Orders to
+/// half of the engines therefore pause first: the next leader can use these at once, and this VM the others until then.
 async fn hand_over(
     cx: &Context,
     store: &KvStore,
@@ -96,7 +94,7 @@
     }
 }
 
-/// Lets callers go: those whom the balancer still sends are served, then what has time is, then what runs.
+/// Drains callers: new ones until the balancer has stopped sending them, then waiting and then running requests.
 async fn let_go(
     cx: &Context,
     began: Instant,
@@ -109,7 +107,7 @@
     wait_until_idle(cx, deadline).await;
 }
 
-/// Waits until no request is left, until a point in time at the longest.
+/// Waits until no request is running, at most until `until`.
 async fn wait_until_idle(
     cx: &Context,
     until: Instant,
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -18,24 +18,24 @@
     tokio::time::timeout,
 };
 
-/// The largest whole answer taken, in bytes.
+/// The largest answer that is buffered, in bytes.
 const MAX_ANSWER: usize = 16 << 20;
-/// How long a connection may have been idle for a request that must not be lost with it: closes cross requests
-/// on connections that were idle for long.
+/// Longest idle time of a connection for a request that can't be repeated.
+///
+/// The upstream may close a connection that was idle for longer while the request is on its way.
 const IDLE_FOR_ONCE: Millis = Millis(1_000);
-/// The same for requests that can be sent again.
+/// Longest idle time of a connection for a request that can be repeated.
 const IDLE: Millis = Millis(60_000);
-/// How many times its objective a call that may be repeated is waited for before it goes elsewhere.
+/// Timeout of a call that may be repeated, as a multiple of its latency objective.
 const CALL_PATIENCE: u64 = 2;
-/// How much of its objective a stream that can be resumed is waited for, in percent, before its first event: an
-/// engine gets no more prompts at a time than it reads in a part of that.
+/// Timeout for the head of a stream that may be repeated, in percent of its latency objective.
 const STREAM_PATIENCE_PERCENT: u64 = 150;
 
 /// How an attempt began.
 pub(super) enum Start {
-    /// An answer has begun that is the caller's.
+    /// An answer for the caller has begun.
     Answering(Answering),
-    /// There is none.
+    /// The attempt failed before that.
     Ended(Failure),
 }
 
@@ -43,16 +43,16 @@
 pub(super) struct Answering {
     pub connection: Connection,
     pub head: AnswerHead,
-    /// Whether the connection may be used again afterwards.
+    /// Whether the whole request was sent, so that the connection can be reused.
     pub sent_all: bool,
 }
 
-/// An attempt that brought nothing to pass on.
+/// A failed attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Failure {
     pub outcome: Outcome,
     pub end: AttemptEnd,
-    /// An upstream's own word that it failed, to be passed on if nothing better comes.
+    /// The upstream's error answer, forwarded if no attempt succeeds.
     pub answer: Option<(AnswerHead, Bytes)>,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Reads a whole answer.
+    /// Reads the rest of an answer into memory.
     pub(super) async fn whole(
         &self,
         mut answering: Answering,
@@ -140,7 +140,7 @@
         Ok((head, body))
     }
 
-    /// Keeps a connection whose exchange is over.
+    /// Returns the connection to the pool after a complete exchange.
     pub(super) fn keep(
         &self,
         answering: Answering,
@@ -150,18 +150,18 @@
             head,
             sent_all,
         } = answering;
-        // An upstream that answered before it had read all still expects the rest of the body on this connection.
+        // An upstream that answered early still expects the rest of the body on this connection.
         if sent_all {
             self.cx.pool.keep(self.placement.address, connection, &head);
         }
     }
 
-    /// What is left until nobody waits.
+    /// Time left until the deadline.
     pub(super) fn left(&self) -> Duration {
         self.req.deadline.since(self.cx.clock.now()).to_std()
     }
 
-    /// How long the head of an answer is waited for. What may not be repeated gains nothing from giving up.
+    /// Timeout for the head of an answer: the deadline for requests that can't be repeated.
     fn patience(&self) -> Duration {
         let objective = self.req.route.objective;
         let patience = match (self.req.route.kind.repeat(), self.req.is_stream()) {
@@ -193,7 +193,7 @@
             .ok()
     }
 
-    /// Tells answers to pass on from those that say that the request has to go elsewhere.
+    /// Separates answers for the caller from failures of the attempt.
     async fn sort(
         &self,
         answering: Answering,
@@ -210,7 +210,7 @@
                 (true, _) => Outcome::OtherUpstream,
                 (false, _) => Outcome::Shed,
             };
-            // The rest of the answer is read for the connection's sake; that it fails changes nothing.
+            // The body is read only so that the connection can be reused.
             drop(self.whole(answering).await);
             return Start::Ended(Failure::not_run(outcome));
         }
@@ -221,7 +221,7 @@
             .next()
             .is_some();
         match status {
-            // Nobody vouches for it, or it is not the body that was asked for.
+            // Without a seal or with a content coding it isn't the service's own answer.
             200..=299 if !said.is_sealed || is_foreign => {
                 Start::Ended(Failure::may_have_run(Outcome::Lost))
             }
--- a/crates/entry/src/forward/driver.rs
+++ b/crates/entry/src/forward/driver.rs
@@ -22,36 +22,37 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The pause before a request goes out again that an upstream said it hasn't run: what it lacks is on its way.
+/// Delay before the retry of a request that an upstream didn't run because its adapter isn't loaded yet.
 const NOT_RUN_PAUSE: Millis = Millis(15);
 
-/// What a request has come to.
+/// What follows an attempt.
 enum Step {
-    /// Its answer is with the caller, or the caller has gone.
+    /// The caller has its answer or has disconnected.
     Done(io::Result<()>),
-    /// Another attempt.
+    /// The request is sent again.
     Again,
-    /// It is given up.
+    /// The request fails with this error.
     GiveUp(ErrorKind),
 }
 
-/// Takes one request from its arrival to its answer.
+/// Drives one request from its arrival to its final answer, over several attempts.
 pub(super) struct Driver<'a> {
     cx: &'a Rc<Context>,
     req: ForwardRequest,
     attempts: Attempts,
     avoid: Vec<String>,
     progress: Progress,
-    /// An upstream's own failure, passed on if nothing better comes.
+    /// The last error answer of an upstream, forwarded if no attempt succeeds.
     failed: Option<(AnswerHead, Bytes)>,
-    /// How long it has waited for upstreams in all.
+    /// Total time spent waiting for placement.
     waited: Millis,
-    /// What its last attempt waited for longest.
+    /// The main reason for the last attempt's wait.
     waited_for: WaitReason,
     /// When the last attempt was sent.
     sent_at: Option<Millis>,
     /// The upstream of the last attempt.
     upstream: Option<String>,
+    /// Whether the end of the request was logged.
     is_logged: bool,
 }
 
@@ -122,8 +123,7 @@
         }
     }
 
-    /// Waits for an upstream, until the deadline at the longest, or until this VM is about to end: the process would
-    /// leave its caller without a word, while another VM has the time to serve it.
+    /// Waits for placement until the deadline, or until a planned stop refuses waiting requests.
     async fn place(&self) -> Result<Placement, PlacementError> {
         let now = self.cx.clock.now();
         let number = self.attempts.next_attempt();
@@ -211,7 +211,7 @@
         Ok(out.whole(&head, &body).await?)
     }
 
-    /// Decides what follows an attempt that brought nothing.
+    /// Decides between a retry and a final error after a failed attempt.
     async fn failed(
         &mut self,
         placement: &Placement,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Gives the final answer of a request that is not served.
+    /// Sends the final answer of a request that failed.
     async fn give_up(
         &mut self,
         refusal: Refusal,
@@ -277,7 +277,7 @@
             .with("events", self.progress.events)
             .info();
         if out.has_begun() {
-            // Closing without the last chunk is all that tells the caller that this is not the end.
+            // Closing without the last chunk tells the caller that the stream is incomplete.
             out.close_after();
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
@@ -288,7 +288,7 @@
         out.refuse(OwnAnswer(refusal), id).await
     }
 
-    /// What may have run is not said to have not run.
+    /// Replaces a refusal that claims that the request didn't run if an attempt may have run.
     fn true_refusal(
         &self,
         refusal: Refusal,
@@ -306,7 +306,7 @@
         self.req.caller.request_id.as_deref().unwrap_or("-")
     }
 
-    /// One line for each request that reached a decision, whatever its end.
+    /// Logs the end of a request.
     fn log_end(
         &mut self,
         result: &str,
@@ -338,7 +338,7 @@
 }
 
 impl Drop for Driver<'_> {
-    /// The work of a request ends without a word when its caller goes; the log has to say so.
+    /// Logs requests that are cancelled because the caller has disconnected.
     fn drop(&mut self) {
         if !self.is_logged {
             self.log_end("caller_gone");
--- a/crates/entry/src/forward/encode.rs
+++ b/crates/entry/src/forward/encode.rs
@@ -1,4 +1,4 @@
-//! The request as an upstream gets it.
+//! Encoding of requests to upstreams.
 
 use {
     super::ForwardRequest,
@@ -8,7 +8,7 @@
     std::fmt::Write,
 };
 
-/// Writes head and body. `after_event` is the last event that the caller has of a stream that is taken up again.
+/// Encodes head and body; `after_event` is the caller's last event of a stream that is resumed.
 pub(super) fn encode_request(
     req: &ForwardRequest,
     placement: &Placement,
@@ -19,7 +19,7 @@
     let mut out = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
     for (name, header) in head.headers.end_to_end() {
         let is_replaced = after_event.is_some() && is_resume_point(&name);
-        // The body has arrived: nobody waits for a word before it is sent.
+        // The whole body has been read, so `Expect: 100-continue` is handled already.
         let is_settled = name == "expect";
         if is_passed_on(&name) && !is_replaced && !is_settled {
             let value = String::from_utf8_lossy(&header.value);
--- a/crates/entry/src/forward/events.rs
+++ b/crates/entry/src/forward/events.rs
@@ -1,28 +1,27 @@
 use bytes::{Bytes, BytesMut};
 
-/// The longest event taken, in bytes.
+/// The longest event accepted, in bytes.
 const MAX_EVENT: usize = 1 << 20;
 
-/// One event of a stream, with the empty line at its end.
+/// One server-sent event, including the empty line at its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came.
+    /// The raw bytes.
     pub bytes: Bytes,
-    /// Its id, if it names one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Takes a stream apart into whole events.
+/// Splits a stream into complete server-sent events.
 ///
-/// An upstream may stop in the middle of an event. Only whole ones are passed on, so that another upstream can
-/// go on after the last of them.
+/// Only complete events are forwarded, so that another upstream can resume the stream after the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds what has arrived; false where an event is longer than any should be.
+    /// Adds received data; returns false if an event exceeds the size limit.
     pub fn push(
         &mut self,
         data: &[u8],
@@ -31,7 +30,7 @@
         self.buf.len() <= MAX_EVENT
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = end_of_event(&self.buf)?;
         let bytes = self.buf.split_to(end).freeze();
@@ -39,7 +38,7 @@
         Some(Event { bytes, id })
     }
 
-    /// What is left after the last whole event.
+    /// Returns the data after the last complete event.
     pub fn rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! One request on its way: route, key, upstream, answer.
+//! Forwarding of requests: routing, authentication, attempts at upstreams, relaying of answers.
 
 mod attempt;
 mod driver;
@@ -10,7 +10,7 @@
 
 use jasmine_core::clock::Millis;
 
-/// When a caller may come back whom this VM can't serve any more: at once, as it then reaches another one.
+/// `Retry-After` of a stopping VM: short, as the retry reaches another VM.
 const ELSEWHERE: Millis = Millis(20);
 
 pub use {
--- a/crates/entry/src/forward/relay.rs
+++ b/crates/entry/src/forward/relay.rs
@@ -13,29 +13,29 @@
     tokio::time::timeout,
 };
 
-/// How many times its longest good pause a stream that can be resumed may be silent.
+/// Read timeout of a resumable stream, as a multiple of its gap objective.
 const SILENCE: u64 = 5;
-/// The pause where a route names none.
+/// Gap objective of routes without one.
 const USUAL_PAUSE: Millis = Millis(500);
 
-/// What the caller has of a stream.
+/// The part of a stream that was forwarded to the caller.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// The last event passed on.
+    /// The id of the last event forwarded.
     pub last_event: Option<u64>,
-    /// Events passed on.
+    /// Number of events forwarded.
     pub events: u64,
-    /// When the first one was.
+    /// When the first data was forwarded.
     pub first_at: Option<Millis>,
-    /// When the last one was.
+    /// When the last data was forwarded.
     pub last_at: Option<Millis>,
 }
 
-/// Why a stream is not whole yet.
+/// Why a stream ended early.
 pub(super) enum RelayEnd {
-    /// The upstream broke off.
+    /// The upstream failed.
     Upstream(Failure),
-    /// The caller has gone.
+    /// The caller has disconnected.
     Caller(io::Error),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Passes a stream's events on as they come, until its end.
+/// Forwards a stream's events as they arrive, until its end.
 pub(super) async fn relay(
     attempt: &AttemptContext<'_>,
     mut answering: Answering,
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// How long the next bytes are waited for.
+/// Timeout of the next read.
 fn pause(
     attempt: &AttemptContext<'_>,
     progress: &Progress,
@@ -106,7 +106,7 @@
     attempt.left().min(longest.to_std())
 }
 
-/// The whole events that the caller doesn't have yet.
+/// Takes the complete events that weren't forwarded yet.
 fn take_events(
     splitter: &mut EventSplitter,
     progress: &mut Progress,
@@ -125,7 +125,7 @@
     ready
 }
 
-/// The head goes out with the first event only: until then another upstream's answer can take its place.
+/// Forwards data; the head goes out with the first event, as a retry may replace it until then.
 async fn pass_on(
     attempt: &AttemptContext<'_>,
     head: &AnswerHead,
--- a/crates/entry/src/forward/request.rs
+++ b/crates/entry/src/forward/request.rs
@@ -13,39 +13,39 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A request that may be forwarded: its route allows it and its key is good.
+/// A request that may be forwarded: it has a route and, if needed, a valid API key.
 #[derive(Clone, Debug)]
 pub struct ForwardRequest {
-    /// What arrived.
+    /// The request as received.
     pub incoming: IncomingRequest,
-    /// What its headers say.
+    /// The decoded request headers.
     pub caller: CallerHeaders,
-    /// Its route.
+    /// The matching route.
     pub route: Arc<IngressRoute>,
-    /// The service that its route gives it to.
+    /// The service that the route selects.
     pub service: String,
-    /// Whether that service has engines.
+    /// Whether the service consists of engines.
     pub is_generation: bool,
-    /// The client account that its key belongs to.
+    /// The client account of the API key.
     pub account: Option<String>,
-    /// Its rank, 0 first.
+    /// The priority, 0 is the highest.
     pub priority: u8,
-    /// What it costs the account.
+    /// The cost charged to the account, in the account's unit.
     pub cost: u64,
-    /// The configuration that it was judged by.
+    /// The version of the configuration that was applied.
     pub config_version: u64,
-    /// When it had arrived.
+    /// When the request had been read.
     pub arrived: Millis,
-    /// When nobody waits for it any more.
+    /// When the caller stops waiting.
     pub deadline: Millis,
 }
 
 impl ForwardRequest {
-    /// Judges a request by a configuration.
+    /// Routes and authenticates a request.
     ///
     /// # Errors
     ///
-    /// The refusal: no such route, no such key, or no name for the request.
+    /// The refusal: no route or service, a missing or unknown key, or no request id.
     pub fn judge(
         incoming: IncomingRequest,
         caller: CallerHeaders,
@@ -90,17 +90,17 @@
         })
     }
 
-    /// Whether its answer is a stream of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind.is_stream()
     }
 
-    /// Whether another upstream can go on with its stream.
+    /// Whether another upstream can resume the stream.
     pub fn is_resumable(&self) -> bool {
         self.route.kind == CallKind::Stream { resumable: true }
     }
 
-    /// What is told to whoever decides about it.
+    /// Builds the scheduler's description of attempt number `attempt`.
     pub fn job(
         &self,
         attempt: u32,
@@ -136,8 +136,7 @@
         })
     }
 
-    /// What makes a caller known that comes back after a refusal: it sends the same body to the same target
-    /// with the same key, under another id.
+    /// A hash of key, target and body that identifies a retry by the caller under another request id.
     fn tag(&self) -> u64 {
         let key = self.caller.key.as_deref().unwrap_or_default();
         let target = &self.incoming.head.target;
--- a/crates/entry/src/forward/serve.rs
+++ b/crates/entry/src/forward/serve.rs
@@ -13,17 +13,16 @@
     std::{io, rc::Rc},
 };
 
-/// For how long a caller waits for this VM's first configuration. Callers reach a VM as soon as it listens; where all
-/// have just started, another one has none either, and it is there within half a second.
+/// How long a request waits for the first configuration of a VM that has just started.
 const FIRST_CONFIG: Millis = Millis(300);
-/// When a caller may come back whom a VM without configuration can't serve: it then reaches another VM.
+/// `Retry-After` of a VM without configuration; the retry is likely to reach another VM.
 const ELSEWHERE_SOON: Millis = Millis(250);
 
-/// Answers one request of a caller.
+/// Serves one request of a caller.
 ///
 /// # Errors
 ///
-/// Where the caller has gone, or a begun answer had to be broken off.
+/// If the caller has disconnected or an answer was cut off.
 pub async fn serve_request(
     cx: &Rc<Context>,
     incoming: IncomingRequest,
@@ -33,7 +32,7 @@
     let id = caller.request_id.clone();
     let now = cx.clock.now();
     let judged = match cx.config_soon(FIRST_CONFIG).await {
-        // What begins now would be cut off by the end of this process; another VM has the time for it.
+        // A request that begins this late could be cut off by the exit of the process.
         _ if cx.stop_stage() >= StopStage::Closing => {
             Err(Refusal::after(ErrorKind::ShuttingDown, ELSEWHERE))
         }
--- a/crates/entry/src/http1/answer_head.rs
+++ b/crates/entry/src/http1/answer_head.rs
@@ -4,30 +4,31 @@
     request_head::{MAX_HEADERS, head_len},
 };
 
-/// Bytes of an answer's head that are taken.
+/// The largest head accepted, in bytes.
 const MAX_HEAD: usize = 64 << 10;
 
-/// The head of an answer.
+/// The parsed head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// What stands beside the status.
+    /// The reason phrase.
     pub reason: String,
-    /// Its headers.
+    /// The header lines.
     pub headers: Headers,
-    /// How its body is marked off.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// Whether the upstream goes on using the connection.
+    /// Whether the upstream keeps the connection open.
     pub keeps_connection: bool,
 }
 
-/// Reads the head of an answer to a request with method `method` at the start of `buf`, and says how many
-/// bytes it has; none while it isn't all there.
+/// Parses the head of an answer to a `method` request at the start of `buf`.
+///
+/// Returns the head and its length in bytes, or none if it is incomplete.
 ///
 /// # Errors
 ///
-/// [`HttpError`], where it is no answer.
+/// [`HttpError`], if the head is too large, malformed or ambiguous.
 pub fn parse_answer_head(
     buf: &[u8],
     method: &str,
--- a/crates/entry/src/http1/body_reader.rs
+++ b/crates/entry/src/http1/body_reader.rs
@@ -3,30 +3,30 @@
     bytes::{Bytes, BytesMut},
 };
 
-/// What is at hand of a body.
+/// The result of one read of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyPart {
-    /// Some bytes of it.
+    /// The next bytes.
     Data(Bytes),
-    /// It is over.
+    /// The body is complete.
     End,
-    /// More has to be read from the connection first.
+    /// More data has to be received first.
     NeedMore,
 }
 
-/// Takes a body out of the bytes that a connection brings.
+/// Decodes a body from the bytes of a connection.
 #[derive(Clone, Copy, Debug)]
 pub enum BodyReader {
-    /// With a length; so many bytes are left.
+    /// Body of known length, with the number of bytes left.
     Length(u64),
-    /// In chunks.
+    /// Body in the chunked transfer coding.
     Chunked(ChunkedDecoder),
-    /// Until the connection ends.
+    /// Body that ends with the connection.
     UntilClose,
 }
 
 impl BodyReader {
-    /// A reader of a body with this framing.
+    /// Creates a reader of a body with this framing.
     pub fn new(framing: Framing) -> Self {
         match framing {
             Framing::Empty => Self::Length(0),
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Takes what is there.
+    /// Takes the next part of the body out of `buf`.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Malformed`] where chunks are not marked off as they should be.
+    /// [`HttpError::Malformed`] for an invalid chunked coding.
     pub fn next(
         &mut self,
         buf: &mut BytesMut,
@@ -62,11 +62,11 @@
         }
     }
 
-    /// What the orderly end of the connection means: the end of the body, or that it is cut off.
+    /// Checks whether the body may end with the connection.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Truncated`].
+    /// [`HttpError::Truncated`], unless the framing is [`Framing::UntilClose`].
     pub const fn at_close(&self) -> Result<(), HttpError> {
         match self {
             Self::UntilClose => Ok(()),
--- a/crates/entry/src/http1/chunked.rs
+++ b/crates/entry/src/http1/chunked.rs
@@ -3,11 +3,11 @@
     bytes::{Buf, Bytes, BytesMut},
 };
 
-/// The longest line that says how long a chunk is.
+/// The longest chunk-size line, in bytes.
 const MAX_SIZE_LINE: usize = 64;
-/// Bytes of trailers that are passed over.
+/// Most bytes of trailers, which are ignored.
 const MAX_TRAILERS: usize = 8 << 10;
-/// Digits of a chunk's size.
+/// Most hexadecimal digits of a chunk size.
 const MAX_DIGITS: usize = 15;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     Done,
 }
 
-/// Takes a body in chunks apart.
+/// Decodes the chunked transfer coding.
 #[derive(Clone, Copy, Debug)]
 pub struct ChunkedDecoder {
     state: State,
@@ -32,11 +32,11 @@
 }
 
 impl ChunkedDecoder {
-    /// Takes what it can from `buf`: some bytes of the body, or none where more has to be read first.
+    /// Takes the next bytes of the body out of `buf`; none if it is complete or more data is needed.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Malformed`] where the chunks are not marked off as they should be.
+    /// [`HttpError::Malformed`] for an invalid chunked coding.
     pub fn next(
         &mut self,
         buf: &mut BytesMut,
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Whether the body is over.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 }
 
-/// Takes a whole line out of `buf`, without its end.
+/// Takes a complete line out of `buf`, without CRLF; none if more data is needed.
 fn line(
     buf: &mut BytesMut,
     max: usize,
@@ -115,7 +115,7 @@
     Ok(Some(line.slice(..end - 1)))
 }
 
-/// The size of a chunk; extensions after a semicolon are passed over.
+/// Parses a chunk size, ignoring chunk extensions.
 fn size(line: &[u8]) -> Result<u64, HttpError> {
     let digits = line.split(|&byte| byte == b';').next().unwrap_or_default();
     let is_plain = !digits.is_empty()
--- a/crates/entry/src/http1/error.rs
+++ b/crates/entry/src/http1/error.rs
@@ -1,17 +1,17 @@
-/// Why a message can't be taken.
+/// Why an HTTP message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum HttpError {
-    /// It is not HTTP/1.1, or two readers could see its end in two places.
+    /// It is not HTTP/1.x, or its framing is ambiguous.
     #[display("malformed or ambiguous message")]
     Malformed,
-    /// Its head is larger than allowed.
+    /// The head exceeds the limit.
     #[display("head too large")]
     HeadTooLarge,
-    /// Its body is larger than allowed.
+    /// The body exceeds the limit.
     #[display("body too large")]
     BodyTooLarge,
-    /// The connection ended before the message did.
-    #[display("connection ended midway")]
+    /// The connection ended before the message was complete.
+    #[display("connection ended before the message was complete")]
     Truncated,
 }
--- a/crates/entry/src/http1/framing.rs
+++ b/crates/entry/src/http1/framing.rs
@@ -1,28 +1,28 @@
 use super::{Headers, HttpError};
 
-/// The longest length of a body that is taken for one, in digits.
+/// Most digits of a `Content-Length`.
 const MAX_DIGITS: usize = 18;
 
-/// How a body is marked off.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// It has this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// It comes in chunks.
+    /// The body is in the chunked transfer coding.
     Chunked,
-    /// It ends with the connection; answers only.
+    /// The body ends with the connection; answers only.
     UntilClose,
 }
 
 impl Framing {
-    /// The framing of a request.
+    /// Determines the framing of a request.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Malformed`] wherever another reader could see another one: two lengths, a length and
-    /// chunks, a length that isn't plain digits, or a coding other than chunks.
+    /// [`HttpError::Malformed`] if the framing is ambiguous: several lengths, a length with a transfer coding, a
+    /// length that isn't plain digits, or a transfer coding other than `chunked`.
     pub fn of_request(
         headers: &Headers,
         minor_version: u8,
@@ -36,11 +36,11 @@
         }
     }
 
-    /// The framing of an answer to a request whose method is `method`.
+    /// Determines the framing of an answer to a `method` request.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Malformed`], as for requests.
+    /// [`HttpError::Malformed`] if the framing is ambiguous, as for requests.
     pub fn of_answer(
         headers: &Headers,
         status: u16,
--- a/crates/entry/src/http1/header.rs
+++ b/crates/entry/src/http1/header.rs
@@ -1,17 +1,17 @@
 /// One header line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its name, spelled as it came.
+    /// The name in its original case.
     pub name: String,
-    /// Its value.
+    /// The raw value.
     pub value: Vec<u8>,
 }
 
-/// The header lines of a message, in their order.
+/// The header lines of a message, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<Header>);
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and aren't forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -24,7 +24,7 @@
 ];
 
 impl Headers {
-    /// The values of all lines with this name, in lower case.
+    /// Returns the values of all lines with this name, ignoring case.
     pub fn all<'a>(
         &'a self,
         name: &'a str,
@@ -35,7 +35,7 @@
             .map(|header| header.value.as_slice())
     }
 
-    /// The only value of this name, as text; none where there are several.
+    /// Returns the single value of this name as text; none if there are several.
     pub fn only(
         &self,
         name: &str,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether a header that is a list of words holds this one.
+    /// Whether a comma-separated header contains this element, ignoring case.
     pub fn lists(
         &self,
         name: &str,
@@ -59,7 +59,7 @@
             .any(|found| found.eq_ignore_ascii_case(word))
     }
 
-    /// The words of a header that is a list.
+    /// Returns the elements of a comma-separated header.
     pub fn words<'a>(
         &'a self,
         name: &'a str,
@@ -70,14 +70,14 @@
             .map(str::trim)
     }
 
-    /// Names with values, as decoders take them.
+    /// Iterates over names and values.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.0
             .iter()
             .map(|header| (header.name.as_str(), header.value.as_slice()))
     }
 
-    /// The lines that concern the whole way and not this connection, with their names in lower case.
+    /// Iterates over the end-to-end headers, with their names in lower case.
     pub fn end_to_end(&self) -> impl Iterator<Item = (String, &Header)> {
         let named: Vec<String> = self
             .words("connection")
@@ -92,7 +92,7 @@
     }
 }
 
-/// Takes over what the parser found.
+/// Copies the parsed header lines.
 pub(super) fn collect(parsed: &[httparse::Header<'_>]) -> Headers {
     let headers = parsed.iter().map(|header| Header {
         name: header.name.to_owned(),
--- a/crates/entry/src/http1/mod.rs
+++ b/crates/entry/src/http1/mod.rs
@@ -1,8 +1,7 @@
-//! HTTP/1.1 as bytes: heads, bodies and their framing, on both sides of the daemon.
+//! HTTP/1.1 parsing and framing for callers and upstreams.
 //!
-//! The daemon passes on what it reads, so it must never see a message end where the other side sees it go on.
-//! A library that corrects what it reads can't promise that: here whatever is ambiguous is an error. The
-//! parsing of lines is the library's; what is refused, and where a body ends, is decided here.
+//! Ambiguous messages are rejected to prevent request smuggling: the daemon and the other side must agree on where a
+//! message ends. Lines are parsed by `httparse`; framing and further checks are done here.
 
 mod answer_head;
 mod body_reader;
--- a/crates/entry/src/http1/request_head.rs
+++ b/crates/entry/src/http1/request_head.rs
@@ -1,46 +1,47 @@
 use super::{Framing, Headers, HttpError, header::collect};
 
-/// Header lines that a request may have.
+/// Most header lines of a message.
 pub(super) const MAX_HEADERS: usize = 100;
 
-/// The head of a request.
+/// The parsed head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query, as received.
     pub target: String,
-    /// The second number of its HTTP version.
+    /// The minor HTTP version.
     pub minor_version: u8,
-    /// Its headers.
+    /// The header lines.
     pub headers: Headers,
-    /// How its body is marked off.
+    /// How the end of the body is determined.
     pub framing: Framing,
 }
 
 impl RequestHead {
-    /// The host that it is for.
+    /// The value of the `Host` header; empty without one.
     pub fn host(&self) -> &str {
         self.headers.only("host").unwrap_or_default()
     }
 
-    /// Whether the caller wants to go on using the connection.
+    /// Whether the caller keeps the connection open.
     pub fn keeps_connection(&self) -> bool {
         self.minor_version == 1 && !self.headers.lists("connection", "close")
     }
 
-    /// Whether the caller waits for a word before it sends the body.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         self.headers.lists("expect", "100-continue")
     }
 }
 
-/// Reads the head at the start of `buf` and says how many bytes it has; none while it isn't all there.
+/// Parses the head of a request at the start of `buf`.
+///
+/// Returns the head and its length in bytes, or none if it is incomplete.
 ///
 /// # Errors
 ///
-/// [`HttpError::HeadTooLarge`] beyond `max` bytes, [`HttpError::Malformed`] for whatever two readers could
-/// understand in two ways.
+/// [`HttpError::HeadTooLarge`] beyond `max` bytes, [`HttpError::Malformed`] for invalid or ambiguous heads.
 pub fn parse_request_head(
     buf: &[u8],
     max: usize,
@@ -76,9 +77,9 @@
     Ok(Some((head, len)))
 }
 
-/// The length of the head at the start of `buf`, with the empty line at its end.
+/// Returns the length of the head at the start of `buf`, including the empty line at its end.
 ///
-/// Line ends are checked here: the parser also takes a line feed alone, which others read as part of a value.
+/// Rejects bare CR and LF: `httparse` accepts a bare LF as a line end, which other parsers don't.
 pub(super) fn head_len(
     buf: &[u8],
     max: usize,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry VMs' daemon on the users' platform.
+//! The daemon of the entry VMs: a reverse proxy with scheduling, on the users' platform.
 //!
-//! It takes callers' requests, finds their route and client account, asks the scheduler for an upstream,
-//! passes the request on and the answer back. One of the daemons is the scheduler, elected through the store;
-//! all of them are able to be. A daemon keeps nothing: what lasts is in the store.
+//! It accepts callers' requests, finds their route and client account, asks the scheduler for an upstream and
+//! forwards request and answer. One of the daemons is elected scheduler through the store. A daemon keeps no
+//! persistent state of its own.
 //!
 //! Everything runs on one thread: the VMs have a quarter of a core.
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, as a Prometheus page.
+//! The daemon's metrics and their Prometheus endpoint.
 
 use {
     crate::{caller::accept_each, context::Context, forward::ForwardRequest},
@@ -22,11 +22,11 @@
     },
 };
 
-/// Accounts that have histograms of their own; all others share one. An account has some hundred numbers.
+/// Most label sets with histograms of their own; further accounts share [`OTHER`].
 const MAX_ACCOUNTS: usize = 64;
-/// The label of accounts beyond that, and of requests without one.
+/// Account label of further accounts and of requests without one.
 const OTHER: &str = "other";
-/// How long a reader may take.
+/// Timeout of one scrape.
 const READ_LIMIT: Millis = Millis(2_000);
 
 /// The daemon's instruments.
@@ -52,7 +52,7 @@
 }
 
 impl EntryMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Counts an attempt's end.
+    /// Counts an attempt by its outcome.
     pub fn attempt(
         &self,
         outcome: Outcome,
@@ -115,7 +115,7 @@
         self.attempts.add(1, &[KeyValue::new("end", word)]);
     }
 
-    /// Counts an order's end.
+    /// Counts an order by its result.
     pub fn order(
         &self,
         end: OrderResult,
@@ -132,7 +132,7 @@
         self.orders.add(1, &[KeyValue::new("end", word)]);
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request by error kind and account.
     pub fn refused(
         &self,
         refusal: Refusal,
@@ -141,7 +141,7 @@
         self.refusals.count(refusal.kind, account.unwrap_or(OTHER));
     }
 
-    /// Records a request that was answered: how long it waited for an upstream, and for its first event.
+    /// Records an answered request with its queue wait and, for streams, the time to the first event.
     pub fn answered(
         &self,
         req: &ForwardRequest,
@@ -166,7 +166,7 @@
         self.requests.token_gap(&self.labels_of(req), gap.to_std());
     }
 
-    /// The page, with the gauges as they are now.
+    /// Updates the gauges and renders all metrics.
     fn page(
         &self,
         cx: &Context,
@@ -214,7 +214,7 @@
     }
 }
 
-/// Serves the page to whoever connects, for ever.
+/// Serves the Prometheus endpoint; never returns.
 pub async fn serve_metrics(
     cx: Rc<Context>,
     listener: TcpListener,
@@ -222,7 +222,7 @@
     accept_each(listener, |stream| {
         let cx = Rc::clone(&cx);
         spawn_local(async move {
-            // A reader that asks for nothing, or doesn't read, is given up.
+            // Clients that don't send a request or don't read the response are dropped.
             let _elapsed = timeout(READ_LIMIT.to_std(), answer(&cx, stream)).await;
         });
     })
--- a/crates/entry/src/store/feed/answer.rs
+++ b/crates/entry/src/store/feed/answer.rs
@@ -3,18 +3,18 @@
     jasmine_store::store::WatchEvent,
 };
 
-/// What a VM answers to one that asks for changes.
+/// A VM's reply to another VM's request for changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedAnswer {
-    /// These are all.
+    /// All changes up to a revision.
     Changes {
-        /// The store's revision up to which they go.
+        /// The store revision up to which the changes are complete.
         revision: u64,
-        /// How long ago the store came back after it had been away; none where that is long ago.
+        /// Time since the store last recovered from an outage; none if it didn't recently.
         since_back: Option<Millis>,
         /// The last change of each key.
         events: Vec<WatchEvent>,
     },
-    /// This VM can't say.
+    /// This VM doesn't know the changes.
     Unknown(SourceFailure),
 }
--- a/crates/entry/src/store/feed/convert.rs
+++ b/crates/entry/src/store/feed/convert.rs
@@ -1,4 +1,4 @@
-//! Changes as messages between VMs.
+//! Conversion of store changes to and from RPC messages between VMs.
 
 use {
     super::FeedAnswer,
@@ -10,10 +10,10 @@
     },
 };
 
-/// What stands for a return of the store that is long ago.
+/// Wire value of `since_back` if the store didn't recover recently, in milliseconds.
 const LONG_AGO: u32 = u32::MAX;
 
-/// Asks a VM for what has changed; it may wait for changes as long as `wait`.
+/// Requests the changes after a revision from a VM, which may hold the request for `wait`.
 ///
 /// # Errors
 ///
@@ -35,7 +35,7 @@
     .await
 }
 
-/// Writes the answer to [`ask_peer`].
+/// Writes the reply to [`ask_peer`].
 pub(crate) fn write_answer(
     mut to: scheduler::changes_results::Builder<'_>,
     answer: &FeedAnswer,
--- a/crates/entry/src/store/feed/mod.rs
+++ b/crates/entry/src/store/feed/mod.rs
@@ -1,4 +1,4 @@
-//! Changes of the store, handed from VM to VM.
+//! Relaying of store changes between VMs.
 
 mod answer;
 mod convert;
--- a/crates/entry/src/store/feed/served.rs
+++ b/crates/entry/src/store/feed/served.rs
@@ -13,44 +13,44 @@
     },
 };
 
-/// After which part of the time in which a change has to be in force, in percent, a store that hasn't answered counts
-/// as lost. Whoever follows this VM asks the store itself then, and has a change in force within the rest. Between two
-/// answers of a good store lie 57 % at the most: a pause of 32 and a held watch of 25.
+/// Time without a response after which the store counts as lost, in percent of the allowed propagation time.
+///
+/// Exceeds the watch pause plus the held watch, and leaves VMs that follow this one time to read the store themselves.
 const STALE_PERCENT: u64 = 70;
-/// For which part of that time, in percent, a VM that has lost the store counts as current: another VM of its data centre
-/// needs most of it until it reads the store in its place. An upstream that leaves meanwhile isn't used all the same, as
-/// each VM sees to that itself.
+/// How long a VM that has lost the store counts as current, in percent of the allowed propagation time.
+///
+/// Gives another VM of its data centre time to read the store in its place.
 const CURRENT_PERCENT: u64 = 150;
-/// For how long it is told that the store came back.
+/// How long a recovery of the store is reported to other VMs.
 const BACK_TOLD: Millis = Millis(10_000);
 
-/// What this VM knows of the store's latest changes, for itself and for those that follow it.
+/// The latest store changes, kept for this VM and served to those that follow it.
 #[derive(Debug)]
 pub struct Feed {
     clock: Clock,
     recent: RefCell<RecentChanges<WatchEvent>>,
-    /// Counts what those who wait here have to look at.
+    /// Wakes held requests when the feed's state changes.
     news: watch::Sender<u64>,
-    /// Whether this VM follows the store, and not another VM.
+    /// Whether this VM follows the store directly.
     is_reading: Cell<bool>,
-    /// Since when that holds.
+    /// When [`Self::is_reading`] last changed.
     reading_since: Cell<Millis>,
     has_stopped: Cell<bool>,
-    /// When the store last answered.
+    /// When the store last responded to this VM.
     answered_at: Cell<Millis>,
-    /// When this VM last had the store's word, by itself or through another VM.
+    /// When this VM last heard from the store, directly or through another VM.
     heard_at: Cell<Millis>,
-    /// Told when the store seems not to answer this VM.
+    /// Notified when a call to the store outside the watch fails.
     doubted: Notify,
-    /// When the store was back after it had been away.
+    /// When the store last recovered from an outage.
     back_at: Cell<Option<Millis>>,
     stale_after: Millis,
-    /// Within which time a change has to be in force.
+    /// Allowed propagation time of a change.
     in_force: Millis,
 }
 
 impl Feed {
-    /// A feed that knows nothing; `in_force` is how soon a change has to be in force.
+    /// Creates an empty feed; `in_force` is the allowed propagation time of a change.
     pub fn new(in_force: Millis) -> Self {
         Self {
             clock: Clock,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Notes that all was read at a revision.
+    /// Restarts the history after a full read at a revision.
     pub(crate) fn reset(
         &self,
         revision: u64,
@@ -76,7 +76,7 @@
         self.recent.borrow_mut().reset(revision);
     }
 
-    /// Notes a change; false where a later one of its key is known.
+    /// Records a change; returns false if a later one of its key is known.
     pub(crate) fn record_change(
         &self,
         event: &WatchEvent,
@@ -93,7 +93,7 @@
             .record_change(&kv.key, change, is_major, now)
     }
 
-    /// Whether a change of a key was noted lately.
+    /// Whether the recent history has a change of a key.
     pub(crate) fn has_changed_lately(
         &self,
         key: &str,
@@ -101,7 +101,7 @@
         self.recent.borrow().has(key)
     }
 
-    /// Notes that all changes up to a revision were noted.
+    /// Marks the history as complete up to a revision.
     pub(crate) fn advance(
         &self,
         revision: u64,
@@ -110,34 +110,34 @@
         self.news.send_modify(|count| *count += 1);
     }
 
-    /// Notes that the store has just answered.
+    /// Records that the store has just responded to this VM.
     pub(crate) fn answered(&self) {
         self.answered_at.set(self.clock.now());
         self.heard();
     }
 
-    /// Notes that this VM has just had the store's word, by itself or through another VM.
+    /// Records that this VM has just heard from the store, directly or through another VM.
     pub(crate) fn heard(&self) {
         self.heard_at.set(self.clock.now());
     }
 
-    /// Whether this VM knows the store's changes, by itself or through another VM, as those that follow others do.
+    /// Whether this VM has recently heard from the store, directly or through another VM.
     pub(crate) fn is_current(&self) -> bool {
         self.clock.now().since(self.heard_at.get())
             < Millis(self.in_force.0 * CURRENT_PERCENT / 100)
     }
 
-    /// Notes that a call to the store failed beside those that follow it.
+    /// Reports that a call to the store outside the watch failed.
     pub(crate) fn doubt_store(&self) {
         self.doubted.notify_one();
     }
 
-    /// Ends with the next such call.
+    /// Waits for the next report by [`Self::doubt_store`].
     pub(crate) async fn store_doubted(&self) {
         self.doubted.notified().await;
     }
 
-    /// Notes that the store has come back.
+    /// Records when the store recovered from an outage.
     pub(crate) fn came_back(
         &self,
         at: Millis,
@@ -145,12 +145,12 @@
         self.back_at.set(Some(at));
     }
 
-    /// Whether this VM follows the store, and not another VM.
+    /// Whether this VM follows the store directly.
     pub(crate) const fn is_reading(&self) -> bool {
         self.is_reading.get()
     }
 
-    /// Says whether this VM follows the store itself.
+    /// Sets whether this VM follows the store directly.
     pub(crate) fn set_reading(
         &self,
         is_reading: bool,
@@ -161,14 +161,13 @@
         }
     }
 
-    /// Serves nobody from now on.
+    /// Stops serving changes to other VMs.
     pub fn stop(&self) {
         self.has_stopped.set(true);
         self.news.send_modify(|count| *count += 1);
     }
 
-    /// Answers a VM that asks for what has changed since a revision; waits for the first change that isn't minor, or
-    /// for `wait`.
+    /// Returns the changes after a revision, waiting up to `wait` for the first one that isn't minor.
     pub async fn changes(
         &self,
         after: u64,
@@ -185,7 +184,7 @@
                 return answer;
             }
             let pause = until.min(stale_at).since(now).max(Millis(1));
-            // Whether it was news or the time that ended the pause, all is looked at again.
+            // The state is checked again after a change and after the timeout.
             let _either = timeout(pause.to_std(), news.changed()).await;
         }
     }
@@ -202,7 +201,7 @@
             return Some(FeedAnswer::Unknown(SourceFailure::NotReading));
         }
         if now >= stale_at {
-            // One that has just begun to read has no answer yet; that is no sign that it has lost the store.
+            // A VM that has just switched to the store has no response yet, which doesn't mean that the store is lost.
             let has_begun = now < self.reading_since.get() + self.stale_after;
             let why = if has_begun {
                 SourceFailure::NotReading
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -17,59 +17,59 @@
     tokio::time::sleep,
 };
 
-/// All keys: the operator's, the upstreams' and our own. One watch over all of them is one call.
+/// Prefix of all keys, so that one watch covers configuration, upstreams and VMs.
 const EVERYTHING: &str = "";
-/// The pause after a watch that brought something, in percent of the time in which a change has to be in force:
-/// changes come in bursts, each call has its price, and a slow store takes some hundred milliseconds besides.
+/// Pause after a watch that returned changes, in percent of the allowed propagation time: batches bursts of changes.
 const PAUSE_PERCENT: u64 = 32;
-/// The pauses after failed calls. Each call is counted, those that fail too, and an outage lasts for seconds.
+/// Bounds of the backoff after failed calls.
 const RETRY_FIRST: Millis = Millis(150);
 const RETRY_MOST: Millis = Millis(600);
-/// How long another VM may take to answer beyond the time for which it holds a question.
+/// Options of the links to other VMs; the call timeout is on top of the long-poll timeout.
 const PEER_LINK: LinkOptions = LinkOptions {
     connect_timeout: Millis(300),
     call_timeout: Millis(350),
-    // A question is held for less than this, so that it is itself the sign of life.
+    // Longer than a long poll, which itself shows that the VM is alive.
     heartbeat: Millis(5_000),
     backoff_first: Millis(30),
     backoff_most: Millis(200),
 };
-/// For how long another VM holds a question. One that is frozen is noticed after this and the time of the call.
+/// Long-poll timeout at another VM. A suspended VM is detected after this plus the call timeout.
 const HELD: Millis = Millis(300);
-/// How long a leader that has lost the store waits until it looks again for a VM that reads it.
+/// Pause before a leader that has lost the store looks again for a VM that reads it.
 const READERS_PAUSE: Millis = Millis(60);
-/// How often some small changes are asked for besides: what engines hold, for the case that this VM has to decide alone.
+/// How often minor changes (what engines hold) are requested too, in case this VM has to schedule on its own.
 const MINOR_EVERY: Millis = Millis(3_000);
 
-/// How far apart VMs read the upstreams that they don't need at once. After a power loss hundreds of them start together,
-/// and thousands of entries for each fill the store's network for seconds, while nobody can be elected.
+/// Delay between successive VMs' reads of upstreams that they don't need at once.
+///
+/// Prevents hundreds of VMs that start together from saturating the store and delaying the election.
 const READ_EACH: Millis = Millis(40);
-/// How long nobody leads until VMs begin to read the upstreams that aren't among the first to lead.
+/// Time without a leader after which VMs that aren't candidates read all upstreams too.
 const LEADERLESS: Millis = Millis(800);
-/// Small changes that were left out and are read after all by a VM that begins to read the store itself.
+/// Most revisions of skipped minor changes that are read when this VM switches to the store.
 const MAX_CAUGHT_UP: u64 = 1_000;
 
 type PeerLink = Link<scheduler::Client>;
 
-/// What a step of following has come to.
+/// What follows a step of following the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     GoOn,
-    /// What comes next is gone: all has to be read anew.
+    /// The store has compacted the next revision: everything has to be read again.
     ReadAnew,
 }
 
-/// How far this VM has followed.
+/// The revisions up to which this VM has applied changes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Position {
     after: u64,
-    /// The same for small changes.
+    /// The same for minor changes.
     minor_after: u64,
     minor_at: Millis,
 }
 
 impl Position {
-    /// The first change to read of the store itself: what engines hold too, unless too much of that was left out.
+    /// The first revision to read from the store: includes skipped minor changes unless there are too many.
     const fn read_from(self) -> u64 {
         if self.after - self.minor_after <= MAX_CAUGHT_UP {
             self.minor_after + 1
@@ -89,20 +89,20 @@
     backoff: Backoff,
     links: HashMap<VmRank, PeerLink>,
     position: Position,
-    /// What of the store is still to be read.
+    /// The upstreams that are still to be read.
     unread: Option<Unread>,
 }
 
-/// Upstreams' entries that this VM hasn't read yet.
+/// Upstream entries that this VM hasn't read yet.
 #[derive(Debug)]
 struct Unread {
     /// The last key that was read.
     after: String,
-    /// When they are read though nobody here needs them.
+    /// When they are read even if this VM doesn't need them.
     due: Millis,
 }
 
-/// Follows the store for ever, by itself or through another VM: configuration, versions, upstreams, VMs and leader.
+/// Follows all changes of the store, directly or through another VM; never returns.
 pub async fn follow(
     cx: Rc<Context>,
     store: KvStore,
@@ -131,7 +131,7 @@
 }
 
 impl Follower {
-    /// Reads the store up to the first upstreams, and how far this VM has followed from then on.
+    /// Reads the store up to the first page with upstreams, and sets the position to that revision.
     async fn read_anew(&mut self) -> Result<(), StoreError> {
         let mut reply = self.store.page(EVERYTHING, None).await?;
         while reply.more && !has_upstreams(&reply) {
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// Reads the upstreams that were left out, if this VM needs them by now.
+    /// Reads the remaining upstreams if this VM needs them or their time has come.
     async fn read_rest(&mut self) -> Result<(), StoreError> {
         while let Some(Unread { after, due }) = &self.unread
             && (self.needs_upstreams() || self.cx.clock.now() >= *due)
@@ -166,8 +166,7 @@
         Ok(())
     }
 
-    /// Whether this VM may have to decide about all upstreams before long: it reads the store for others, or nobody leads
-    /// and it is among the first to take the lead, or nobody else has for a while.
+    /// Whether this VM may soon need all upstreams: it reads the store for others, leads, or may be elected.
     fn needs_upstreams(&self) -> bool {
         let scheduling = &self.cx.scheduling;
         let alone = scheduling.standalone_for();
@@ -177,15 +176,14 @@
             || alone >= Some(LEADERLESS + self.membership.share_of(READ_EACH))
     }
 
-    /// Follows until the store no longer has what comes next.
+    /// Follows changes until the store has compacted the next one.
     async fn follow(&mut self) {
         loop {
             let mut peers = self.membership.peers_here();
             let now = self.cx.clock.now();
             let leads = self.cx.scheduling.is_leading();
             let source = if leads {
-                // Readers elsewhere have changes now, while those here may have followed this VM; that is worth some bytes
-                // between data centres.
+                // Local VMs may have followed this one, while readers in other data centres have the changes already.
                 let elsewhere = self.membership.readers_elsewhere();
                 let order = elsewhere.keys().chain(peers.keys());
                 let source = self.choice.choose_for_scheduler(order.copied(), now);
@@ -199,7 +197,7 @@
                 self.store_failed(&e).await;
             }
             let Some(source) = source else {
-                // Those that followed this VM until now need a moment to read the store themselves.
+                // VMs that followed this one need a moment to start reading the store themselves.
                 sleep(READERS_PAUSE.to_std()).await;
                 continue;
             };
@@ -217,7 +215,7 @@
         let next = self.position.read_from();
         let batch = tokio::select! {
             batch = self.next_batch(next) => batch,
-            // A connection that has fallen silent is noticed there first.
+            // A lease renewal detects a dead connection before the watch does.
             () = self.feed.store_doubted() => {
                 Err(StoreError::OutcomeUnknown("a renewal has failed".to_owned()))
             }
@@ -340,7 +338,7 @@
         self.feed.advance(self.position.after);
     }
 
-    /// The link to a VM; another one where its address has changed.
+    /// Returns the link to a VM, replaced if its address has changed.
     fn link(
         &mut self,
         rank: VmRank,
@@ -359,7 +357,7 @@
     }
 }
 
-/// Up to where an answer tells of minor changes: it leaves out later ones where there are many.
+/// The revision up to which a reply has all minor changes: later ones are cut off at the limit.
 fn minor_position(
     revision: u64,
     events: &[WatchEvent],
@@ -372,7 +370,7 @@
     }
 }
 
-/// Whether a reply has come as far as the upstreams, the last of all keys that VMs follow.
+/// Whether a reply reaches the upstreams, the last keys in order that VMs follow.
 fn has_upstreams(reply: &RangeReply) -> bool {
     let last = reply.kvs.last();
     last.is_some_and(|kv| kv.key.as_str() >= entries::PREFIX)
--- a/crates/entry/src/store/kv_store.rs
+++ b/crates/entry/src/store/kv_store.rs
@@ -13,10 +13,10 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// How long a call may take beyond the time that it asks the service to hold it. The service answers in a few
-/// milliseconds; when it is slow, in some hundred.
+/// Timeout of a call, on top of the time for which it asks the service to hold it.
 const CALL_TIMEOUT: Millis = Millis(900);
-/// The key-value service.
+
+/// Client of the key-value service.
 #[derive(Clone, Debug)]
 pub struct KvStore {
     inner: Rc<Inner>,
@@ -25,15 +25,15 @@
 #[derive(Debug)]
 struct Inner {
     address: SocketAddr,
-    /// How long a watch is held. A connection may go silent without a word; a watch that is answered this often
-    /// tells a silent one apart before a change is overdue.
+    /// Long-poll timeout of a watch; bounds the time until a dead connection is detected.
     watch_held: Millis,
     pool: Pool,
 }
 
 impl KvStore {
-    /// A client of the service at `address`, which connects when first used and asks for watches to be held for
-    /// `watch_held`.
+    /// Creates a client of the service at `address` that connects on first use.
+    ///
+    /// The service is asked to hold watches for `watch_held`.
     pub fn new(
         address: SocketAddr,
         watch_held: Millis,
@@ -48,13 +48,14 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have exceeded their idle timeout.
     pub fn sweep(&self) {
         self.inner.pool.sweep();
     }
 
-    /// Renews a lease, and gives up after `limit`: the renewal counts from its arrival, whether or not its answer
-    /// comes back.
+    /// Renews a lease with the timeout `limit`; returns none if it has expired.
+    ///
+    /// A renewal may take effect even if its response is lost.
     ///
     /// # Errors
     ///
@@ -68,7 +69,7 @@
         decode_keep(id, status, &body)
     }
 
-    /// Reads the first keys of a prefix that follow a key, as many as the service gives at a time.
+    /// Reads one page of a prefix's keys, starting behind the key `after`.
     ///
     /// # Errors
     ///
@@ -89,7 +90,7 @@
         self.call_within(call, CALL_TIMEOUT).await
     }
 
-    /// Makes a call that may take `limit` beyond the time for which it asks to be held.
+    /// Makes a call with the timeout `limit`, on top of the time for which it asks to be held.
     async fn call_within(
         &self,
         call: &Call,
@@ -118,7 +119,7 @@
         loop {
             let after = all.kvs.last().map(|kv| kv.key.clone());
             let page = self.page(prefix, after.as_deref()).await?;
-            // Pages are no snapshot: whoever follows the range has to go on from the first one's revision.
+            // Pages are not a snapshot, so a watch has to start from the first page's revision.
             if after.is_none() {
                 all.revision = page.revision;
             }
@@ -132,8 +133,9 @@
 }
 
 impl Store for KvStore {
-    /// Reads the keys that begin with the range's start; its end and limit are not looked at, as the service
-    /// reads prefixes only.
+    /// Reads the keys whose prefix is the range's start.
+    ///
+    /// The range's end and limit are ignored, as the service reads prefixes only.
     fn range(
         &self,
         range: Range,
@@ -182,7 +184,7 @@
         })
     }
 
-    /// Follows a prefix; each message that is asked for is one call.
+    /// Watches a prefix; each batch is one long-poll call.
     fn watch(
         &self,
         range: Range,
--- a/crates/entry/src/store/lead.rs
+++ b/crates/entry/src/store/lead.rs
@@ -1,4 +1,4 @@
-//! The lead: whether it is free, taking it, and keeping it.
+//! Leader election through the store: campaigning, renewing the lease, resigning.
 
 use {
     super::{
@@ -15,28 +15,28 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long the lead lasts without a renewal, and by that how long callers are without a scheduler when the one that
-/// leads freezes. Until then each VM decides alone, and refuses what is beyond its small part of an account's rate.
+/// Time to live of the leader's lease; bounds the time without a scheduler after the leader is suspended.
 const LEASE: Millis = Millis(1_200);
-/// How often it is renewed.
+/// How often the leader's lease is renewed.
 const RENEW_EVERY: Millis = Millis(300);
-/// How long a renewal may take before the next one goes out: one may be lost and a second one too.
+/// Timeout of a renewal, short enough for two of them to fail before the lease expires.
 const RENEWAL: Millis = Millis(350);
-/// How much earlier the lead counts as over for orders to engines that don't check who gives them: the time that an order
-/// needs to arrive, and what the clocks of VM and store differ by in a lease.
+/// How long before its expiry the lease stops being valid for orders to engines that don't check fencing tokens.
+///
+/// Covers the transit time of an order and the clock drift between VM and store.
 const MARGIN: Millis = Millis(200);
-/// How often it is looked otherwise whether the lead is free.
+/// How often a VM checks whether it may campaign, without a notification.
 const LOOK_EVERY: Millis = Millis(400);
-/// How often the VM whose turn is next asks the store whether the key of a leader that has fallen silent is still there:
-/// the change itself arrives up to a second later, as changes are gathered.
+/// How often the first candidates read the key of an unresponsive leader, which is faster than batched changes.
 const ASK_EVERY: Millis = Millis(150);
-/// How much later each further VM begins to ask, and how many do at the most.
+/// Delay between successive candidates' first reads of the key.
 const ASK_TURN: Millis = Millis(700);
+/// Candidates that read the key.
 const ASKERS: usize = 3;
-/// After this long it is this VM's own way that is broken, and not the leader.
+/// Silence after which this VM's own connection to the leader is presumed broken.
 const ASK_FOR: Millis = Millis(4_000);
 
-/// Stands for the lead when nobody has it, and keeps it; for ever.
+/// Campaigns when there is no leader and renews the lease while this VM leads; never returns.
 pub async fn keep_lead(
     cx: Rc<Context>,
     store: KvStore,
@@ -69,12 +69,12 @@
     membership: Rc<Membership>,
     feed: Rc<Feed>,
     relay: Relay,
-    /// Whether the last renewal of this VM's own got no answer.
+    /// Whether the last direct renewal failed.
     is_cut_off: Cell<bool>,
 }
 
 impl Lead {
-    /// Waits until the lead may be free.
+    /// Waits until there may be no leader.
     async fn wait(&self) {
         if self.asks_now() {
             sleep(ASK_EVERY.to_std()).await;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether the leader has fallen silent and it is this VM's turn to ask the store about it.
+    /// Whether the leader is unresponsive and it is this VM's turn to read its key.
     fn asks_now(&self) -> bool {
         let Some(silent) = self.cx.scheduling.leader_silent_for() else {
             return false;
@@ -99,6 +99,7 @@
             && silent < ASK_FOR
     }
 
+    /// Reads the leader key.
     async fn ask(&self) {
         match self.store.range(Range::key(LEADER_KEY)).await {
             Ok(reply) => match reply.kvs.first() {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Renews the lease until it has ended or another VM leads.
+    /// Renews the lease until it has expired or another VM leads.
     async fn keep(
         &self,
         lease: Lease,
@@ -130,10 +131,9 @@
         self.give_back(lease).await;
     }
 
-    /// Renews the lease by this VM's own way to the store and, where that fails, through another VM.
+    /// Renews the lease directly and, if that fails, through another VM.
     ///
-    /// Without this a scheduler that alone has lost the store stopped ordering until another one was elected and engines
-    /// had rested: more than five seconds without a load, while all VMs still reached it.
+    /// Keeps a leader that alone has lost the store from being replaced.
     async fn renew(
         &self,
         id: LeaseId,
@@ -175,7 +175,7 @@
         lease
     }
 
-    /// The lease runs from a call's arrival, which is after it was sent.
+    /// Extends the lease's validity, counted from when the call was `sent`, before the store received it.
     fn lasts_from(
         &self,
         sent: Millis,
@@ -185,7 +185,7 @@
         self.cx.scheduling.set_lease_valid_until(sent + surely);
     }
 
-    /// The lease of a lead that another VM has taken over keeps nothing alive; it ends by itself where this fails.
+    /// Revokes a lease that is no longer needed; it expires by itself if this fails.
     async fn give_back(
         &self,
         lease: Lease,
@@ -196,15 +196,14 @@
         }
     }
 
-    /// Whether this VM has just started and learns from the others that one of them has led until now.
+    /// Whether this VM is new and other VMs know a leader.
     ///
-    /// The key of a leader that stops is gone when a VM starts in that moment. It would be the first to stand, though
-    /// the others know what the leader has handed on and what engines hold.
+    /// Prevents a VM that starts during a planned leader change from being elected without the handed-over state.
     async fn is_newcomer(&self) -> bool {
         self.membership.knows_no_leader(&self.cx) && self.cx.scheduling.ask_for_leader().await
     }
 
-    /// Tries to become the leader.
+    /// Campaigns once, and waits if the store fails.
     async fn stand(&self) {
         match self.try_stand().await {
             Ok(()) => {}
@@ -228,7 +227,7 @@
             Some(revision) => Compare::ModRevision(key, revision),
             None => Compare::Absent(key),
         };
-        // Claimed only where the store agrees: another VM may have led since this one has heard of it.
+        // Another VM may have led since this one read the key, so the transaction compares its revision.
         let last = self.membership.last_was_me();
         let claim = last.map(|revision| Compare::ModRevision(LAST_KEY.to_owned(), revision));
         let me = self.membership.me();
@@ -243,8 +242,8 @@
         let reply = match self.store.txn(txn).await {
             Ok(reply) => reply,
             Err(e) => {
-                // Where the answer was lost, the key itself tells, by this lease. Where the lease has ended, another
-                // one is needed.
+                // If the response was lost, the lease of the leader key shows the outcome. If the lease has
+                // expired, a new one is needed.
                 if e.is_not_done() {
                     self.membership.lead_lease.set(None);
                 }
--- a/crates/entry/src/store/member_lease.rs
+++ b/crates/entry/src/store/member_lease.rs
@@ -1,4 +1,4 @@
-//! This VM's entry in the store, and its lease.
+//! Registration of this VM in the store, bound to a lease.
 
 use {
     super::{KvStore, Membership, membership::VM_PREFIX},
@@ -11,16 +11,15 @@
     tokio::time::sleep,
 };
 
-/// How long a VM's lease lasts. Its entry only tells where it listens; who relies on a VM that is gone notices by its
-/// silence. Renewals of eighty VMs twice in a lease of 1.6 s were a third of what the store was asked.
+/// Time to live of a VM's lease. Long to limit store load: failed VMs are detected by their silence, not by this.
 const LEASE: Millis = Millis(6_000);
-/// How often it is renewed: two may be lost.
+/// How often the lease is renewed; two renewals may fail before it expires.
 const RENEW_EVERY: Millis = Millis(1_800);
-/// The pause after a failed call, and after more of them.
+/// Bounds of the backoff after failed calls.
 const RETRY_FIRST: Millis = Millis(200);
 const RETRY_MOST: Millis = Millis(800);
 
-/// Keeps this VM's entry in the store, for ever.
+/// Keeps this VM registered in the store; never returns.
 pub async fn keep_membership(
     cx: Rc<Context>,
     store: KvStore,
@@ -41,16 +40,16 @@
     }
 }
 
-/// Ends this VM's leases, and with them its entry and its lead.
+/// Revokes this VM's leases, which removes its record and ends its leadership.
 ///
 /// # Errors
 ///
-/// Whatever the store says; the leases then end by themselves.
+/// Any error of the store; the leases then expire by themselves.
 pub async fn leave(
     store: &KvStore,
     membership: &Membership,
 ) -> Result<(), StoreError> {
-    // The lead first: another VM waits for it.
+    // The leader's lease first, so that another VM can be elected.
     let leases = [membership.lead_lease.take(), membership.lease.take()];
     for lease in leases.into_iter().flatten() {
         store.revoke(lease.id).await?;
@@ -80,7 +79,7 @@
     Ok(lease)
 }
 
-/// Renews the lease until it has ended.
+/// Renews the lease until it has expired.
 async fn stay(
     store: &KvStore,
     membership: &Membership,
--- a/crates/entry/src/store/membership.rs
+++ b/crates/entry/src/store/membership.rs
@@ -14,61 +14,62 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Each VM's entry under its name, on a lease. Written by that VM.
+/// Prefix of the VM records, one per VM and bound to its lease. Written by that VM.
 pub const VM_PREFIX: &str = "jasmine/vm/";
-/// The VM that schedules, on a lease of its own. Created by whoever is elected; the revision is its fencing token.
+/// Key of the current leader, bound to the leader's lease. Its modification revision is the fencing token.
 pub const LEADER_KEY: &str = "jasmine/scheduler";
 
-/// The VM that scheduled last, under its name; outlives its lease, and is written with each election.
+/// Key of the last elected leader. Written with each election and not bound to a lease.
 pub const LAST_KEY: &str = "jasmine/last-scheduler";
 
-/// VMs that may take the lead try one after the other, so that the first succeeds and the others don't call.
+/// Delay between the candidacies of successive VMs, so that usually only the first one calls the store.
 const TURN: Millis = Millis(80);
-/// What a VM that still reaches the leader leaves it to come back by itself: its lease lapsed in an outage.
+/// Extra delay on VMs that still reach the leader, which may regain a lease that expired during a store outage.
 const INCUMBENT: Millis = Millis(1_500);
-/// A VM that started less than this ago leaves the lead to others, for so long.
+/// A VM that has run for less than this counts as new.
 const NEW: Millis = Millis(10_000);
+/// Extra election delay on a new VM, which knows less about the state of the engines.
 const NEWCOMER: Millis = Millis(600);
-/// What a VM that has just started leaves one that scheduled last, where that one isn't itself: after all have lost power
-/// it may order engines at once, while another one has to let them rest.
+/// Extra delay after a full restart on VMs that didn't lead last: the last leader may order engines without the order
+/// gap.
 const LAST_FIRST: Millis = Millis(350);
-/// At a first start all VMs enter within this time, and the one that leads is chosen among all of them.
+/// No election before this on the first start of the deployment, so that all VMs can register first.
 const GATHERING: Millis = Millis(1_000);
-/// A first start of the deployment is over after this long: rates may have been used by then.
+/// Age of a VM after which accounts' rates may have been used, also on the first start of the deployment.
 const FIRST_START: Millis = Millis(9_000);
 
-/// VMs that get ready to lead when nobody does.
+/// VMs that load all upstreams while there is no leader, to be ready for election.
 const CANDIDATES: usize = 4;
 
-/// VMs of another data centre that are asked for changes, where this one's don't have them.
+/// VMs per remote data centre that are asked for changes when no local VM has them.
 const READERS: usize = 2;
 
-/// What this VM knows of the others, from the store.
+/// The VM records and election state of the store, as this VM knows them.
 #[derive(Debug)]
 pub struct Membership {
     me: VmRecord,
     clock: Clock,
     started: Millis,
-    /// Whether the store has been read since the start.
+    /// Whether the store has been read completely since the start.
     is_loaded: Cell<bool>,
-    /// Whether the store has a leader's key.
+    /// Whether the leader key exists in the store.
     has_leader: Cell<bool>,
-    /// The revision of a leader's key that an earlier run on this VM wrote.
+    /// Revision of the leader key, if an earlier run on this VM wrote it.
     predecessor: Cell<Option<u64>>,
     absent_since: Cell<Millis>,
-    /// The VM that scheduled last, with the revision of that entry.
+    /// The last leader's identity and the revision of [`LAST_KEY`].
     last: RefCell<Option<(String, u64)>>,
     vms: RefCell<BTreeMap<String, VmRecord>>,
-    /// Told when the lead may have become free.
+    /// Notified when there may be no leader any more.
     pub(super) changed: Notify,
-    /// The lease of this VM's entry.
+    /// The lease of this VM's record.
     pub(super) lease: Cell<Option<Lease>>,
-    /// The lease of the leader's key, while this VM leads or stands for it.
+    /// The lease of the leader key, while this VM leads or campaigns.
     pub(super) lead_lease: Cell<Option<Lease>>,
 }
 
 impl Membership {
-    /// The membership of the VM `me`.
+    /// Creates the membership of the VM `me`, with no other VM known.
     pub fn new(me: VmRecord) -> Self {
         Self {
             me,
@@ -86,13 +87,13 @@
         }
     }
 
-    /// The store has been read: what it didn't hold doesn't exist.
+    /// Marks the store as read completely: keys that weren't found don't exist.
     pub(super) fn set_loaded(&self) {
         self.is_loaded.set(true);
         self.changed.notify_one();
     }
 
-    /// Takes a VM's entry; [`Self::publish_vms`] puts it into use.
+    /// Stores a VM's record; [`Self::publish_vms`] passes it to the scheduler.
     pub(super) fn set_vm(
         &self,
         kv: &KeyValue,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Tells whoever decides which VMs there are.
+    /// Passes the known VMs to the scheduler.
     pub(super) fn publish_vms(
         &self,
         cx: &Context,
@@ -113,7 +114,7 @@
         cx.scheduling.set_vms(self.addresses());
     }
 
-    /// Forgets a VM whose entry is gone.
+    /// Removes a VM whose record was deleted.
     pub(super) fn remove_vm(
         &self,
         cx: &Context,
@@ -123,7 +124,7 @@
         self.publish_vms(cx);
     }
 
-    /// Keeps those VMs only that the store was seen to hold.
+    /// Removes all VMs but those in `names`.
     pub(super) fn retain_vms(
         &self,
         cx: &Context,
@@ -135,7 +136,7 @@
         self.publish_vms(cx);
     }
 
-    /// Takes the leader's key.
+    /// Applies a value of the leader key.
     pub(super) fn set_leader(
         &self,
         cx: &Context,
@@ -146,7 +147,7 @@
             Err(e) => return unreadable(kv, &e),
         };
         self.has_leader.set(true);
-        // Its port was free for this run, so the run that wrote it is over: nobody has to wait for its lease.
+        // This run could bind the port, so the earlier run has ended and its lease need not expire first.
         let is_predecessor = record.machine() == self.me.machine() && record != self.me;
         self.predecessor
             .set(is_predecessor.then_some(kv.mod_revision));
@@ -155,7 +156,7 @@
             return;
         }
         let fence = Fence(kv.mod_revision);
-        // An old value of the key can still be on its way when another VM has said that it leads.
+        // A newer leader's announcement may arrive before older values of the key.
         let is_newest = cx
             .scheduling
             .leader()
@@ -163,7 +164,7 @@
         let is_mine = is_newest && record == self.me && !cx.scheduling.is_leading();
         let lease = self.lead_lease.get().map(|lease| lease.id);
         if is_mine && lease == Some(LeaseId(kv.lease)) {
-            // The answer to the call that wrote it was lost.
+            // The transaction that wrote it succeeded, but its response was lost.
             return self.take_lead(cx, fence, false);
         }
         cx.scheduling.observe_leader(Leader {
@@ -174,7 +175,7 @@
         });
     }
 
-    /// Takes the entry of the VM that scheduled last.
+    /// Applies a value of [`LAST_KEY`].
     pub(super) fn set_last(
         &self,
         kv: &KeyValue,
@@ -190,17 +191,17 @@
         }
     }
 
-    /// The revision of that entry, where it says that an earlier run on this VM scheduled last.
+    /// Returns the revision of [`LAST_KEY`] if an earlier run on this VM was the last leader.
     pub(super) fn last_was_me(&self) -> Option<u64> {
         let last = self.last.borrow();
         let (machine, revision) = last.as_ref()?;
         (*machine == self.me.machine()).then_some(*revision)
     }
 
-    /// The leader's key is gone.
+    /// Records that the leader key doesn't exist.
     pub(super) fn remove_leader(&self) {
         self.predecessor.set(None);
-        // Counted from when this VM first looked: all that start together would try to lead at once.
+        // Counted from this VM's first read, so that VMs that start together don't all campaign at once.
         let is_first_look = self.absent_since.get() == Millis::ZERO;
         if self.has_leader.replace(false) || is_first_look {
             self.absent_since.set(self.clock.now());
@@ -208,7 +209,7 @@
         }
     }
 
-    /// This VM leads from now on. `claims_last` says that the election proved that an earlier run on it led last.
+    /// Makes this VM the leader. `claims_last` is set if the election proved that an earlier run on it led last.
     pub(super) fn take_lead(
         &self,
         cx: &Context,
@@ -218,7 +219,7 @@
         self.has_leader.set(true);
         let continues_own = self.predecessor.take().is_some() || claims_last;
         let age = self.clock.now().since(self.started);
-        // Where another VM has led already, it has let requests through and given orders.
+        // An earlier leader may have used up rates and ordered engines.
         let is_first = cx.scheduling.leader().is_none() && self.last.borrow().is_none();
         let share = if cx.settings.first_start && age < FIRST_START && is_first {
             RateShare::Fresh
@@ -236,12 +237,12 @@
         &self.me
     }
 
-    /// This VM's place in the order that all agree on.
+    /// This VM's rank, the same on all VMs.
     pub fn rank(&self) -> VmRank {
         self.me.rank()
     }
 
-    /// The other VMs of this data centre, in that order.
+    /// The other VMs of this data centre, by rank.
     pub(super) fn peers_here(&self) -> BTreeMap<VmRank, VmEntry> {
         let vms = self.vms.borrow();
         let is_here = |vm: &&VmRecord| vm.data_centre == self.me.data_centre && vm.vm != self.me.vm;
@@ -255,7 +256,7 @@
             .collect()
     }
 
-    /// The VMs of other data centres that read the store for the others there, or would be next to do so.
+    /// The VMs of other data centres that read the store for their data centre, or are next in rank.
     pub(super) fn readers_elsewhere(&self) -> BTreeMap<VmRank, VmEntry> {
         let vms = self.vms.borrow();
         let mut by_place: BTreeMap<&str, BTreeMap<VmRank, VmEntry>> = BTreeMap::new();
@@ -283,8 +284,9 @@
             .collect()
     }
 
-    /// How many VMs may take the lead before this one: those with more processor, as scheduling for 140 engines and 850
-    /// requests a second takes a quarter of a core, and among equals each time another one first.
+    /// Counts the VMs that come before this one in an election.
+    ///
+    /// VMs with more processor come first; ties are broken by a hash that changes with each election.
     pub(super) fn before_me(
         &self,
         cx: &Context,
@@ -304,7 +306,7 @@
             .count()
     }
 
-    /// Whether this VM is among the first to take a free lead, or led before it started.
+    /// Whether this VM is among the first candidates, or led before it restarted.
     pub(super) fn is_candidate(
         &self,
         cx: &Context,
@@ -314,7 +316,7 @@
             || self.before_me(cx) < CANDIDATES
     }
 
-    /// This VM's turn where each VM does something `each` after the other, in an order of chance.
+    /// This VM's delay if all VMs act one after the other, `each` apart, in hash order.
     pub(super) fn share_of(
         &self,
         each: Millis,
@@ -323,7 +325,7 @@
         Millis(xxh3_64(self.me.vm.as_bytes()) % (vms * each.0))
     }
 
-    /// How long this VM waits before it tries to take a lead that is free.
+    /// How long this VM waits before it campaigns when there is no leader.
     pub(super) fn turn(
         &self,
         cx: &Context,
@@ -335,7 +337,6 @@
         } else {
             Millis::ZERO
         };
-        // One that has just started knows less of what engines have at hand.
         let is_new = self.clock.now().since(self.started) < NEW && !self.vms.borrow().is_empty();
         let newcomer = if is_new && leader.is_some() {
             NEWCOMER
@@ -350,7 +351,7 @@
         }
     }
 
-    /// Whether this VM has just started among others, none of which led before it as far as it knows.
+    /// Whether this VM is new, wasn't the last leader and knows no leader.
     pub(super) fn knows_no_leader(
         &self,
         cx: &Context,
@@ -360,17 +361,17 @@
         is_new && !led_last && cx.scheduling.leader().is_none()
     }
 
-    /// Whether the store has the key of a leader on another VM, or of this run.
+    /// Whether the store has a leader key that wasn't written by an earlier run on this VM.
     pub(super) fn has_other_leader(&self) -> bool {
         self.has_leader.get() && self.predecessor.get().is_none()
     }
 
-    /// The revision of a leader's key that an earlier run on this VM wrote.
+    /// Revision of the leader key, if an earlier run on this VM wrote it.
     pub(super) const fn predecessor(&self) -> Option<u64> {
         self.predecessor.get()
     }
 
-    /// Whether this VM may take the lead now.
+    /// Whether this VM may campaign now.
     pub(super) fn may_stand(
         &self,
         cx: &Context,
--- a/crates/entry/src/store/mod.rs
+++ b/crates/entry/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: its client, what is followed there, and what this VM keeps there.
+//! The platform's key-value service: client, replication of its content, registration and leader election.
 
 mod feed;
 mod follower;
--- a/crates/entry/src/store/relay.rs
+++ b/crates/entry/src/store/relay.rs
@@ -14,7 +14,7 @@
     },
 };
 
-/// How long another VM may take, its own call to the store included.
+/// Options of the links to other VMs; the call timeout includes their own call to the store.
 const LINK: LinkOptions = LinkOptions {
     connect_timeout: Millis(100),
     call_timeout: Millis(300),
@@ -22,15 +22,15 @@
     backoff_first: Millis(30),
     backoff_most: Millis(200),
 };
-/// VMs that are asked for one renewal, one after the other.
+/// VMs tried in turn for one renewal.
 const TRIED: usize = 2;
 
-/// The way to the store through other VMs, for a VM that alone doesn't reach it.
+/// Renews leases through other VMs while this VM can't reach the store.
 pub(super) struct Relay {
     cx: Rc<Context>,
-    /// The VM that has passed on the last renewal.
+    /// The link to the VM that forwarded the last renewal.
     link: RefCell<Option<Rc<Link<scheduler::Client>>>>,
-    /// Counts the VMs that were asked, so that each time others are.
+    /// VMs asked so far, for round-robin selection.
     asked: Cell<usize>,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Has a lease renewed by another VM; none where it has ended.
+    /// Renews a lease through another VM; returns none if it has expired.
     pub(super) async fn renew(
         &self,
         id: LeaseId,
@@ -67,7 +67,7 @@
             }
         }
         Err(StoreError::Unreachable(
-            "no VM has passed on the renewal".to_owned(),
+            "no other VM could forward the renewal".to_owned(),
         ))
     }
 
@@ -106,7 +106,7 @@
         Ok((RenewalState::Renewed, ttl)) => Ok(Some(Lease { id, ttl })),
         Ok((RenewalState::Ended, _)) => Ok(None),
         Ok((RenewalState::Unknown, _)) => Err(StoreError::OutcomeUnknown(
-            "the store didn't answer the other VM".to_owned(),
+            "the store didn't respond to the forwarding VM".to_owned(),
         )),
         Err(e) => Err(StoreError::OutcomeUnknown(e.to_string())),
     }
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -19,26 +19,25 @@
     },
 };
 
-/// For how long after the store is back an upstream whose entry has lapsed is still used: those that live have
-/// written again by then.
+/// How long after a store outage an upstream with an expired entry stays in use, so that it can register again.
 const REJOIN: Millis = Millis(2_300);
 
-/// Changes that are taken in one go: a thousand of them would keep requests waiting for some ten milliseconds.
+/// Most changes applied before yielding to other tasks.
 const TAKEN_AT_ONCE: usize = 32;
 
-/// What was read of the store, and what it is for.
+/// Applies the store's content to configuration, scheduler and membership.
 #[derive(Debug)]
 pub(super) struct View {
     cx: Rc<Context>,
     membership: Rc<Membership>,
     feed: Rc<Feed>,
     upstreams: RefCell<HashMap<String, UpstreamEntry>>,
-    /// Entries that went while the store was away, and when they do count as gone.
+    /// Upstreams whose entries expired in a store outage, and when they are removed.
     lapsed: RefCell<HashMap<String, Millis>>,
-    /// When the store answered again after it had not.
+    /// When the store last recovered from an outage.
     back_at: Cell<Millis>,
     is_away: Cell<bool>,
-    /// The upstreams that were found so far, while the store is being read.
+    /// The upstreams found so far, while the store is being read.
     found: RefCell<HashSet<String>>,
 }
 
@@ -60,7 +59,7 @@
         }
     }
 
-    /// The store doesn't answer.
+    /// Records that the store doesn't respond.
     pub(super) fn note_away(
         &self,
         e: &StoreError,
@@ -70,7 +69,7 @@
         }
     }
 
-    /// The store has answered.
+    /// Records that the store has responded.
     pub(super) fn note_back(&self) {
         self.feed.answered();
         if self.is_away.replace(false) {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// The VM that this one follows has seen the store come back.
+    /// Records a recovery of the store that the followed VM has seen, `since` ago.
     pub(super) fn note_back_elsewhere(
         &self,
         since: Millis,
@@ -98,7 +97,7 @@
         self.feed.came_back(at);
     }
 
-    /// Takes the whole content in place of what was known.
+    /// Replaces what was known by the content of the store.
     pub(super) async fn reset(
         self: &Rc<Self>,
         reply: &RangeReply,
@@ -124,7 +123,7 @@
         self.note_found(reply);
     }
 
-    /// Takes further upstreams that were found in the store, unless later changes of them are known.
+    /// Applies a further page of upstreams, except those with later changes known.
     pub(super) async fn take_found(
         self: &Rc<Self>,
         page: &RangeReply,
@@ -140,7 +139,7 @@
         self.note_found(page);
     }
 
-    /// Notes the upstreams that were found; with the last of them, those that weren't are known to be gone.
+    /// Records the upstreams of a page; after the last page, removes those that weren't found.
     fn note_found(
         self: &Rc<Self>,
         page: &RangeReply,
@@ -157,7 +156,7 @@
         let found = self.found.take();
         let known: Vec<String> = self.upstreams.borrow().keys().cloned().collect();
         for id in known.iter().filter(|&id| !found.contains(id)) {
-            // One that was added since the first page was read is no loss.
+            // It may have been added after its page was read.
             if !self
                 .feed
                 .has_changed_lately(&format!("{}{id}", entries::PREFIX))
@@ -173,7 +172,7 @@
             .info();
     }
 
-    /// Takes changes, and lets other tasks run in between.
+    /// Applies changes, yielding to other tasks in between.
     pub(super) async fn take_all(
         self: &Rc<Self>,
         events: &[WatchEvent],
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Takes a change, unless a later one of its key was taken.
+    /// Applies a change, unless a later one of its key was applied.
     fn take(
         self: &Rc<Self>,
         event: &WatchEvent,
@@ -204,8 +203,9 @@
         }
     }
 
-    /// Entries change all the time in what their upstreams hold. Only whoever schedules needs that at once, and it
-    /// reads the store itself.
+    /// Applies a change of an upstream, as a minor one if only what the upstream holds has changed.
+    ///
+    /// Only the leader needs minor changes at once, and it reads the store itself.
     fn take_upstream(
         &self,
         id: &str,
@@ -280,11 +280,11 @@
     ) {
         let mut upstreams = self.upstreams.borrow_mut();
         let known = upstreams.get(&entry.id);
-        // A restart has a later start; what an earlier run wrote may still arrive after it.
+        // A late write of an earlier run must not replace the entry of a restarted upstream.
         if known.is_some_and(|known| known.started_unix_ms > entry.started_unix_ms) {
             return;
         }
-        // Those that were there at the start are told in one line.
+        // Upstreams found at startup are logged as one line by `note_found`.
         let is_change = known.map_or(how == Announcement::New, |known| known.state != entry.state);
         if is_change {
             Line::new("upstream_seen")
@@ -324,8 +324,7 @@
         }
     }
 
-    /// An entry is gone. Entries lapse while the store is away, though their upstreams live; those are used
-    /// for a while longer, or callers would be refused for a fault of the store's.
+    /// Removes an upstream whose entry is gone, after a delay if it may have expired in a store outage.
     fn remove_upstream(
         self: &Rc<Self>,
         id: &str,
@@ -348,6 +347,7 @@
         });
     }
 
+    /// Removes an upstream from the scheduler.
     fn forget(
         &self,
         id: &str,
--- a/crates/entry/src/store/vm_record.rs
+++ b/crates/entry/src/store/vm_record.rs
@@ -4,53 +4,53 @@
     std::net::SocketAddr,
 };
 
-/// What a VM writes about itself.
+/// A VM's record in the store, written by that VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct VmRecord {
-    /// Its name.
+    /// The VM's name.
     pub vm: String,
-    /// Where other VMs reach it.
+    /// The address on which it listens for other VMs.
     pub peers: SocketAddr,
-    /// Tells two runs of it apart.
+    /// Random number that identifies the run of the daemon.
     pub incarnation: u64,
-    /// The data centre in which it stands.
+    /// The data centre of the VM.
     #[serde(default)]
     pub data_centre: String,
     /// Whether it has less processor or network than most.
     #[serde(default)]
     pub is_weak: bool,
-    /// Its part of a core, in percent.
+    /// Processor share, in percent of a core.
     #[serde(default)]
     pub processor_percent: u32,
 }
 
 impl VmRecord {
-    /// Its place in the order that all VMs agree on.
+    /// The VM's rank, the same on all VMs.
     pub fn rank(&self) -> VmRank {
         VmRank::new(&self.vm, self.is_weak)
     }
 
-    /// What tells this VM from another one that has taken its name: to engines that is another orderer.
+    /// Identity across restarts: name and IP address, so that another VM with the same name differs.
     pub fn machine(&self) -> String {
         format!("{}@{}", self.vm, self.peers.ip())
     }
 
-    /// Its value in the store.
+    /// Encodes the record as its value in the store.
     ///
     /// # Panics
     ///
-    /// Never: strings, numbers and truth values are JSON.
+    /// Never: the record has only types that JSON can represent.
     pub fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("strings and numbers are JSON")
+        serde_json::to_vec(self).expect("a VM record is valid JSON")
     }
 }
 
-/// A VM that may serve this one.
+/// A VM from which this one may read changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmEntry {
-    /// Its name.
+    /// The VM's name.
     pub name: String,
-    /// Where it listens for other VMs.
+    /// The address on which it listens for other VMs.
     pub address: SocketAddr,
 }
--- a/crates/entry/src/upstream/call.rs
+++ b/crates/entry/src/upstream/call.rs
@@ -6,44 +6,44 @@
     tokio::time::timeout,
 };
 
-/// The largest answer taken, in bytes: a page of the store has a megabyte, in base64.
+/// The largest answer accepted, in bytes; holds a page of the store in base64.
 const MAX_ANSWER: usize = 8 << 20;
-/// How long a connection for calls may have been idle.
+/// Longest idle time of a reused connection.
 const IDLE: Millis = Millis(3_000);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum CallError {
-    /// No connection came about: nothing was sent.
-    #[display("not reached")]
+    /// Connecting failed; nothing was sent.
+    #[display("can't connect")]
     Unsent,
-    /// It went out and no answer came: it may have been done, or may be done later.
-    #[display("no answer")]
+    /// The request was sent but not answered; it may have been executed or may be later.
+    #[display("request sent, no valid response")]
     Unanswered,
 }
 
-/// A small call with a JSON body.
+/// An HTTP call with an optional JSON body.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpCall<'a> {
-    /// Where to.
+    /// The server's address.
     pub address: SocketAddr,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Further header lines, each with its end.
+    /// Further header lines, each with CRLF.
     pub headers: &'a str,
-    /// Its body; empty for none.
+    /// The body; empty for none.
     pub body: &'a [u8],
-    /// How long all of it may take.
+    /// Timeout of the whole call.
     pub limit: Millis,
-    /// Whether it must not use a connection that was used before.
+    /// Whether to open a new connection instead of reusing an idle one.
     pub fresh: bool,
 }
 
 impl HttpCall<'_> {
-    /// Makes the call and returns status and body.
+    /// Makes the call and returns the status and body.
     ///
     /// # Errors
     ///
--- a/crates/entry/src/upstream/connection.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -11,17 +11,17 @@
 
 /// Bytes read at a time.
 const READ: usize = 4 << 10;
-/// Answers to other requests that are passed over while one's own is waited for.
+/// Most answers to other requests that are skipped before the matching one.
 const MAX_STRAY: u32 = 2;
 
-/// Why an exchange has no usable answer; whether the request ran is not known.
+/// Why an exchange failed; the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum ExchangeError {
     /// The connection ended or was reset.
     #[display("connection lost")]
     Lost,
-    /// What arrived is no answer to this request.
+    /// The response is invalid, too large or for another request.
     #[display("not an answer to this request")]
     Invalid,
 }
@@ -38,38 +38,37 @@
 }
 
 impl From<io::Error> for ExchangeError {
-    /// What kind of end it was makes no difference: the request may have run.
     fn from(_: io::Error) -> Self {
         Self::Lost
     }
 }
 
-/// The head of an answer.
+/// The head of an answer, and how much of the request was sent before it.
 #[derive(Clone, Debug)]
 pub struct Begun {
-    /// The head.
+    /// Status and headers.
     pub head: AnswerHead,
-    /// Whether the whole request had been sent before it.
+    /// Whether the whole request had been sent.
     pub sent_all: bool,
 }
 
-/// One connection, used for one exchange at a time.
+/// A connection to a server, used for one exchange at a time.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buf: BytesMut,
-    /// Since when it is idle.
+    /// When it became idle.
     pub(super) idle_since: Millis,
-    /// For how long it may be idle and still be used.
+    /// How long it may stay idle and still be reused.
     pub(super) idle_limit: Millis,
 }
 
 impl Connection {
-    /// Connects.
+    /// Opens a TCP connection.
     ///
     /// # Errors
     ///
-    /// Whatever the system says; nothing was sent.
+    /// Any I/O error; nothing was sent.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -81,20 +80,19 @@
         })
     }
 
-    /// Whether nothing has arrived that nobody asked for, the end of the connection included.
+    /// Whether the connection is open and has no unread data.
     ///
-    /// A second answer that comes after a whole one belongs to nobody; on a connection that is used again
-    /// it would be taken for the next request's.
+    /// On a reused connection, a surplus answer would be taken for the next request's.
     pub fn is_quiet(&self) -> bool {
         let mut probe = [0_u8; 1];
         let pending = self.stream.try_read(&mut probe);
         self.buf.is_empty() && matches!(pending, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its answer, which `is_own` accepts.
     ///
-    /// Both go on at the same time: an upstream may answer before it has read a long body, and would never
-    /// read on if its answer were not taken.
+    /// Sends and reads at the same time: an upstream may answer before it has read a long body, and stop reading until
+    /// its answer is read.
     ///
     /// # Errors
     ///
@@ -139,7 +137,7 @@
         }
     }
 
-    /// Reads on in a body; none at its end.
+    /// Reads the next part of a body; none at its end.
     ///
     /// # Errors
     ///
--- a/crates/entry/src/upstream/mod.rs
+++ b/crates/entry/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, to the store and to engines' orders.
+//! HTTP client connections to upstreams, the store and engines.
 
 mod call;
 mod connection;
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -6,18 +6,18 @@
     tokio::time::timeout,
 };
 
-/// How long connecting may take: upstreams stand a few milliseconds away, and one lost packet is sent again
-/// after a fifth of a second.
+/// Timeout of connecting; allows for one retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long an idle connection is kept whose upstream names no time.
+/// Idle timeout of connections whose upstream sends no `Keep-Alive` timeout.
 const IDLE_LIMIT: Millis = Millis(4_000);
-/// The part of the time that an upstream names for which a connection is kept, in percent: a request that
-/// crosses its close may or may not have run.
+/// Idle timeout in percent of the upstream's `Keep-Alive` timeout.
+///
+/// The margin avoids requests that cross the upstream's close, whose outcome would be unknown.
 const KEPT_PERCENT: u64 = 60;
-/// Idle connections kept to one address.
+/// Most idle connections per address.
 const MAX_IDLE: usize = 16;
 
-/// Idle connections, by address.
+/// A pool of idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     clock: Clock,
@@ -25,8 +25,7 @@
 }
 
 impl Pool {
-    /// A connection that was used before and is still good, if there is one that has been idle for at most
-    /// `longest`.
+    /// Takes a usable connection that has been idle for at most `longest`, if there is one.
     pub fn reuse(
         &self,
         address: SocketAddr,
@@ -44,11 +43,11 @@
         None
     }
 
-    /// Connects anew.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
-    /// Whatever the system says, or that it took too long; nothing was sent.
+    /// Any I/O error or a timeout; nothing was sent.
     pub async fn open(
         &self,
         address: SocketAddr,
@@ -58,7 +57,7 @@
             .unwrap_or_else(|_elapsed| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Keeps a connection after a whole exchange, if its upstream does.
+    /// Returns a connection to the pool after a complete exchange, unless the upstream closes it.
     pub fn keep(
         &self,
         address: SocketAddr,
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have exceeded their idle timeout.
     pub fn sweep(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -88,7 +87,7 @@
         });
     }
 
-    /// Closes all idle connections to an address: when one has gone silent, others are likely to have too.
+    /// Closes all idle connections to an address: if one is dead, the others are likely to be too.
     pub fn forget(
         &self,
         address: SocketAddr,
@@ -97,7 +96,7 @@
     }
 }
 
-/// How long the upstream says that it keeps an idle connection, less what a request takes on its way.
+/// The idle timeout derived from the upstream's `Keep-Alive` header.
 fn named_limit(head: &AnswerHead) -> Option<Millis> {
     let secs: u64 = head
         .headers
