--- a/crates/entry/src/caller/connection.rs
+++ b/crates/entry/src/caller/connection.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        AnswerWriter, OwnAnswer,
-        read_request::{IncomingRequest, ReadEnd, read_request, wait_for_request},
+        ErrorResponse, ResponseWriter,
+        read_request::{IncomingRequest, RequestReadError, read_request, wait_for_request},
     },
     crate::{
         context::{Context, StopStage},
@@ -21,9 +21,9 @@
 };
 
 /// Most bytes of pipelined requests that are buffered while a request is being answered.
-const MAX_AHEAD: usize = 64 << 10;
-/// How long data is drained before closing, so that a reset doesn't overtake the answer.
-const LINGER: Duration = Duration::from_millis(300);
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// How long data is drained before closing, so that a reset doesn't overtake the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Serves the requests of one caller's connection in order.
 pub(super) async fn serve_connection(
@@ -40,35 +40,35 @@
         is_first = false;
         match next {
             Ok(req) => {
-                if !answer(&cx, &mut stream, &mut buf, req).await {
+                if !answer_request(&cx, &mut stream, &mut buf, req).await {
                     return close(stream).await;
                 }
             }
-            Err(ReadEnd::Closed) => return,
-            Err(ReadEnd::Refused(kind)) => return refuse(stream, kind).await,
+            Err(RequestReadError::Closed) => return,
+            Err(RequestReadError::Refused(kind)) => return refuse(stream, kind).await,
         }
     }
 }
 
 /// Reads the next request; closes a connection that is idle between requests when the daemon stops.
 ///
-/// The first request is always read, so that a new caller gets an answer.
+/// The first request is always read, so that a new caller gets a response.
 async fn next_request(
     cx: &Context,
     stream: &mut TcpStream,
     buf: &mut BytesMut,
     is_first: bool,
-) -> Result<IncomingRequest, ReadEnd> {
-    let limits = cx.limits();
+) -> Result<IncomingRequest, RequestReadError> {
+    let limits = cx.caller_limits();
     tokio::select! {
         begun = wait_for_request(stream, buf, limits.idle_timeout) => begun?,
-        () = cx.stop_reached(StopStage::Closing), if !is_first => return Err(ReadEnd::Closed),
+        () = cx.stop_reached(StopStage::Closing), if !is_first => return Err(RequestReadError::Closed),
     }
     read_request(stream, buf, &limits).await
 }
 
 /// Answers a request; returns whether the connection stays open.
-async fn answer(
+async fn answer_request(
     cx: &Rc<Context>,
     stream: &mut TcpStream,
     buf: &mut BytesMut,
@@ -76,23 +76,23 @@
 ) -> bool {
     let _in_flight = cx.count_request();
     let (rx, tx) = stream.split();
-    let keeps = req.head.keeps_connection() && cx.stop_stage() == StopStage::Running;
-    let is_head = req.head.method == "HEAD";
-    let mut out = AnswerWriter::new(tx, req.head.minor_version, keeps, is_head);
+    let keep_alive = req.head.keeps_connection() && cx.stop_stage() == StopStage::Running;
+    let is_head_request = req.head.method == "HEAD";
+    let mut out = ResponseWriter::new(tx, req.head.minor_version, keep_alive, is_head_request);
     tokio::select! {
-        served = serve_request(cx, req, &mut out) => served.is_ok() && out.keeps(),
+        served = serve_request(cx, req, &mut out) => served.is_ok() && out.keep_alive(),
         // Cancelling closes the connection to the upstream, which then stops working too.
-        () = until_gone(rx, buf) => false,
+        () = until_disconnected(rx, buf) => false,
     }
 }
 
 /// Waits until the caller has closed the connection; keeps pipelined data in `buf`.
-async fn until_gone(
+async fn until_disconnected(
     mut rx: ReadHalf<'_>,
     buf: &mut BytesMut,
 ) {
-    while buf.len() < MAX_AHEAD {
-        buf.reserve(MAX_AHEAD / 16);
+    while buf.len() < MAX_PIPELINED_BYTES {
+        buf.reserve(MAX_PIPELINED_BYTES / 16);
         if !matches!(rx.read_buf(buf).await, Ok(n) if n > 0) {
             return;
         }
@@ -105,22 +105,22 @@
     kind: ErrorKind,
 ) {
     let (_, tx) = stream.split();
-    let mut out = AnswerWriter::new(tx, 1, false, false);
+    let mut out = ResponseWriter::new(tx, 1, false, false);
     let refusal = match kind {
         ErrorKind::SlowSender => Refusal::after(kind, Millis::ZERO),
         kind => Refusal::new(kind),
     };
-    if out.refuse(OwnAnswer(refusal), None).await.is_ok() {
+    if out.write_error(ErrorResponse(refusal), None).await.is_ok() {
         close(stream).await;
     }
 }
 
-/// Closes a connection after draining it, so that a reset doesn't overtake the answer.
+/// Closes a connection after draining it, so that a reset doesn't overtake the response.
 async fn close(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
     let mut rest = [0_u8; 1024];
     let drained = async { while matches!(stream.read(&mut rest).await, Ok(n) if n > 0) {} };
-    let _elapsed = timeout(LINGER, drained).await;
+    let _elapsed = timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/crates/entry/src/caller/listener.rs
+++ b/crates/entry/src/caller/listener.rs
@@ -14,9 +14,9 @@
 /// Connections queued for accept; if the queue is full, SYN packets are dropped and retried after seconds.
 const BACKLOG: u32 = 1024;
 /// Delay after a failed accept, usually due to a lack of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Timeout of one readiness probe.
-const PROBE_LIMIT: Duration = Duration::from_secs(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Binds a TCP listener to an IPv4 address.
 ///
@@ -31,7 +31,7 @@
 }
 
 /// Passes each accepted connection to `serve`; never returns.
-pub async fn accept_each<S>(
+pub async fn accept_loop<S>(
     listener: TcpListener,
     serve: S,
 ) where
@@ -42,7 +42,7 @@
             Ok((stream, _)) => serve(stream),
             Err(e) => {
                 Line::new("accept_failed").with("reason", e).warn();
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -53,7 +53,7 @@
     cx: Rc<Context>,
     listener: TcpListener,
 ) {
-    accept_each(listener, |stream| {
+    accept_loop(listener, |stream| {
         spawn_local(serve_connection(Rc::clone(&cx), stream));
     })
     .await;
@@ -64,18 +64,18 @@
     cx: Rc<Context>,
     listener: TcpListener,
 ) {
-    accept_each(listener, |stream| {
+    accept_loop(listener, |stream| {
         let cx = Rc::clone(&cx);
         spawn_local(async move {
             // A connection without a complete probe is dropped.
-            let _elapsed = timeout(PROBE_LIMIT, answer_probes(&cx, stream)).await;
+            let _elapsed = timeout(PROBE_TIMEOUT, serve_probe(&cx, stream)).await;
         });
     })
     .await;
 }
 
 /// Answers any request with the readiness status.
-async fn answer_probes(
+async fn serve_probe(
     cx: &Context,
     mut stream: TcpStream,
 ) -> io::Result<()> {
@@ -93,7 +93,7 @@
         (false, StopStage::Running) => "503 Starting",
         (false, _) => "503 Stopping",
     };
-    let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    stream.write_all(answer.as_bytes()).await?;
+    let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    stream.write_all(response.as_bytes()).await?;
     stream.shutdown().await
 }
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -1,14 +1,14 @@
-//! Callers' connections: reading requests and writing answers.
+//! Callers' connections: reading requests and writing responses.
 
-mod answer_writer;
 mod connection;
+mod error_response;
 mod listener;
 mod read_request;
-mod refusal;
+mod response_writer;
 
 pub use {
-    answer_writer::AnswerWriter,
-    listener::{accept_each, bind, serve_callers, serve_readiness},
+    error_response::ErrorResponse,
+    listener::{accept_loop, bind, serve_callers, serve_readiness},
     read_request::IncomingRequest,
-    refusal::OwnAnswer,
+    response_writer::ResponseWriter,
 };
--- a/crates/entry/src/caller/read_request.rs
+++ b/crates/entry/src/caller/read_request.rs
@@ -11,7 +11,7 @@
 };
 
 /// Bytes read at a time.
-const READ: usize = 8 << 10;
+const READ_BYTES: usize = 8 << 10;
 
 /// A completely received request.
 #[derive(Clone, Debug)]
@@ -24,20 +24,20 @@
 
 /// Why no request could be read.
 #[derive(Debug)]
-pub enum ReadEnd {
-    /// The connection was closed, reset or idle for too long; no answer is sent.
+pub enum RequestReadError {
+    /// The connection was closed, reset or idle for too long; no response is sent.
     Closed,
     /// The request is refused with this error.
     Refused(ErrorKind),
 }
 
-impl From<io::Error> for ReadEnd {
+impl From<io::Error> for RequestReadError {
     fn from(_: io::Error) -> Self {
         Self::Closed
     }
 }
 
-impl From<HttpError> for ReadEnd {
+impl From<HttpError> for RequestReadError {
     fn from(e: HttpError) -> Self {
         match e {
             HttpError::Malformed => Self::Refused(ErrorKind::BadRequest),
@@ -53,13 +53,13 @@
     stream: &mut TcpStream,
     buf: &mut BytesMut,
     idle: Millis,
-) -> Result<(), ReadEnd> {
+) -> Result<(), RequestReadError> {
     if !buf.is_empty() {
         return Ok(());
     }
-    match timeout(idle.to_std(), more(stream, buf)).await {
+    match timeout(idle.to_std(), read_more(stream, buf)).await {
         Ok(read) => read,
-        Err(_elapsed) => Err(ReadEnd::Closed),
+        Err(_elapsed) => Err(RequestReadError::Closed),
     }
 }
 
@@ -68,16 +68,16 @@
     stream: &mut TcpStream,
     buf: &mut BytesMut,
     limits: &CallerLimits,
-) -> Result<IncomingRequest, ReadEnd> {
+) -> Result<IncomingRequest, RequestReadError> {
     let due = Instant::now() + limits.header_timeout.to_std();
     let head = loop {
         if let Some((head, len)) = parse_request_head(buf, limits.max_header_bytes)? {
             buf.advance(len);
             break head;
         }
-        match timeout_at(due, more(stream, buf)).await {
+        match timeout_at(due, read_more(stream, buf)).await {
             Ok(read) => read?,
-            Err(_elapsed) => return Err(ReadEnd::Refused(ErrorKind::SlowSender)),
+            Err(_elapsed) => return Err(RequestReadError::Refused(ErrorKind::SlowSender)),
         }
     };
     let body = read_body(stream, buf, &head, limits).await?;
@@ -89,7 +89,7 @@
     buf: &mut BytesMut,
     head: &RequestHead,
     limits: &CallerLimits,
-) -> Result<Bytes, ReadEnd> {
+) -> Result<Bytes, RequestReadError> {
     let max = limits.max_body_bytes;
     match head.framing {
         Framing::Empty => return Ok(Bytes::new()),
@@ -111,22 +111,22 @@
             }
             BodyPart::Data(data) => whole.extend_from_slice(&data),
             BodyPart::NeedMore => {
-                match timeout(limits.idle_timeout.to_std(), more(stream, buf)).await {
+                match timeout(limits.idle_timeout.to_std(), read_more(stream, buf)).await {
                     Ok(read) => read?,
-                    Err(_elapsed) => return Err(ReadEnd::Refused(ErrorKind::SlowSender)),
+                    Err(_elapsed) => return Err(RequestReadError::Refused(ErrorKind::SlowSender)),
                 }
             }
         }
     }
 }
 
-async fn more(
+async fn read_more(
     stream: &mut TcpStream,
     buf: &mut BytesMut,
-) -> Result<(), ReadEnd> {
-    buf.reserve(READ);
+) -> Result<(), RequestReadError> {
+    buf.reserve(READ_BYTES);
     match stream.read_buf(buf).await? {
-        0 => Err(ReadEnd::Closed),
+        0 => Err(RequestReadError::Closed),
         _ => Ok(()),
     }
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -18,12 +18,12 @@
     /// No stop was requested.
     #[default]
     Running,
-    /// Readiness probes fail; requests are still served, and connections closed after each answer.
+    /// Readiness probes fail; requests are still served, and connections closed after each response.
     Leaving,
     /// Idle connections are closed and new requests refused.
     Closing,
     /// Requests that still wait for an upstream are refused.
-    Emptying,
+    RefusingWaiting,
 }
 
 /// The daemon's shared state.
@@ -70,7 +70,7 @@
     }
 
     /// The current configuration; waits up to `wait` for the first one.
-    pub async fn config_soon(
+    pub async fn config_within(
         &self,
         wait: Millis,
     ) -> Option<Rc<IngressConfig>> {
@@ -81,7 +81,7 @@
     }
 
     /// The limits on callers' requests.
-    pub fn limits(&self) -> CallerLimits {
+    pub fn caller_limits(&self) -> CallerLimits {
         self.config
             .borrow()
             .as_ref()
--- a/crates/entry/src/daemon/run.rs
+++ b/crates/entry/src/daemon/run.rs
@@ -7,7 +7,7 @@
         scheduling::{
             LocalScheduler, OrderContext, SchedulerNode, SchedulerServer, run_engine_tasks,
         },
-        store::{Feed, KvStore, Membership, VmRecord, follow, keep_lead, keep_membership},
+        store::{Feed, KvStore, Membership, VmRecord, follow, keep_registered, run_election},
         upstream::Pool,
     },
     jasmine_conf::settings::EntrySettings,
@@ -22,12 +22,12 @@
 };
 
 /// How often expired idle connections are closed.
-const SWEEP_EVERY: Duration = Duration::from_secs(2);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Long-poll timeout of store watches, in percent of the allowed propagation time of a change.
 ///
 /// Short enough to detect a dead connection in time.
-const WATCH_HELD_PERCENT: u64 = 25;
+const WATCH_TIMEOUT_PERCENT: u64 = 25;
 
 /// Why the daemon failed to start.
 #[derive(Debug)]
@@ -75,7 +75,7 @@
         scheduling.require_valid_lease();
     }
     let pool = Rc::new(Pool::default());
-    let store = KvStore::new(settings.store, watch_held(&settings));
+    let store = KvStore::new(settings.store, watch_timeout(&settings));
     let feed = Rc::new(Feed::new(settings.change_ms));
     let membership = Rc::new(Membership::new(VmRecord {
         vm: me.clone(),
@@ -115,22 +115,22 @@
         Rc::clone(&membership),
         Rc::clone(&feed),
     ));
-    let entry = keep_membership(Rc::clone(&cx), store.clone(), Rc::clone(&membership));
-    let lead = keep_lead(
+    let membership_task = keep_registered(Rc::clone(&cx), store.clone(), Rc::clone(&membership));
+    let election = run_election(
         Rc::clone(&cx),
         store.clone(),
         Rc::clone(&membership),
         Rc::clone(&feed),
     );
-    let keeping = [
-        spawn_local(entry).abort_handle(),
-        spawn_local(lead).abort_handle(),
+    let lease_tasks = [
+        spawn_local(membership_task).abort_handle(),
+        spawn_local(election).abort_handle(),
     ];
-    spawn_local(sweep(pool, store.clone()));
+    spawn_local(close_expired(pool, store.clone()));
     spawn_local(serve_readiness(Rc::clone(&cx), readiness));
     spawn_local(serve_metrics(Rc::clone(&cx), metrics_listener));
     spawn_local(serve_callers(Rc::clone(&cx), callers));
-    stop::on_signal(&cx, &store, &membership, &feed, &keeping).await;
+    stop::on_signal(&cx, &store, &membership, &feed, &lease_tasks).await;
     Ok(())
 }
 
@@ -164,17 +164,17 @@
 }
 
 /// The long-poll timeout of store watches.
-const fn watch_held(settings: &EntrySettings) -> Millis {
-    Millis(settings.change_ms.0 * WATCH_HELD_PERCENT / 100)
+const fn watch_timeout(settings: &EntrySettings) -> Millis {
+    Millis(settings.change_ms.0 * WATCH_TIMEOUT_PERCENT / 100)
 }
 
-async fn sweep(
+async fn close_expired(
     pool: Rc<Pool>,
     store: KvStore,
 ) {
     loop {
-        sleep(SWEEP_EVERY).await;
-        pool.sweep();
-        store.sweep();
+        sleep(SWEEP_INTERVAL).await;
+        pool.close_expired();
+        store.close_expired();
     }
 }
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::{Context, StopStage},
-        store::{Feed, KvStore, Membership, leave},
+        store::{Feed, KvStore, Membership, deregister},
     },
     jasmine_core::{clock::Millis, scheduler::PausedEngines},
     jasmine_telemetry::log::Line,
@@ -16,26 +16,26 @@
 };
 
 /// How long the load balancer may still send new callers, two of its probe intervals; later requests are refused.
-const BALANCER: Millis = Millis(2_800);
+const BALANCER_DRAIN_TIMEOUT: Millis = Millis(2_800);
 /// How long before the stop limit the daemon exits.
-const SPARE: Millis = Millis(500);
+const EXIT_MARGIN: Millis = Millis(500);
 /// How long before its exit the daemon refuses requests that still wait for an upstream.
 ///
 /// Streams that began later would mostly be cut off.
-const EMPTYING: Millis = Millis(2_500);
+const WAITING_REFUSAL_MARGIN: Millis = Millis(2_500);
 /// How often the number of running requests is checked.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Waits for SIGTERM or SIGINT and stops gracefully; SIGHUP is only logged, as settings can't be reloaded.
 ///
 /// Leadership is given up while this VM still serves, so that no VM waits for the lease to expire. Callers are served
-/// until the load balancer has stopped sending them; each answer closes its connection.
+/// until the load balancer has stopped sending them; each response closes its connection.
 pub(super) async fn on_signal(
     cx: &Context,
     store: &KvStore,
     membership: &Membership,
     feed: &Feed,
-    keeping: &[AbortHandle],
+    lease_tasks: &[AbortHandle],
 ) {
     let signals = (
         signal(SignalKind::terminate()),
@@ -54,15 +54,21 @@
         }
     }
     let began = Instant::now();
-    let deadline = began + (Millis(cx.settings.stop_s * 1000) - SPARE).to_std();
+    let deadline = began + (Millis(cx.settings.stop_s * 1000) - EXIT_MARGIN).to_std();
     cx.set_stop_stage(StopStage::Leaving);
     Line::new("stopping")
         .with("in_flight", cx.in_flight())
         .info();
     feed.stop();
     tokio::join!(
-        hand_over(cx, store, membership, keeping, deadline - EMPTYING.to_std()),
-        let_go(cx, began, deadline),
+        resign(
+            cx,
+            store,
+            membership,
+            lease_tasks,
+            deadline - WAITING_REFUSAL_MARGIN.to_std()
+        ),
+        drain(cx, began, deadline),
     );
     Line::new("stopped")
         .with("cut", cx.in_flight())
@@ -74,11 +80,11 @@
 ///
 /// If engines check no fencing tokens, the next leader must wait the order gap since an engine's last order. Orders to
 /// half of the engines therefore pause first: the next leader can use these at once, and this VM the others until then.
-async fn hand_over(
+async fn resign(
     cx: &Context,
     store: &KvStore,
     membership: &Membership,
-    keeping: &[AbortHandle],
+    lease_tasks: &[AbortHandle],
     latest: Instant,
 ) {
     if cx.scheduling.is_leading() && cx.settings.order_gap() > Millis::ZERO {
@@ -87,23 +93,23 @@
             .pause_orders(PausedEngines::EverySecond);
         sleep_until((Instant::now() + cx.settings.order_gap().to_std()).min(latest)).await;
     }
-    keeping.iter().for_each(AbortHandle::abort);
+    lease_tasks.iter().for_each(AbortHandle::abort);
     cx.scheduling.announce_leaving().await;
-    if let Err(e) = leave(store, membership).await {
+    if let Err(e) = deregister(store, membership).await {
         Line::new("lease_not_ended").with("reason", e).info();
     }
 }
 
 /// Drains callers: new ones until the balancer has stopped sending them, then waiting and then running requests.
-async fn let_go(
+async fn drain(
     cx: &Context,
     began: Instant,
     deadline: Instant,
 ) {
-    sleep_until((began + BALANCER.to_std()).min(deadline)).await;
+    sleep_until((began + BALANCER_DRAIN_TIMEOUT.to_std()).min(deadline)).await;
     cx.set_stop_stage(StopStage::Closing);
-    wait_until_idle(cx, deadline - EMPTYING.to_std()).await;
-    cx.set_stop_stage(StopStage::Emptying);
+    wait_until_idle(cx, deadline - WAITING_REFUSAL_MARGIN.to_std()).await;
+    cx.set_stop_stage(StopStage::RefusingWaiting);
     wait_until_idle(cx, deadline).await;
 }
 
@@ -113,6 +119,6 @@
     until: Instant,
 ) {
     while cx.in_flight() > 0 && Instant::now() < until {
-        sleep(LOOK_EVERY).await;
+        sleep(IDLE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -2,7 +2,7 @@
     super::{ForwardRequest, encode::encode_request},
     crate::{
         context::Context,
-        http1::AnswerHead,
+        http1::ResponseHead,
         scheduling::Placement,
         upstream::{Connection, ExchangeError},
     },
@@ -18,33 +18,33 @@
     tokio::time::timeout,
 };
 
-/// The largest answer that is buffered, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+/// The largest response that is buffered, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Longest idle time of a connection for a request that can't be repeated.
 ///
 /// The upstream may close a connection that was idle for longer while the request is on its way.
-const IDLE_FOR_ONCE: Millis = Millis(1_000);
+const NON_IDEMPOTENT_IDLE_TIMEOUT: Millis = Millis(1_000);
 /// Longest idle time of a connection for a request that can be repeated.
-const IDLE: Millis = Millis(60_000);
+const IDEMPOTENT_IDLE_TIMEOUT: Millis = Millis(60_000);
 /// Timeout of a call that may be repeated, as a multiple of its latency objective.
-const CALL_PATIENCE: u64 = 2;
+const CALL_TIMEOUT_OBJECTIVES: u64 = 2;
 /// Timeout for the head of a stream that may be repeated, in percent of its latency objective.
-const STREAM_PATIENCE_PERCENT: u64 = 150;
+const STREAM_TIMEOUT_PERCENT: u64 = 150;
 
 /// How an attempt began.
 pub(super) enum Start {
-    /// An answer for the caller has begun.
-    Answering(Answering),
+    /// A response for the caller has begun.
+    Responding(StartedResponse),
     /// The attempt failed before that.
-    Ended(Failure),
+    Failed(Failure),
 }
 
-/// An answer that has begun.
-pub(super) struct Answering {
+/// A response that has begun.
+pub(super) struct StartedResponse {
     pub connection: Connection,
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Whether the whole request was sent, so that the connection can be reused.
-    pub sent_all: bool,
+    pub is_request_sent: bool,
 }
 
 /// A failed attempt.
@@ -52,8 +52,8 @@
 pub(super) struct Failure {
     pub outcome: Outcome,
     pub end: AttemptEnd,
-    /// The upstream's error answer, forwarded if no attempt succeeds.
-    pub answer: Option<(AnswerHead, Bytes)>,
+    /// The upstream's error response, forwarded if no attempt succeeds.
+    pub response: Option<(ResponseHead, Bytes)>,
 }
 
 impl Failure {
@@ -61,7 +61,7 @@
         Self {
             outcome,
             end: AttemptEnd::NotRun,
-            answer: None,
+            response: None,
         }
     }
 
@@ -69,7 +69,7 @@
         Self {
             outcome,
             end: AttemptEnd::MayHaveRun,
-            answer: None,
+            response: None,
         }
     }
 }
@@ -88,100 +88,110 @@
 }
 
 impl AttemptContext<'_> {
-    /// Sends the request and reads the head of its answer.
+    /// Sends the request and reads the head of its response.
     pub(super) async fn start(
         &self,
         after_event: Option<u64>,
     ) -> Start {
         let Some(mut connection) = self.connect().await else {
-            return Start::Ended(Failure::not_run(Outcome::Unreachable));
+            return Start::Failed(Failure::not_run(Outcome::Unreachable));
         };
         let now = self.cx.clock.now();
         let bytes = encode_request(self.req, self.placement, after_event, now);
         let id = self.req.caller.request_id.as_deref();
         let method = &self.req.incoming.head.method;
-        let is_own = |head: &AnswerHead| {
-            let said = AnswerHeaders::read(head.headers.pairs()).request_id;
-            said.is_none() || said.as_deref() == id
+        let is_match = |head: &ResponseHead| {
+            let answered_id = AnswerHeaders::read(head.headers.pairs()).request_id;
+            answered_id.is_none() || answered_id.as_deref() == id
         };
-        let begun = timeout(self.patience(), connection.begin(&bytes, method, is_own)).await;
-        match begun {
+        let response_start = timeout(
+            self.head_timeout(),
+            connection.send_request(&bytes, method, is_match),
+        )
+        .await;
+        match response_start {
             Err(_elapsed) => {
-                self.cx.pool.forget(self.placement.address);
-                Start::Ended(Failure::may_have_run(Outcome::Silent))
+                self.cx.pool.close_idle(self.placement.address);
+                Start::Failed(Failure::may_have_run(Outcome::Silent))
             }
-            Ok(Err(e)) => Start::Ended(e.into()),
-            Ok(Ok(begun)) => {
-                let answering = Answering {
+            Ok(Err(e)) => Start::Failed(e.into()),
+            Ok(Ok(response_start)) => {
+                let response = StartedResponse {
                     connection,
-                    head: begun.head,
-                    sent_all: begun.sent_all,
+                    head: response_start.head,
+                    is_request_sent: response_start.is_request_sent,
                 };
-                self.sort(answering).await
+                self.classify(response).await
             }
         }
     }
 
-    /// Reads the rest of an answer into memory.
-    pub(super) async fn whole(
+    /// Reads the rest of a response into memory.
+    pub(super) async fn read_whole(
         &self,
-        mut answering: Answering,
-    ) -> Result<(AnswerHead, Bytes), Failure> {
-        let Answering {
+        mut response: StartedResponse,
+    ) -> Result<(ResponseHead, Bytes), Failure> {
+        let StartedResponse {
             connection, head, ..
-        } = &mut answering;
-        let body = timeout(self.left(), connection.whole_body(head, MAX_ANSWER)).await;
+        } = &mut response;
+        let body = timeout(
+            self.time_left(),
+            connection.read_whole_body(head, MAX_RESPONSE_BYTES),
+        )
+        .await;
         let body = match body {
             Err(_elapsed) => return Err(Failure::may_have_run(Outcome::Silent)),
             Ok(body) => body?,
         };
-        let head = answering.head.clone();
-        self.keep(answering);
+        let head = response.head.clone();
+        self.release(response);
         Ok((head, body))
     }
 
     /// Returns the connection to the pool after a complete exchange.
-    pub(super) fn keep(
+    pub(super) fn release(
         &self,
-        answering: Answering,
+        response: StartedResponse,
     ) {
-        let Answering {
+        let StartedResponse {
             connection,
             head,
-            sent_all,
-        } = answering;
+            is_request_sent,
+        } = response;
         // An upstream that answered early still expects the rest of the body on this connection.
-        if sent_all {
-            self.cx.pool.keep(self.placement.address, connection, &head);
+        if is_request_sent {
+            self.cx
+                .pool
+                .release(self.placement.address, connection, &head);
         }
     }
 
     /// Time left until the deadline.
-    pub(super) fn left(&self) -> Duration {
+    pub(super) fn time_left(&self) -> Duration {
         self.req.deadline.since(self.cx.clock.now()).to_std()
     }
 
-    /// Timeout for the head of an answer: the deadline for requests that can't be repeated.
-    fn patience(&self) -> Duration {
+    /// Timeout for the head of a response: the deadline for requests that can't be repeated.
+    fn head_timeout(&self) -> Duration {
         let objective = self.req.route.objective;
-        let patience = match (self.req.route.kind.repeat(), self.req.is_stream()) {
-            (Repeat::Once, _) => return self.left(),
-            (Repeat::Idempotent, false) => Millis(objective.0 * CALL_PATIENCE),
-            (Repeat::Idempotent, true) => Millis(objective.0 * STREAM_PATIENCE_PERCENT / 100),
+        let head_timeout = match (self.req.route.kind.repeat(), self.req.is_stream()) {
+            (Repeat::Once, _) => return self.time_left(),
+            (Repeat::Idempotent, false) => Millis(objective.0 * CALL_TIMEOUT_OBJECTIVES),
+            (Repeat::Idempotent, true) => Millis(objective.0 * STREAM_TIMEOUT_PERCENT / 100),
         };
-        self.left().min(patience.to_std())
+        self.time_left().min(head_timeout.to_std())
     }
 
     async fn connect(&self) -> Option<Connection> {
-        let longest = match self.req.route.kind.repeat() {
-            Repeat::Once => IDLE_FOR_ONCE,
-            Repeat::Idempotent => IDLE,
+        let max_idle = match self.req.route.kind.repeat() {
+            Repeat::Once => NON_IDEMPOTENT_IDLE_TIMEOUT,
+            Repeat::Idempotent => IDEMPOTENT_IDLE_TIMEOUT,
         };
         let address = self.placement.address;
-        if let Some(connection) = self.cx.pool.reuse(address, longest) {
+        if let Some(connection) = self.cx.pool.reuse(address, max_idle) {
             return Some(connection);
         }
-        let opened = timeout(self.left(), self.cx.pool.open(address)).await;
+        let opened = timeout(self.time_left(), self.cx.pool.open(address)).await;
         opened
             .unwrap_or_else(|_elapsed| Err(ErrorKind::TimedOut.into()))
             .inspect_err(|e| {
@@ -193,47 +203,47 @@
             .ok()
     }
 
-    /// Separates answers for the caller from failures of the attempt.
-    async fn sort(
+    /// Separates responses for the caller from failures of the attempt.
+    async fn classify(
         &self,
-        answering: Answering,
+        response: StartedResponse,
     ) -> Start {
-        let status = answering.head.status;
-        let said = AnswerHeaders::read(answering.head.headers.pairs());
-        let is_elsewhere = is_other_upstream(status);
-        if said.is_not_run || is_elsewhere {
-            let is_other = said
+        let status = response.head.status;
+        let response_headers = AnswerHeaders::read(response.head.headers.pairs());
+        let is_misdirected = is_other_upstream(status);
+        if response_headers.is_not_run || is_misdirected {
+            let is_other = response_headers
                 .upstream
                 .is_some_and(|id| id != self.placement.upstream);
-            let outcome = match (is_elsewhere, is_other) {
+            let outcome = match (is_misdirected, is_other) {
                 (true, false) if self.req.is_generation => Outcome::NotLoaded,
                 (true, _) => Outcome::OtherUpstream,
                 (false, _) => Outcome::Shed,
             };
             // The body is read only so that the connection can be reused.
-            drop(self.whole(answering).await);
-            return Start::Ended(Failure::not_run(outcome));
+            drop(self.read_whole(response).await);
+            return Start::Failed(Failure::not_run(outcome));
         }
-        let is_foreign = answering
+        let has_content_coding = response
             .head
             .headers
             .all("content-encoding")
             .next()
             .is_some();
         match status {
-            // Without a seal or with a content coding it isn't the service's own answer.
-            200..=299 if !said.is_sealed || is_foreign => {
-                Start::Ended(Failure::may_have_run(Outcome::Lost))
+            // Without a seal or with a content coding it isn't the service's own response.
+            200..=299 if !response_headers.is_sealed || has_content_coding => {
+                Start::Failed(Failure::may_have_run(Outcome::Lost))
             }
-            500..=599 => match self.whole(answering).await {
-                Err(failure) => Start::Ended(failure),
-                Ok(answer) => Start::Ended(Failure {
+            500..=599 => match self.read_whole(response).await {
+                Err(failure) => Start::Failed(failure),
+                Ok(response) => Start::Failed(Failure {
                     outcome: Outcome::Failed,
                     end: AttemptEnd::MayHaveRun,
-                    answer: Some(answer),
+                    response: Some(response),
                 }),
             },
-            _ => Start::Answering(answering),
+            _ => Start::Responding(response),
         }
     }
 }
--- a/crates/entry/src/forward/driver.rs
+++ b/crates/entry/src/forward/driver.rs
@@ -1,13 +1,13 @@
 use {
     super::{
-        ELSEWHERE, ForwardRequest,
-        attempt::{Answering, AttemptContext, Failure, Start},
-        relay::{Progress, RelayEnd, relay},
+        ForwardRequest, STOPPING_RETRY_DELAY,
+        attempt::{AttemptContext, Failure, Start, StartedResponse},
+        relay::{Progress, RelayError, relay},
     },
     crate::{
-        caller::{AnswerWriter, OwnAnswer},
+        caller::{ErrorResponse, ResponseWriter},
         context::{Context, StopStage},
-        http1::AnswerHead,
+        http1::ResponseHead,
         scheduling::{Placement, PlacementError},
     },
     bytes::Bytes,
@@ -23,27 +23,27 @@
 };
 
 /// Delay before the retry of a request that an upstream didn't run because its adapter isn't loaded yet.
-const NOT_RUN_PAUSE: Millis = Millis(15);
+const NOT_RUN_RETRY_DELAY: Millis = Millis(15);
 
 /// What follows an attempt.
 enum Step {
-    /// The caller has its answer or has disconnected.
+    /// The caller has its response or has disconnected.
     Done(io::Result<()>),
     /// The request is sent again.
-    Again,
+    Retry,
     /// The request fails with this error.
-    GiveUp(ErrorKind),
+    Fail(ErrorKind),
 }
 
-/// Drives one request from its arrival to its final answer, over several attempts.
+/// Drives one request from its arrival to its final response, over several attempts.
 pub(super) struct Driver<'a> {
     cx: &'a Rc<Context>,
     req: ForwardRequest,
     attempts: Attempts,
     avoid: Vec<String>,
     progress: Progress,
-    /// The last error answer of an upstream, forwarded if no attempt succeeds.
-    failed: Option<(AnswerHead, Bytes)>,
+    /// The last error response of an upstream, forwarded if no attempt succeeds.
+    upstream_error: Option<(ResponseHead, Bytes)>,
     /// Total time spent waiting for placement.
     waited: Millis,
     /// The main reason for the last attempt's wait.
@@ -70,7 +70,7 @@
                 last_event: req.caller.last_event,
                 ..Progress::default()
             },
-            failed: None,
+            upstream_error: None,
             waited: Millis::ZERO,
             waited_for: WaitReason::Turn,
             sent_at: None,
@@ -82,13 +82,13 @@
 
     pub(super) async fn run(
         mut self,
-        out: &mut AnswerWriter<'_>,
+        out: &mut ResponseWriter<'_>,
     ) -> io::Result<()> {
         loop {
-            let asked = self.cx.clock.now();
-            let placed = self.place().await;
-            self.waited += self.cx.clock.now().since(asked);
-            let placement = match placed {
+            let queued_at = self.cx.clock.now();
+            let placement_result = self.place().await;
+            self.waited += self.cx.clock.now().since(queued_at);
+            let placement = match placement_result {
                 Ok(placement) => placement,
                 Err(placement_error) => {
                     self.waited_for = placement_error.waited_for;
@@ -117,8 +117,8 @@
                     self.log_end(word);
                     return result;
                 }
-                Step::Again => {}
-                Step::GiveUp(kind) => return self.give_up(Refusal::new(kind), out).await,
+                Step::Retry => {}
+                Step::Fail(kind) => return self.give_up(Refusal::new(kind), out).await,
             }
         }
     }
@@ -128,17 +128,17 @@
         let now = self.cx.clock.now();
         let number = self.attempts.next_attempt();
         let data_centre = &self.cx.settings.data_centre;
-        let job = self.req.job(number, &self.avoid, data_centre, now);
+        let job = self.req.job_spec(number, &self.avoid, data_centre, now);
         let left = self.req.deadline.since(now);
-        let placed = timeout(left.to_std(), self.cx.scheduling.place(job));
+        let placement_result = timeout(left.to_std(), self.cx.scheduling.place(job));
         tokio::select! {
-            placed = placed => {
-                placed.unwrap_or_else(|_elapsed| {
+            placement_result = placement_result => {
+                placement_result.unwrap_or_else(|_elapsed| {
                     Err(Refusal::new(ErrorKind::CannotMeetDeadline).into())
                 })
             }
-            () = self.cx.stop_reached(StopStage::Emptying) => {
-                Err(Refusal::after(ErrorKind::ShuttingDown, ELSEWHERE).into())
+            () = self.cx.stop_reached(StopStage::RefusingWaiting) => {
+                Err(Refusal::after(ErrorKind::ShuttingDown, STOPPING_RETRY_DELAY).into())
             }
         }
     }
@@ -146,9 +146,9 @@
     async fn attempt(
         &mut self,
         placement: &Placement,
-        out: &mut AnswerWriter<'_>,
+        out: &mut ResponseWriter<'_>,
     ) -> Step {
-        let began = self.cx.clock.now();
+        let started_at = self.cx.clock.now();
         let attempt = AttemptContext {
             cx: self.cx,
             req: &self.req,
@@ -158,108 +158,108 @@
             .progress
             .last_event
             .filter(|_| self.progress.events > 0);
-        let answering = match attempt.start(after_event).await {
-            Start::Answering(answering) => answering,
-            Start::Ended(failure) => return self.failed(placement, failure).await,
+        let response = match attempt.start(after_event).await {
+            Start::Responding(response) => response,
+            Start::Failed(failure) => return self.handle_failure(placement, failure).await,
         };
-        let is_stream = self.req.is_stream() && answering.head.status == 200;
+        let is_stream = self.req.is_stream() && response.head.status == 200;
         let result = if is_stream {
-            self.relay(placement, answering, out).await
+            self.relay(placement, response, out).await
         } else {
-            self.whole(placement, answering, out).await
+            self.relay_whole(placement, response, out).await
         };
         match result {
             Ok(()) => {
-                let took = self.cx.clock.now().since(began);
-                self.cx.metrics.attempt(Outcome::Answered { took });
+                let took = self.cx.clock.now().since(started_at);
+                self.cx.metrics.count_attempt(Outcome::Answered { took });
                 let first = self.progress.first_at.map(|at| at.since(self.req.arrived));
-                self.cx.metrics.answered(&self.req, self.waited, first);
+                self.cx
+                    .metrics
+                    .record_answered(&self.req, self.waited, first);
                 placement.end(Outcome::Answered { took });
                 Step::Done(Ok(()))
             }
-            Err(RelayEnd::Caller(e)) => Step::Done(Err(e)),
-            Err(RelayEnd::Upstream(failure)) => self.failed(placement, failure).await,
+            Err(RelayError::Caller(e)) => Step::Done(Err(e)),
+            Err(RelayError::Upstream(failure)) => self.handle_failure(placement, failure).await,
         }
     }
 
     async fn relay(
         &mut self,
         placement: &Placement,
-        answering: Answering,
-        out: &mut AnswerWriter<'_>,
-    ) -> Result<(), RelayEnd> {
+        response: StartedResponse,
+        out: &mut ResponseWriter<'_>,
+    ) -> Result<(), RelayError> {
         let attempt = AttemptContext {
             cx: self.cx,
             req: &self.req,
             placement,
         };
-        relay(&attempt, answering, &mut self.progress, out).await
+        relay(&attempt, response, &mut self.progress, out).await
     }
 
-    async fn whole(
+    async fn relay_whole(
         &self,
         placement: &Placement,
-        answering: Answering,
-        out: &mut AnswerWriter<'_>,
-    ) -> Result<(), RelayEnd> {
+        response: StartedResponse,
+        out: &mut ResponseWriter<'_>,
+    ) -> Result<(), RelayError> {
         let attempt = AttemptContext {
             cx: self.cx,
             req: &self.req,
             placement,
         };
-        let (head, body) = attempt.whole(answering).await?;
-        Ok(out.whole(&head, &body).await?)
+        let (head, body) = attempt.read_whole(response).await?;
+        Ok(out.write_whole(&head, &body).await?)
     }
 
     /// Decides between a retry and a final error after a failed attempt.
-    async fn failed(
+    async fn handle_failure(
         &mut self,
         placement: &Placement,
         failure: Failure,
     ) -> Step {
         placement.end(failure.outcome);
-        self.cx.metrics.attempt(failure.outcome);
-        let may_go_on = self.attempts.record_end(failure.end);
+        self.cx.metrics.count_attempt(failure.outcome);
+        let can_retry = self.attempts.record_end(failure.end);
         Line::new("attempt_failed")
             .with("id", self.id())
             .with("upstream", &placement.upstream)
             .with("outcome", format!("{:?}", failure.outcome))
-            .with("again", may_go_on)
+            .with("again", can_retry)
             .info();
-        self.failed = failure.answer.or(self.failed.take());
-        let is_over = self.cx.clock.now() >= self.req.deadline;
+        self.upstream_error = failure.response.or(self.upstream_error.take());
+        let is_expired = self.cx.clock.now() >= self.req.deadline;
         let has_begun = self.progress.first_at.is_some();
         match failure.outcome {
-            _ if is_over && self.attempts.may_have_run() => {
-                Step::GiveUp(ErrorKind::DeadlineExceeded)
+            _ if is_expired && self.attempts.may_have_run() => {
+                Step::Fail(ErrorKind::DeadlineExceeded)
             }
-            _ if is_over => Step::GiveUp(ErrorKind::CannotMeetDeadline),
-            _ if has_begun && !self.req.is_resumable() => Step::GiveUp(ErrorKind::AnswerCut),
-            _ if !may_go_on && self.attempts.may_have_run() => {
-                Step::GiveUp(ErrorKind::UpstreamLost)
-            }
-            _ if !may_go_on => Step::GiveUp(ErrorKind::NoUpstream),
+            _ if is_expired => Step::Fail(ErrorKind::CannotMeetDeadline),
+            _ if has_begun && !self.req.is_resumable() => Step::Fail(ErrorKind::AnswerCut),
+            _ if !can_retry && self.attempts.may_have_run() => Step::Fail(ErrorKind::UpstreamLost),
+            _ if !can_retry => Step::Fail(ErrorKind::NoUpstream),
             Outcome::NotLoaded => {
-                sleep(NOT_RUN_PAUSE.to_std()).await;
-                Step::Again
+                sleep(NOT_RUN_RETRY_DELAY.to_std()).await;
+                Step::Retry
             }
             _ => {
                 self.avoid.push(placement.upstream.clone());
-                Step::Again
+                Step::Retry
             }
         }
     }
 
-    /// Sends the final answer of a request that failed.
+    /// Sends the final response of a request that failed.
     async fn give_up(
         &mut self,
         refusal: Refusal,
-        out: &mut AnswerWriter<'_>,
+        out: &mut ResponseWriter<'_>,
     ) -> io::Result<()> {
-        let refusal = self.true_refusal(refusal);
+        let refusal = self.refusal_after_attempts(refusal);
         self.cx
             .metrics
-            .refused(refusal, self.req.account.as_deref());
+            .count_refused(refusal, self.req.account.as_deref());
         self.is_logged = true;
         Line::new("request_given_up")
             .with("id", self.id())
@@ -281,15 +281,15 @@
             out.close_after();
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        if let Some((head, body)) = self.failed.take() {
-            return out.whole(&head, &body).await;
+        if let Some((head, body)) = self.upstream_error.take() {
+            return out.write_whole(&head, &body).await;
         }
         let id = self.req.caller.request_id.as_deref();
-        out.refuse(OwnAnswer(refusal), id).await
+        out.write_error(ErrorResponse(refusal), id).await
     }
 
     /// Replaces a refusal that claims that the request didn't run if an attempt may have run.
-    fn true_refusal(
+    fn refusal_after_attempts(
         &self,
         refusal: Refusal,
     ) -> Refusal {
--- a/crates/entry/src/forward/encode.rs
+++ b/crates/entry/src/forward/encode.rs
@@ -20,8 +20,8 @@
     for (name, header) in head.headers.end_to_end() {
         let is_replaced = after_event.is_some() && is_resume_point(&name);
         // The whole body has been read, so `Expect: 100-continue` is handled already.
-        let is_settled = name == "expect";
-        if is_passed_on(&name) && !is_replaced && !is_settled {
+        let is_expect = name == "expect";
+        if is_passed_on(&name) && !is_replaced && !is_expect {
             let value = String::from_utf8_lossy(&header.value);
             let _infallible = write!(out, "{}: {value}\r\n", header.name);
         }
--- a/crates/entry/src/forward/events.rs
+++ b/crates/entry/src/forward/events.rs
@@ -32,19 +32,19 @@
 
     /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = end_of_event(&self.buf)?;
+        let end = event_end(&self.buf)?;
         let bytes = self.buf.split_to(end).freeze();
-        let id = id_of(&bytes);
+        let id = event_id(&bytes);
         Some(Event { bytes, id })
     }
 
     /// Returns the data after the last complete event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 }
 
-fn end_of_event(buf: &[u8]) -> Option<usize> {
+fn event_end(buf: &[u8]) -> Option<usize> {
     let lf = buf.windows(2).position(|two| two == b"\n\n");
     let crlf = buf.windows(4).position(|four| four == b"\r\n\r\n");
     match (lf, crlf) {
@@ -55,7 +55,7 @@
     }
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|&byte| byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Forwarding of requests: routing, authentication, attempts at upstreams, relaying of answers.
+//! Forwarding of requests: routing, authentication, attempts at upstreams, relaying of responses.
 
 mod attempt;
 mod driver;
@@ -11,7 +11,7 @@
 use jasmine_core::clock::Millis;
 
 /// `Retry-After` of a stopping VM: short, as the retry reaches another VM.
-const ELSEWHERE: Millis = Millis(20);
+const STOPPING_RETRY_DELAY: Millis = Millis(20);
 
 pub use {
     events::{Event, EventSplitter},
--- a/crates/entry/src/forward/relay.rs
+++ b/crates/entry/src/forward/relay.rs
@@ -1,11 +1,11 @@
 use {
     super::{
         EventSplitter,
-        attempt::{Answering, AttemptContext, Failure},
+        attempt::{AttemptContext, Failure, StartedResponse},
     },
     crate::{
-        caller::AnswerWriter,
-        http1::{AnswerHead, BodyReader},
+        caller::ResponseWriter,
+        http1::{BodyReader, ResponseHead},
     },
     bytes::BytesMut,
     jasmine_core::{clock::Millis, scheduler::Outcome},
@@ -14,9 +14,9 @@
 };
 
 /// Read timeout of a resumable stream, as a multiple of its gap objective.
-const SILENCE: u64 = 5;
+const READ_TIMEOUT_GAPS: u64 = 5;
 /// Gap objective of routes without one.
-const USUAL_PAUSE: Millis = Millis(500);
+const DEFAULT_GAP_OBJECTIVE: Millis = Millis(500);
 
 /// The part of a stream that was forwarded to the caller.
 #[derive(Debug, Default)]
@@ -32,20 +32,20 @@
 }
 
 /// Why a stream ended early.
-pub(super) enum RelayEnd {
+pub(super) enum RelayError {
     /// The upstream failed.
     Upstream(Failure),
     /// The caller has disconnected.
     Caller(io::Error),
 }
 
-impl From<io::Error> for RelayEnd {
+impl From<io::Error> for RelayError {
     fn from(e: io::Error) -> Self {
         Self::Caller(e)
     }
 }
 
-impl From<Failure> for RelayEnd {
+impl From<Failure> for RelayError {
     fn from(failure: Failure) -> Self {
         Self::Upstream(failure)
     }
@@ -54,16 +54,16 @@
 /// Forwards a stream's events as they arrive, until its end.
 pub(super) async fn relay(
     attempt: &AttemptContext<'_>,
-    mut answering: Answering,
+    mut response: StartedResponse,
     progress: &mut Progress,
-    out: &mut AnswerWriter<'_>,
-) -> Result<(), RelayEnd> {
-    let mut reader = BodyReader::new(answering.head.framing);
+    out: &mut ResponseWriter<'_>,
+) -> Result<(), RelayError> {
+    let mut reader = BodyReader::new(response.head.framing);
     let mut splitter = EventSplitter::default();
     loop {
         let part = timeout(
-            pause(attempt, progress),
-            answering.connection.body(&mut reader),
+            read_timeout(attempt, progress),
+            response.connection.body(&mut reader),
         )
         .await;
         let part = match part {
@@ -78,32 +78,34 @@
         }
         let ready = take_events(&mut splitter, progress);
         if !ready.is_empty() {
-            pass_on(attempt, &answering.head, progress, out, &ready).await?;
+            forward_data(attempt, &response.head, progress, out, &ready).await?;
         }
     }
-    let rest = splitter.rest();
+    let rest = splitter.take_remainder();
     if !rest.is_empty() || !out.has_begun() {
-        pass_on(attempt, &answering.head, progress, out, &rest).await?;
+        forward_data(attempt, &response.head, progress, out, &rest).await?;
     }
     out.end_stream().await?;
-    attempt.keep(answering);
+    attempt.release(response);
     Ok(())
 }
 
 /// Timeout of the next read.
-fn pause(
+fn read_timeout(
     attempt: &AttemptContext<'_>,
     progress: &Progress,
 ) -> Duration {
     if !attempt.req.is_resumable() {
-        return attempt.left();
+        return attempt.time_left();
     }
     let route = &attempt.req.route;
-    let longest = match progress.first_at {
+    let idle_timeout = match progress.first_at {
         None => route.objective,
-        Some(_) => Millis(route.gap_objective.unwrap_or(USUAL_PAUSE).0 * SILENCE),
+        Some(_) => {
+            Millis(route.gap_objective.unwrap_or(DEFAULT_GAP_OBJECTIVE).0 * READ_TIMEOUT_GAPS)
+        }
     };
-    attempt.left().min(longest.to_std())
+    attempt.time_left().min(idle_timeout.to_std())
 }
 
 /// Takes the complete events that weren't forwarded yet.
@@ -113,9 +115,9 @@
 ) -> BytesMut {
     let mut ready = BytesMut::new();
     while let Some(event) = splitter.next_event() {
-        let is_known =
+        let is_forwarded =
             matches!((event.id, progress.last_event), (Some(id), Some(last)) if id <= last);
-        if is_known {
+        if is_forwarded {
             continue;
         }
         progress.last_event = event.id.or(progress.last_event);
@@ -126,16 +128,16 @@
 }
 
 /// Forwards data; the head goes out with the first event, as a retry may replace it until then.
-async fn pass_on(
+async fn forward_data(
     attempt: &AttemptContext<'_>,
-    head: &AnswerHead,
+    head: &ResponseHead,
     progress: &mut Progress,
-    out: &mut AnswerWriter<'_>,
+    out: &mut ResponseWriter<'_>,
     data: &[u8],
 ) -> io::Result<()> {
     let now = attempt.cx.clock.now();
     if let Some(last) = progress.last_at.replace(now) {
-        attempt.cx.metrics.gap(attempt.req, now.since(last));
+        attempt.cx.metrics.record_gap(attempt.req, now.since(last));
     }
     if progress.first_at.is_none() {
         progress.first_at = Some(now);
--- a/crates/entry/src/forward/request.rs
+++ b/crates/entry/src/forward/request.rs
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// The refusal: no route or service, a missing or unknown key, or no request id.
-    pub fn judge(
+    pub fn from_incoming(
         incoming: IncomingRequest,
         caller: CallerHeaders,
         config: &IngressConfig,
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind.is_stream()
     }
@@ -101,7 +101,7 @@
     }
 
     /// Builds the scheduler's description of attempt number `attempt`.
-    pub fn job(
+    pub fn job_spec(
         &self,
         attempt: u32,
         avoid: &[String],
@@ -112,7 +112,7 @@
         JobSpec {
             number: 0,
             account: self.account.clone(),
-            caller: self.tag(),
+            caller: self.caller_fingerprint(),
             cost: self.cost,
             service: self.service.clone(),
             generation: self.generation(),
@@ -137,7 +137,7 @@
     }
 
     /// A hash of key, target and body that identifies a retry by the caller under another request id.
-    fn tag(&self) -> u64 {
+    fn caller_fingerprint(&self) -> u64 {
         let key = self.caller.key.as_deref().unwrap_or_default();
         let target = &self.incoming.head.target;
         let parts = format!("{key}\n{target}\n{:?}", self.caller.parts);
--- a/crates/entry/src/forward/serve.rs
+++ b/crates/entry/src/forward/serve.rs
@@ -1,7 +1,7 @@
 use {
-    super::{ELSEWHERE, ForwardRequest, driver::Driver},
+    super::{ForwardRequest, STOPPING_RETRY_DELAY, driver::Driver},
     crate::{
-        caller::{AnswerWriter, IncomingRequest, OwnAnswer},
+        caller::{ErrorResponse, IncomingRequest, ResponseWriter},
         context::{Context, StopStage},
     },
     jasmine_core::{
@@ -14,41 +14,45 @@
 };
 
 /// How long a request waits for the first configuration of a VM that has just started.
-const FIRST_CONFIG: Millis = Millis(300);
+const FIRST_CONFIG_TIMEOUT: Millis = Millis(300);
 /// `Retry-After` of a VM without configuration; the retry is likely to reach another VM.
-const ELSEWHERE_SOON: Millis = Millis(250);
+const NO_CONFIG_RETRY_DELAY: Millis = Millis(250);
 
 /// Serves one request of a caller.
 ///
 /// # Errors
 ///
-/// If the caller has disconnected or an answer was cut off.
+/// If the caller has disconnected or a response was cut off.
 pub async fn serve_request(
     cx: &Rc<Context>,
     incoming: IncomingRequest,
-    out: &mut AnswerWriter<'_>,
+    out: &mut ResponseWriter<'_>,
 ) -> io::Result<()> {
     let caller = CallerHeaders::read(incoming.head.headers.pairs());
     let id = caller.request_id.clone();
     let now = cx.clock.now();
-    let judged = match cx.config_soon(FIRST_CONFIG).await {
+    let validated = match cx.config_within(FIRST_CONFIG_TIMEOUT).await {
         // A request that begins this late could be cut off by the exit of the process.
-        _ if cx.stop_stage() >= StopStage::Closing => {
-            Err(Refusal::after(ErrorKind::ShuttingDown, ELSEWHERE))
-        }
-        None => Err(Refusal::after(ErrorKind::ConfigUnavailable, ELSEWHERE_SOON)),
-        Some(config) => ForwardRequest::judge(incoming, caller, &config, now),
+        _ if cx.stop_stage() >= StopStage::Closing => Err(Refusal::after(
+            ErrorKind::ShuttingDown,
+            STOPPING_RETRY_DELAY,
+        )),
+        None => Err(Refusal::after(
+            ErrorKind::ConfigUnavailable,
+            NO_CONFIG_RETRY_DELAY,
+        )),
+        Some(config) => ForwardRequest::from_incoming(incoming, caller, &config, now),
     };
-    match judged {
+    match validated {
         Ok(req) => Driver::new(cx, req).run(out).await,
         Err(refusal) => {
-            cx.metrics.refused(refusal, None);
+            cx.metrics.count_refused(refusal, None);
             Line::new("request_refused")
                 .with("id", id.as_deref().unwrap_or("-"))
                 .with("kind", refusal.kind)
                 .with("config", cx.config().map_or(0, |config| config.version.0))
                 .info();
-            out.refuse(OwnAnswer(refusal), id.as_deref()).await
+            out.write_error(ErrorResponse(refusal), id.as_deref()).await
         }
     }
 }
--- a/crates/entry/src/http1/body_reader.rs
+++ b/crates/entry/src/http1/body_reader.rs
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// [`HttpError::Truncated`], unless the framing is [`Framing::UntilClose`].
-    pub const fn at_close(&self) -> Result<(), HttpError> {
+    pub const fn check_close(&self) -> Result<(), HttpError> {
         match self {
             Self::UntilClose => Ok(()),
             Self::Length(_) | Self::Chunked(_) => Err(HttpError::Truncated),
--- a/crates/entry/src/http1/chunked.rs
+++ b/crates/entry/src/http1/chunked.rs
@@ -66,16 +66,16 @@
                     self.state = State::Size;
                 }
                 State::Size => {
-                    let Some(line) = line(buf, MAX_SIZE_LINE)? else {
+                    let Some(line) = take_line(buf, MAX_SIZE_LINE)? else {
                         return Ok(None);
                     };
-                    self.state = match size(&line)? {
+                    self.state = match parse_size(&line)? {
                         0 => State::Trailers(0),
                         size => State::Data(size),
                     };
                 }
                 State::Trailers(seen) => {
-                    let Some(line) = line(buf, MAX_TRAILERS)? else {
+                    let Some(line) = take_line(buf, MAX_TRAILERS)? else {
                         return Ok(None);
                     };
                     let seen = seen + line.len();
@@ -96,7 +96,7 @@
 }
 
 /// Takes a complete line out of `buf`, without CRLF; none if more data is needed.
-fn line(
+fn take_line(
     buf: &mut BytesMut,
     max: usize,
 ) -> Result<Option<Bytes>, HttpError> {
@@ -116,7 +116,7 @@
 }
 
 /// Parses a chunk size, ignoring chunk extensions.
-fn size(line: &[u8]) -> Result<u64, HttpError> {
+fn parse_size(line: &[u8]) -> Result<u64, HttpError> {
     let digits = line.split(|&byte| byte == b';').next().unwrap_or_default();
     let is_plain = !digits.is_empty()
         && digits.len() <= MAX_DIGITS
--- a/crates/entry/src/http1/framing.rs
+++ b/crates/entry/src/http1/framing.rs
@@ -12,7 +12,7 @@
     Length(u64),
     /// The body is in the chunked transfer coding.
     Chunked,
-    /// The body ends with the connection; answers only.
+    /// The body ends with the connection; responses only.
     UntilClose,
 }
 
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Determines the framing of an answer to a `method` request.
+    /// Determines the framing of a response to a `method` request.
     ///
     /// # Errors
     ///
     /// [`HttpError::Malformed`] if the framing is ambiguous, as for requests.
-    pub fn of_answer(
+    pub fn of_response(
         headers: &Headers,
         status: u16,
         method: &str,
--- a/crates/entry/src/http1/header.rs
+++ b/crates/entry/src/http1/header.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the single value of this name as text; none if there are several.
-    pub fn only(
+    pub fn single(
         &self,
         name: &str,
     ) -> Option<&str> {
@@ -50,17 +50,17 @@
     }
 
     /// Whether a comma-separated header contains this element, ignoring case.
-    pub fn lists(
+    pub fn has_element(
         &self,
         name: &str,
         word: &str,
     ) -> bool {
-        self.words(name)
+        self.elements(name)
             .any(|found| found.eq_ignore_ascii_case(word))
     }
 
     /// Returns the elements of a comma-separated header.
-    pub fn words<'a>(
+    pub fn elements<'a>(
         &'a self,
         name: &'a str,
     ) -> impl Iterator<Item = &'a str> {
@@ -80,7 +80,7 @@
     /// Iterates over the end-to-end headers, with their names in lower case.
     pub fn end_to_end(&self) -> impl Iterator<Item = (String, &Header)> {
         let named: Vec<String> = self
-            .words("connection")
+            .elements("connection")
             .map(str::to_ascii_lowercase)
             .collect();
         self.0.iter().filter_map(move |header| {
@@ -93,7 +93,7 @@
 }
 
 /// Copies the parsed header lines.
-pub(super) fn collect(parsed: &[httparse::Header<'_>]) -> Headers {
+pub(super) fn copy_headers(parsed: &[httparse::Header<'_>]) -> Headers {
     let headers = parsed.iter().map(|header| Header {
         name: header.name.to_owned(),
         value: header.value.to_vec(),
--- a/crates/entry/src/http1/mod.rs
+++ b/crates/entry/src/http1/mod.rs
@@ -3,20 +3,20 @@
 //! Ambiguous messages are rejected to prevent request smuggling: the daemon and the other side must agree on where a
 //! message ends. Lines are parsed by `httparse`; framing and further checks are done here.
 
-mod answer_head;
 mod body_reader;
 mod chunked;
 mod error;
 mod framing;
 mod header;
 mod request_head;
+mod response_head;
 
 pub use {
-    answer_head::{AnswerHead, parse_answer_head},
     body_reader::{BodyPart, BodyReader},
     chunked::ChunkedDecoder,
     error::HttpError,
     framing::Framing,
     header::{Header, Headers},
     request_head::{RequestHead, parse_request_head},
+    response_head::{ResponseHead, parse_response_head},
 };
--- a/crates/entry/src/http1/request_head.rs
+++ b/crates/entry/src/http1/request_head.rs
@@ -1,4 +1,4 @@
-use super::{Framing, Headers, HttpError, header::collect};
+use super::{Framing, Headers, HttpError, header::copy_headers};
 
 /// Most header lines of a message.
 pub(super) const MAX_HEADERS: usize = 100;
@@ -21,17 +21,17 @@
 impl RequestHead {
     /// The value of the `Host` header; empty without one.
     pub fn host(&self) -> &str {
-        self.headers.only("host").unwrap_or_default()
+        self.headers.single("host").unwrap_or_default()
     }
 
     /// Whether the caller keeps the connection open.
     pub fn keeps_connection(&self) -> bool {
-        self.minor_version == 1 && !self.headers.lists("connection", "close")
+        self.minor_version == 1 && !self.headers.has_element("connection", "close")
     }
 
     /// Whether the caller waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
-        self.headers.lists("expect", "100-continue")
+        self.headers.has_element("expect", "100-continue")
     }
 }
 
@@ -61,7 +61,7 @@
     else {
         return Err(HttpError::Malformed);
     };
-    let headers = collect(parsed.headers);
+    let headers = copy_headers(parsed.headers);
     let has_one_host = headers.all("host").count() == 1;
     if !target.starts_with('/') || (minor_version == 1 && !has_one_host) {
         return Err(HttpError::Malformed);
--- a/crates/entry/src/http1/answer_head.rs
+++ b/crates/entry/src/http1/response_head.rs
@@ -1,15 +1,15 @@
 use super::{
     Framing, Headers, HttpError,
-    header::collect,
+    header::copy_headers,
     request_head::{MAX_HEADERS, head_len},
 };
 
 /// The largest head accepted, in bytes.
 const MAX_HEAD: usize = 64 << 10;
 
-/// The parsed head of an answer.
+/// The parsed head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// The reason phrase.
@@ -22,17 +22,17 @@
     pub keeps_connection: bool,
 }
 
-/// Parses the head of an answer to a `method` request at the start of `buf`.
+/// Parses the head of a response to a `method` request at the start of `buf`.
 ///
 /// Returns the head and its length in bytes, or none if it is incomplete.
 ///
 /// # Errors
 ///
 /// [`HttpError`], if the head is too large, malformed or ambiguous.
-pub fn parse_answer_head(
+pub fn parse_response_head(
     buf: &[u8],
     method: &str,
-) -> Result<Option<(AnswerHead, usize)>, HttpError> {
+) -> Result<Option<(ResponseHead, usize)>, HttpError> {
     let Some(len) = head_len(buf, MAX_HEAD)? else {
         return Ok(None);
     };
@@ -45,12 +45,12 @@
     let (Some(status), Some(minor_version)) = (parsed.code, parsed.version) else {
         return Err(HttpError::Malformed);
     };
-    let headers = collect(parsed.headers);
-    let framing = Framing::of_answer(&headers, status, method)?;
+    let headers = copy_headers(parsed.headers);
+    let framing = Framing::of_response(&headers, status, method)?;
     let keeps_connection = minor_version == 1
         && framing != Framing::UntilClose
-        && !headers.lists("connection", "close");
-    let head = AnswerHead {
+        && !headers.has_element("connection", "close");
+    let head = ResponseHead {
         status,
         reason: parsed.reason.unwrap_or_default().to_owned(),
         headers,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
 //! The daemon of the entry VMs: a reverse proxy with scheduling, on the users' platform.
 //!
 //! It accepts callers' requests, finds their route and client account, asks the scheduler for an upstream and
-//! forwards request and answer. One of the daemons is elected scheduler through the store. A daemon keeps no
+//! forwards request and response. One of the daemons is elected scheduler through the store. A daemon keeps no
 //! persistent state of its own.
 //!
 //! Everything runs on one thread: the VMs have a quarter of a core.
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The daemon's metrics and their Prometheus endpoint.
 
 use {
-    crate::{caller::accept_each, context::Context, forward::ForwardRequest},
+    crate::{caller::accept_loop, context::Context, forward::ForwardRequest},
     jasmine_core::{
         clock::Millis,
         error::Refusal,
@@ -22,12 +22,12 @@
     },
 };
 
-/// Most label sets with histograms of their own; further accounts share [`OTHER`].
-const MAX_ACCOUNTS: usize = 64;
+/// Most label sets with histograms of their own; further accounts share [`OTHER_ACCOUNT`].
+const MAX_LABEL_SETS: usize = 64;
 /// Account label of further accounts and of requests without one.
-const OTHER: &str = "other";
+const OTHER_ACCOUNT: &str = "other";
 /// Timeout of one scrape.
-const READ_LIMIT: Millis = Millis(2_000);
+const SCRAPE_TIMEOUT: Millis = Millis(2_000);
 
 /// The daemon's instruments.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
     }
 
     /// Counts an attempt by its outcome.
-    pub fn attempt(
+    pub fn count_attempt(
         &self,
         outcome: Outcome,
     ) {
@@ -133,16 +133,17 @@
     }
 
     /// Counts a refused request by error kind and account.
-    pub fn refused(
+    pub fn count_refused(
         &self,
         refusal: Refusal,
         account: Option<&str>,
     ) {
-        self.refusals.count(refusal.kind, account.unwrap_or(OTHER));
+        self.refusals
+            .count(refusal.kind, account.unwrap_or(OTHER_ACCOUNT));
     }
 
     /// Records an answered request with its queue wait and, for streams, the time to the first event.
-    pub fn answered(
+    pub fn record_answered(
         &self,
         req: &ForwardRequest,
         waited: Millis,
@@ -158,7 +159,7 @@
     }
 
     /// Records the time between two parts of a stream.
-    pub fn gap(
+    pub fn record_gap(
         &self,
         req: &ForwardRequest,
         gap: Millis,
@@ -199,13 +200,13 @@
             CallKind::NonIdempotent => "non_idempotent",
             CallKind::Stream { .. } => "stream",
         };
-        let account = req.account.as_deref().unwrap_or(OTHER);
+        let account = req.account.as_deref().unwrap_or(OTHER_ACCOUNT);
         let mut labels = self.labels.borrow_mut();
         let is_known = labels.contains_key(&(account.to_owned(), class));
-        let account = if is_known || labels.len() < MAX_ACCOUNTS {
+        let account = if is_known || labels.len() < MAX_LABEL_SETS {
             account
         } else {
-            OTHER
+            OTHER_ACCOUNT
         };
         labels
             .entry((account.to_owned(), class))
@@ -219,17 +220,17 @@
     cx: Rc<Context>,
     listener: TcpListener,
 ) {
-    accept_each(listener, |stream| {
+    accept_loop(listener, |stream| {
         let cx = Rc::clone(&cx);
         spawn_local(async move {
             // Clients that don't send a request or don't read the response are dropped.
-            let _elapsed = timeout(READ_LIMIT.to_std(), answer(&cx, stream)).await;
+            let _elapsed = timeout(SCRAPE_TIMEOUT.to_std(), serve_scrape(&cx, stream)).await;
         });
     })
     .await;
 }
 
-async fn answer(
+async fn serve_scrape(
     cx: &Context,
     mut stream: TcpStream,
 ) -> io::Result<()> {
--- a/crates/entry/src/store/lead.rs
+++ b/crates/entry/src/store/election.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         Feed, KvStore, Membership,
-        membership::{LAST_KEY, LEADER_KEY},
-        relay::Relay,
+        lease_relay::LeaseRelay,
+        membership::{LAST_LEADER_KEY, LEADER_KEY},
     },
     crate::context::Context,
     futures::{FutureExt, future::select_ok},
@@ -16,91 +16,99 @@
 };
 
 /// Time to live of the leader's lease; bounds the time without a scheduler after the leader is suspended.
-const LEASE: Millis = Millis(1_200);
+const LEADER_LEASE_TTL: Millis = Millis(1_200);
 /// How often the leader's lease is renewed.
-const RENEW_EVERY: Millis = Millis(300);
+const RENEW_INTERVAL: Millis = Millis(300);
 /// Timeout of a renewal, short enough for two of them to fail before the lease expires.
-const RENEWAL: Millis = Millis(350);
+const RENEW_TIMEOUT: Millis = Millis(350);
 /// How long before its expiry the lease stops being valid for orders to engines that don't check fencing tokens.
 ///
 /// Covers the transit time of an order and the clock drift between VM and store.
-const MARGIN: Millis = Millis(200);
+const LEASE_SAFETY_MARGIN: Millis = Millis(200);
 /// How often a VM checks whether it may campaign, without a notification.
-const LOOK_EVERY: Millis = Millis(400);
+const ELECTION_CHECK_INTERVAL: Millis = Millis(400);
 /// How often the first candidates read the key of an unresponsive leader, which is faster than batched changes.
-const ASK_EVERY: Millis = Millis(150);
+const LEADER_KEY_POLL_INTERVAL: Millis = Millis(150);
 /// Delay between successive candidates' first reads of the key.
-const ASK_TURN: Millis = Millis(700);
+const LEADER_KEY_POLL_DELAY_STEP: Millis = Millis(700);
 /// Candidates that read the key.
-const ASKERS: usize = 3;
+const MAX_LEADER_KEY_POLLERS: usize = 3;
 /// Silence after which this VM's own connection to the leader is presumed broken.
-const ASK_FOR: Millis = Millis(4_000);
+const MAX_LEADER_SILENCE: Millis = Millis(4_000);
 
 /// Campaigns when there is no leader and renews the lease while this VM leads; never returns.
-pub async fn keep_lead(
+pub async fn run_election(
     cx: Rc<Context>,
     store: KvStore,
     membership: Rc<Membership>,
     feed: Rc<Feed>,
 ) {
-    let relay = Relay::new(Rc::clone(&cx));
-    let lead = Lead {
+    let lease_relay = LeaseRelay::new(Rc::clone(&cx));
+    let election = Election {
         cx,
         store,
         membership,
         feed,
-        relay,
-        is_cut_off: Cell::new(false),
+        lease_relay,
+        is_store_unreachable: Cell::new(false),
     };
     loop {
-        if lead.membership.may_stand(&lead.cx) && !lead.is_newcomer().await {
-            lead.stand().await;
+        if election.membership.can_campaign(&election.cx)
+            && !election.is_leader_known_to_peers().await
+        {
+            election.campaign().await;
         }
-        match lead.membership.lead_lease.get() {
-            Some(lease) if lead.cx.scheduling.is_leading() => lead.keep(lease).await,
-            _ => lead.wait().await,
+        match election.membership.leader_lease.get() {
+            Some(lease) if election.cx.scheduling.is_leading() => {
+                election.renew_until_lost(lease).await
+            }
+            _ => election.wait().await,
         }
     }
 }
 
-struct Lead {
+struct Election {
     cx: Rc<Context>,
     store: KvStore,
     membership: Rc<Membership>,
     feed: Rc<Feed>,
-    relay: Relay,
+    lease_relay: LeaseRelay,
     /// Whether the last direct renewal failed.
-    is_cut_off: Cell<bool>,
+    is_store_unreachable: Cell<bool>,
 }
 
-impl Lead {
+impl Election {
     /// Waits until there may be no leader.
     async fn wait(&self) {
-        if self.asks_now() {
-            sleep(ASK_EVERY.to_std()).await;
-            return self.ask().await;
+        if self.is_poll_due() {
+            sleep(LEADER_KEY_POLL_INTERVAL.to_std()).await;
+            return self.poll_leader_key().await;
         }
-        let woken = timeout(LOOK_EVERY.to_std(), self.membership.changed.notified()).await;
+        let woken = timeout(
+            ELECTION_CHECK_INTERVAL.to_std(),
+            self.membership.leader_gone.notified(),
+        )
+        .await;
         if woken.is_ok() {
-            let turn = self.membership.turn(&self.cx);
-            sleep(turn.min(LOOK_EVERY).to_std()).await;
+            let election_delay = self.membership.election_delay(&self.cx);
+            sleep(election_delay.min(ELECTION_CHECK_INTERVAL).to_std()).await;
         }
     }
 
     /// Whether the leader is unresponsive and it is this VM's turn to read its key.
-    fn asks_now(&self) -> bool {
+    fn is_poll_due(&self) -> bool {
         let Some(silent) = self.cx.scheduling.leader_silent_for() else {
             return false;
         };
-        let before = self.membership.before_me(&self.cx);
+        let before = self.membership.candidates_before_me(&self.cx);
         self.membership.has_other_leader()
-            && before < ASKERS
-            && silent >= Millis(ASK_TURN.0 * before as u64)
-            && silent < ASK_FOR
+            && before < MAX_LEADER_KEY_POLLERS
+            && silent >= Millis(LEADER_KEY_POLL_DELAY_STEP.0 * before as u64)
+            && silent < MAX_LEADER_SILENCE
     }
 
     /// Reads the leader key.
-    async fn ask(&self) {
+    async fn poll_leader_key(&self) {
         match self.store.range(Range::key(LEADER_KEY)).await {
             Ok(reply) => match reply.kvs.first() {
                 Some(kv) => self.membership.set_leader(&self.cx, kv),
@@ -111,24 +119,24 @@
     }
 
     /// Renews the lease until it has expired or another VM leads.
-    async fn keep(
+    async fn renew_until_lost(
         &self,
         lease: Lease,
     ) {
         while self.cx.scheduling.is_leading() {
-            sleep(RENEW_EVERY.to_std()).await;
+            sleep(RENEW_INTERVAL.to_std()).await;
             let sent = self.cx.clock.now();
             match self.renew(lease.id).await {
-                Ok(Some(lease)) => self.lasts_from(sent, lease),
+                Ok(Some(lease)) => self.extend_validity(sent, lease),
                 Ok(None) => {
                     Line::new("lead_lapsed").with("lease", lease.id).warn();
-                    self.membership.lead_lease.set(None);
+                    self.membership.leader_lease.set(None);
                     return self.membership.remove_leader();
                 }
                 Err(e) => Line::new("renewal_failed").with("reason", e).info(),
             }
         }
-        self.give_back(lease).await;
+        self.revoke_lease(lease).await;
     }
 
     /// Renews the lease directly and, if that fails, through another VM.
@@ -138,59 +146,62 @@
         &self,
         id: LeaseId,
     ) -> Result<Option<Lease>, StoreError> {
-        let own = self.renew_directly(id);
-        if !self.is_cut_off.get() {
-            let renewed = own.await;
+        let direct = self.renew_directly(id);
+        if !self.is_store_unreachable.get() {
+            let renewed = direct.await;
             return match renewed {
                 Err(e) if !self.feed.is_current() => Err(e),
-                Err(_) => self.relay.renew(id).await,
+                Err(_) => self.lease_relay.renew(id).await,
                 renewed => renewed,
             };
         }
         if !self.feed.is_current() {
-            return own.await;
+            return direct.await;
         }
-        let ways = [own.boxed_local(), self.relay.renew(id).boxed_local()];
-        select_ok(ways).await.map(|(renewed, _)| renewed)
+        let attempts = [
+            direct.boxed_local(),
+            self.lease_relay.renew(id).boxed_local(),
+        ];
+        select_ok(attempts).await.map(|(renewed, _)| renewed)
     }
 
     async fn renew_directly(
         &self,
         id: LeaseId,
     ) -> Result<Option<Lease>, StoreError> {
-        let renewed = self.store.renew(id, RENEWAL).await;
-        self.is_cut_off.set(renewed.is_err());
+        let renewed = self.store.renew(id, RENEW_TIMEOUT).await;
+        self.is_store_unreachable.set(renewed.is_err());
         if renewed.is_err() {
-            self.feed.doubt_store();
+            self.feed.report_store_failure();
         }
         renewed
     }
 
-    fn granted(
+    fn activate_lease(
         &self,
         sent: Millis,
         lease: Lease,
     ) -> Lease {
-        self.lasts_from(sent, lease);
+        self.extend_validity(sent, lease);
         lease
     }
 
     /// Extends the lease's validity, counted from when the call was `sent`, before the store received it.
-    fn lasts_from(
+    fn extend_validity(
         &self,
         sent: Millis,
         lease: Lease,
     ) {
-        let surely = lease.ttl.since(MARGIN);
-        self.cx.scheduling.set_lease_valid_until(sent + surely);
+        let valid_for = lease.ttl.since(LEASE_SAFETY_MARGIN);
+        self.cx.scheduling.set_lease_valid_until(sent + valid_for);
     }
 
     /// Revokes a lease that is no longer needed; it expires by itself if this fails.
-    async fn give_back(
+    async fn revoke_lease(
         &self,
         lease: Lease,
     ) {
-        self.membership.lead_lease.set(None);
+        self.membership.leader_lease.set(None);
         if let Err(e) = self.store.revoke(lease.id).await {
             Line::new("lease_not_ended").with("reason", e).info();
         }
@@ -199,43 +210,43 @@
     /// Whether this VM is new and other VMs know a leader.
     ///
     /// Prevents a VM that starts during a planned leader change from being elected without the handed-over state.
-    async fn is_newcomer(&self) -> bool {
-        self.membership.knows_no_leader(&self.cx) && self.cx.scheduling.ask_for_leader().await
+    async fn is_leader_known_to_peers(&self) -> bool {
+        self.membership.is_new_without_leader(&self.cx) && self.cx.scheduling.ask_for_leader().await
     }
 
     /// Campaigns once, and waits if the store fails.
-    async fn stand(&self) {
-        match self.try_stand().await {
+    async fn campaign(&self) {
+        match self.try_campaign().await {
             Ok(()) => {}
             Err(e) => {
                 Line::new("election_failed").with("reason", e).info();
-                sleep(RENEW_EVERY.to_std()).await;
+                sleep(RENEW_INTERVAL.to_std()).await;
             }
         }
     }
 
-    async fn try_stand(&self) -> Result<(), StoreError> {
-        let ttl = LEASE.max(self.cx.settings.least_lease_ms);
+    async fn try_campaign(&self) -> Result<(), StoreError> {
+        let ttl = LEADER_LEASE_TTL.max(self.cx.settings.least_lease_ms);
         let sent = self.cx.clock.now();
-        let lease = match self.membership.lead_lease.get() {
+        let lease = match self.membership.leader_lease.get() {
             Some(lease) => lease,
-            None => self.granted(sent, self.store.grant(ttl).await?),
+            None => self.activate_lease(sent, self.store.grant(ttl).await?),
         };
-        self.membership.lead_lease.set(Some(lease));
+        self.membership.leader_lease.set(Some(lease));
         let key = LEADER_KEY.to_owned();
         let compare = match self.membership.predecessor() {
             Some(revision) => Compare::ModRevision(key, revision),
             None => Compare::Absent(key),
         };
         // Another VM may have led since this one read the key, so the transaction compares its revision.
-        let last = self.membership.last_was_me();
-        let claim = last.map(|revision| Compare::ModRevision(LAST_KEY.to_owned(), revision));
+        let last = self.membership.own_last_leader_revision();
+        let claim = last.map(|revision| Compare::ModRevision(LAST_LEADER_KEY.to_owned(), revision));
         let me = self.membership.me();
         let txn = Txn {
             compare: std::iter::once(compare).chain(claim).collect(),
             success: vec![
                 Op::put_leased(LEADER_KEY, me.encode(), lease.id),
-                Op::put(LAST_KEY, me.machine()),
+                Op::put(LAST_LEADER_KEY, me.host_identity()),
             ],
             failure: Vec::new(),
         };
@@ -245,24 +256,24 @@
                 // If the response was lost, the lease of the leader key shows the outcome. If the lease has
                 // expired, a new one is needed.
                 if e.is_not_done() {
-                    self.membership.lead_lease.set(None);
+                    self.membership.leader_lease.set(None);
                 }
                 return Err(e);
             }
         };
         if reply.succeeded {
             self.membership
-                .take_lead(&self.cx, Fence(reply.revision), last.is_some());
+                .assume_leadership(&self.cx, Fence(reply.revision), last.is_some());
             return Ok(());
         }
         for kv in reply.reads.iter().flatten() {
             match kv.key.as_str() {
-                LAST_KEY => self.membership.set_last(kv),
+                LAST_LEADER_KEY => self.membership.set_last_leader(kv),
                 _ => self.membership.set_leader(&self.cx, kv),
             }
         }
         if !self.cx.scheduling.is_leading() {
-            self.give_back(lease).await;
+            self.revoke_lease(lease).await;
         }
         Ok(())
     }
--- a/crates/entry/src/store/feed/served.rs
+++ b/crates/entry/src/store/feed/change_feed.rs
@@ -1,5 +1,5 @@
 use {
-    super::FeedAnswer,
+    super::FeedReply,
     crate::clock::Clock,
     jasmine_core::{
         clock::Millis,
@@ -22,7 +22,7 @@
 /// Gives another VM of its data centre time to read the store in its place.
 const CURRENT_PERCENT: u64 = 150;
 /// How long a recovery of the store is reported to other VMs.
-const BACK_TOLD: Millis = Millis(10_000);
+const RECOVERY_REPORT_TIMEOUT: Millis = Millis(10_000);
 
 /// The latest store changes, kept for this VM and served to those that follow it.
 #[derive(Debug)]
@@ -30,41 +30,41 @@
     clock: Clock,
     recent: RefCell<RecentChanges<WatchEvent>>,
     /// Wakes held requests when the feed's state changes.
-    news: watch::Sender<u64>,
+    wakeup: watch::Sender<u64>,
     /// Whether this VM follows the store directly.
     is_reading: Cell<bool>,
     /// When [`Self::is_reading`] last changed.
     reading_since: Cell<Millis>,
     has_stopped: Cell<bool>,
     /// When the store last responded to this VM.
-    answered_at: Cell<Millis>,
+    responded_at: Cell<Millis>,
     /// When this VM last heard from the store, directly or through another VM.
-    heard_at: Cell<Millis>,
+    last_contact_at: Cell<Millis>,
     /// Notified when a call to the store outside the watch fails.
-    doubted: Notify,
+    store_failure: Notify,
     /// When the store last recovered from an outage.
-    back_at: Cell<Option<Millis>>,
+    recovered_at: Cell<Option<Millis>>,
     stale_after: Millis,
     /// Allowed propagation time of a change.
-    in_force: Millis,
+    max_propagation_delay: Millis,
 }
 
 impl Feed {
-    /// Creates an empty feed; `in_force` is the allowed propagation time of a change.
-    pub fn new(in_force: Millis) -> Self {
+    /// Creates an empty feed; `max_propagation_delay` is the allowed propagation time of a change.
+    pub fn new(max_propagation_delay: Millis) -> Self {
         Self {
             clock: Clock,
             recent: RefCell::default(),
-            news: watch::Sender::default(),
+            wakeup: watch::Sender::default(),
             is_reading: Cell::new(false),
             reading_since: Cell::new(Millis::ZERO),
             has_stopped: Cell::new(false),
-            answered_at: Cell::new(Millis::ZERO),
-            heard_at: Cell::new(Millis::ZERO),
-            doubted: Notify::new(),
-            back_at: Cell::new(None),
-            stale_after: Millis(in_force.0 * STALE_PERCENT / 100),
-            in_force,
+            responded_at: Cell::new(Millis::ZERO),
+            last_contact_at: Cell::new(Millis::ZERO),
+            store_failure: Notify::new(),
+            recovered_at: Cell::new(None),
+            stale_after: Millis(max_propagation_delay.0 * STALE_PERCENT / 100),
+            max_propagation_delay,
         }
     }
 
@@ -107,42 +107,42 @@
         revision: u64,
     ) {
         self.recent.borrow_mut().advance(revision, self.clock.now());
-        self.news.send_modify(|count| *count += 1);
+        self.wakeup.send_modify(|count| *count += 1);
     }
 
     /// Records that the store has just responded to this VM.
-    pub(crate) fn answered(&self) {
-        self.answered_at.set(self.clock.now());
-        self.heard();
+    pub(crate) fn record_response(&self) {
+        self.responded_at.set(self.clock.now());
+        self.record_contact();
     }
 
     /// Records that this VM has just heard from the store, directly or through another VM.
-    pub(crate) fn heard(&self) {
-        self.heard_at.set(self.clock.now());
+    pub(crate) fn record_contact(&self) {
+        self.last_contact_at.set(self.clock.now());
     }
 
     /// Whether this VM has recently heard from the store, directly or through another VM.
     pub(crate) fn is_current(&self) -> bool {
-        self.clock.now().since(self.heard_at.get())
-            < Millis(self.in_force.0 * CURRENT_PERCENT / 100)
+        self.clock.now().since(self.last_contact_at.get())
+            < Millis(self.max_propagation_delay.0 * CURRENT_PERCENT / 100)
     }
 
     /// Reports that a call to the store outside the watch failed.
-    pub(crate) fn doubt_store(&self) {
-        self.doubted.notify_one();
+    pub(crate) fn report_store_failure(&self) {
+        self.store_failure.notify_one();
     }
 
-    /// Waits for the next report by [`Self::doubt_store`].
-    pub(crate) async fn store_doubted(&self) {
-        self.doubted.notified().await;
+    /// Waits for the next report by [`Self::report_store_failure`].
+    pub(crate) async fn store_failure_reported(&self) {
+        self.store_failure.notified().await;
     }
 
     /// Records when the store recovered from an outage.
-    pub(crate) fn came_back(
+    pub(crate) fn set_recovered_at(
         &self,
         at: Millis,
     ) {
-        self.back_at.set(Some(at));
+        self.recovered_at.set(Some(at));
     }
 
     /// Whether this VM follows the store directly.
@@ -157,14 +157,14 @@
     ) {
         if self.is_reading.replace(is_reading) != is_reading {
             self.reading_since.set(self.clock.now());
-            self.news.send_modify(|count| *count += 1);
+            self.wakeup.send_modify(|count| *count += 1);
         }
     }
 
     /// Stops serving changes to other VMs.
     pub fn stop(&self) {
         self.has_stopped.set(true);
-        self.news.send_modify(|count| *count += 1);
+        self.wakeup.send_modify(|count| *count += 1);
     }
 
     /// Returns the changes after a revision, waiting up to `wait` for the first one that isn't minor.
@@ -173,60 +173,60 @@
         after: u64,
         minor_after: Option<u64>,
         wait: Millis,
-    ) -> FeedAnswer {
+    ) -> FeedReply {
         let until = self.clock.now() + wait;
-        let mut news = self.news.subscribe();
+        let mut wakeup = self.wakeup.subscribe();
         loop {
-            news.mark_unchanged();
+            wakeup.mark_unchanged();
             let now = self.clock.now();
-            let stale_at = self.answered_at.get() + self.stale_after;
-            if let Some(answer) = self.answer(after, minor_after, now, stale_at, until) {
-                return answer;
+            let stale_at = self.responded_at.get() + self.stale_after;
+            if let Some(reply) = self.reply(after, minor_after, now, stale_at, until) {
+                return reply;
             }
             let pause = until.min(stale_at).since(now).max(Millis(1));
             // The state is checked again after a change and after the timeout.
-            let _either = timeout(pause.to_std(), news.changed()).await;
+            let _either = timeout(pause.to_std(), wakeup.changed()).await;
         }
     }
 
-    fn answer(
+    fn reply(
         &self,
         after: u64,
         minor_after: Option<u64>,
         now: Millis,
         stale_at: Millis,
         until: Millis,
-    ) -> Option<FeedAnswer> {
+    ) -> Option<FeedReply> {
         if !self.is_reading.get() || self.has_stopped.get() {
-            return Some(FeedAnswer::Unknown(SourceFailure::NotReading));
+            return Some(FeedReply::Unknown(SourceFailure::NotReading));
         }
         if now >= stale_at {
             // A VM that has just switched to the store has no response yet, which doesn't mean that the store is lost.
-            let has_begun = now < self.reading_since.get() + self.stale_after;
-            let why = if has_begun {
+            let has_just_switched = now < self.reading_since.get() + self.stale_after;
+            let why = if has_just_switched {
                 SourceFailure::NotReading
             } else {
                 SourceFailure::Stale
             };
-            return Some(FeedAnswer::Unknown(why));
+            return Some(FeedReply::Unknown(why));
         }
         let recent = self.recent.borrow();
         match recent.since(after, minor_after) {
-            ChangesSince::Gone => Some(FeedAnswer::Unknown(SourceFailure::HistoryGone)),
+            ChangesSince::Gone => Some(FeedReply::Unknown(SourceFailure::HistoryGone)),
             ChangesSince::Changes(events) if events.is_empty() && now < until => None,
-            ChangesSince::Changes(events) => Some(FeedAnswer::Changes {
+            ChangesSince::Changes(events) => Some(FeedReply::Changes {
                 revision: recent.revision(),
-                since_back: self.since_back(now),
+                since_recovery: self.since_recovery(now),
                 events,
             }),
         }
     }
 
-    fn since_back(
+    fn since_recovery(
         &self,
         now: Millis,
     ) -> Option<Millis> {
-        let since = now.since(self.back_at.get()?);
-        (since < BACK_TOLD).then_some(since)
+        let since = now.since(self.recovered_at.get()?);
+        (since < RECOVERY_REPORT_TIMEOUT).then_some(since)
     }
 }
--- a/crates/entry/src/store/feed/convert.rs
+++ b/crates/entry/src/store/feed/convert.rs
@@ -1,7 +1,7 @@
 //! Conversion of store changes to and from RPC messages between VMs.
 
 use {
-    super::FeedAnswer,
+    super::FeedReply,
     jasmine_core::{clock::Millis, feed::SourceFailure},
     jasmine_store::store::{KeyValue, WatchEvent},
     jasmine_wire::{
@@ -10,8 +10,8 @@
     },
 };
 
-/// Wire value of `since_back` if the store didn't recover recently, in milliseconds.
-const LONG_AGO: u32 = u32::MAX;
+/// Wire value of `since_recovery` if the store didn't recover recently, in milliseconds.
+const NO_RECENT_RECOVERY: u32 = u32::MAX;
 
 /// Requests the changes after a revision from a VM, which may hold the request for `wait`.
 ///
@@ -23,14 +23,14 @@
     after: u64,
     minor_after: Option<u64>,
     wait: Millis,
-) -> Result<FeedAnswer, LinkError> {
+) -> Result<FeedReply, LinkError> {
     link.call(wait, |client| async move {
         let mut req = client.changes_request();
         req.get().set_after(after);
         req.get().set_minor_after(minor_after.unwrap_or_default());
         req.get().set_wait_ms(wait.0 as u32);
         let res = req.send().promise.await?;
-        read_answer(res.get()?)
+        read_reply(res.get()?)
     })
     .await
 }
@@ -38,22 +38,22 @@
 /// Writes the reply to [`ask_peer`].
 pub(crate) fn write_answer(
     mut to: scheduler::changes_results::Builder<'_>,
-    answer: &FeedAnswer,
+    reply: &FeedReply,
 ) {
-    match answer {
-        FeedAnswer::Unknown(SourceFailure::Stale) => to.set_state(FeedState::Stale),
-        FeedAnswer::Unknown(SourceFailure::HistoryGone) => to.set_state(FeedState::HistoryGone),
-        FeedAnswer::Unknown(SourceFailure::NotReading | SourceFailure::Unreachable) => {
+    match reply {
+        FeedReply::Unknown(SourceFailure::Stale) => to.set_state(FeedState::Stale),
+        FeedReply::Unknown(SourceFailure::HistoryGone) => to.set_state(FeedState::HistoryGone),
+        FeedReply::Unknown(SourceFailure::NotReading | SourceFailure::Unreachable) => {
             to.set_state(FeedState::NotReading);
         }
-        FeedAnswer::Changes {
+        FeedReply::Changes {
             revision,
-            since_back,
+            since_recovery,
             events,
         } => {
             to.set_state(FeedState::Current);
             to.set_revision(*revision);
-            to.set_since_back_ms(since_back.map_or(LONG_AGO, |ms| ms.0 as u32));
+            to.set_since_back_ms(since_recovery.map_or(NO_RECENT_RECOVERY, |ms| ms.0 as u32));
             let mut list = to.init_changes(events.len() as u32);
             for (at, event) in events.iter().enumerate() {
                 write_change(list.reborrow().get(at as u32), event);
@@ -62,7 +62,7 @@
     }
 }
 
-fn read_answer(from: scheduler::changes_results::Reader<'_>) -> Result<FeedAnswer, capnp::Error> {
+fn read_reply(from: scheduler::changes_results::Reader<'_>) -> Result<FeedReply, capnp::Error> {
     let failure = match from.get_state()? {
         FeedState::Current => None,
         FeedState::Stale => Some(SourceFailure::Stale),
@@ -70,17 +70,17 @@
         FeedState::HistoryGone => Some(SourceFailure::HistoryGone),
     };
     if let Some(failure) = failure {
-        return Ok(FeedAnswer::Unknown(failure));
+        return Ok(FeedReply::Unknown(failure));
     }
-    let since_back = match from.get_since_back_ms() {
-        LONG_AGO => None,
+    let since_recovery = match from.get_since_back_ms() {
+        NO_RECENT_RECOVERY => None,
         ms => Some(Millis(ms.into())),
     };
     let events: Result<Vec<WatchEvent>, capnp::Error> =
         from.get_changes()?.iter().map(read_change).collect();
-    Ok(FeedAnswer::Changes {
+    Ok(FeedReply::Changes {
         revision: from.get_revision(),
-        since_back,
+        since_recovery,
         events: events?,
     })
 }
--- a/crates/entry/src/store/feed/mod.rs
+++ b/crates/entry/src/store/feed/mod.rs
@@ -1,9 +1,9 @@
 //! Relaying of store changes between VMs.
 
-mod answer;
+mod change_feed;
 mod convert;
-mod served;
+mod reply;
 
 pub(super) use convert::ask_peer;
 pub(crate) use convert::write_answer;
-pub use {answer::FeedAnswer, served::Feed};
+pub use {change_feed::Feed, reply::FeedReply};
--- a/crates/entry/src/store/feed/answer.rs
+++ b/crates/entry/src/store/feed/reply.rs
@@ -5,13 +5,13 @@
 
 /// A VM's reply to another VM's request for changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FeedAnswer {
+pub enum FeedReply {
     /// All changes up to a revision.
     Changes {
         /// The store revision up to which the changes are complete.
         revision: u64,
         /// Time since the store last recovered from an outage; none if it didn't recently.
-        since_back: Option<Millis>,
+        since_recovery: Option<Millis>,
         /// The last change of each key.
         events: Vec<WatchEvent>,
     },
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Feed, FeedAnswer, KvStore, Membership, VmEntry, feed::ask_peer, view::View},
+    super::{Feed, FeedPeer, FeedReply, KvStore, Membership, feed::ask_peer, view::View},
     crate::context::Context,
     futures::StreamExt,
     jasmine_core::{
@@ -18,14 +18,14 @@
 };
 
 /// Prefix of all keys, so that one watch covers configuration, upstreams and VMs.
-const EVERYTHING: &str = "";
+const ALL_KEYS: &str = "";
 /// Pause after a watch that returned changes, in percent of the allowed propagation time: batches bursts of changes.
-const PAUSE_PERCENT: u64 = 32;
+const BATCH_DELAY_PERCENT: u64 = 32;
 /// Bounds of the backoff after failed calls.
-const RETRY_FIRST: Millis = Millis(150);
-const RETRY_MOST: Millis = Millis(600);
+const MIN_RETRY_DELAY: Millis = Millis(150);
+const MAX_RETRY_DELAY: Millis = Millis(600);
 /// Options of the links to other VMs; the call timeout is on top of the long-poll timeout.
-const PEER_LINK: LinkOptions = LinkOptions {
+const PEER_LINK_OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(300),
     call_timeout: Millis(350),
     // Longer than a long poll, which itself shows that the VM is alive.
@@ -34,29 +34,29 @@
     backoff_most: Millis(200),
 };
 /// Long-poll timeout at another VM. A suspended VM is detected after this plus the call timeout.
-const HELD: Millis = Millis(300);
+const LONG_POLL_TIMEOUT: Millis = Millis(300);
 /// Pause before a leader that has lost the store looks again for a VM that reads it.
-const READERS_PAUSE: Millis = Millis(60);
+const READER_SEARCH_DELAY: Millis = Millis(60);
 /// How often minor changes (what engines hold) are requested too, in case this VM has to schedule on its own.
-const MINOR_EVERY: Millis = Millis(3_000);
+const MINOR_CHANGES_INTERVAL: Millis = Millis(3_000);
 
 /// Delay between successive VMs' reads of upstreams that they don't need at once.
 ///
 /// Prevents hundreds of VMs that start together from saturating the store and delaying the election.
-const READ_EACH: Millis = Millis(40);
+const READ_STAGGER_DELAY: Millis = Millis(40);
 /// Time without a leader after which VMs that aren't candidates read all upstreams too.
-const LEADERLESS: Millis = Millis(800);
+const LEADERLESS_TIMEOUT: Millis = Millis(800);
 /// Most revisions of skipped minor changes that are read when this VM switches to the store.
-const MAX_CAUGHT_UP: u64 = 1_000;
+const MAX_MINOR_CATCH_UP: u64 = 1_000;
 
 type PeerLink = Link<scheduler::Client>;
 
 /// What follows a step of following the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    GoOn,
+    Continue,
     /// The store has compacted the next revision: everything has to be read again.
-    ReadAnew,
+    Reload,
 }
 
 /// The revisions up to which this VM has applied changes.
@@ -71,7 +71,7 @@
 impl Position {
     /// The first revision to read from the store: includes skipped minor changes unless there are too many.
     const fn read_from(self) -> u64 {
-        if self.after - self.minor_after <= MAX_CAUGHT_UP {
+        if self.after - self.minor_after <= MAX_MINOR_CATCH_UP {
             self.minor_after + 1
         } else {
             self.after + 1
@@ -90,16 +90,16 @@
     links: HashMap<VmRank, PeerLink>,
     position: Position,
     /// The upstreams that are still to be read.
-    unread: Option<Unread>,
+    remaining: Option<RemainingUpstreams>,
 }
 
 /// Upstream entries that this VM hasn't read yet.
 #[derive(Debug)]
-struct Unread {
+struct RemainingUpstreams {
     /// The last key that was read.
     after: String,
     /// When they are read even if this VM doesn't need them.
-    due: Millis,
+    read_by: Millis,
 }
 
 /// Follows all changes of the store, directly or through another VM; never returns.
@@ -112,10 +112,10 @@
     let view = View::new(Rc::clone(&cx), Rc::clone(&membership), Rc::clone(&feed));
     let mut follower = Follower {
         choice: SourceChoice::new(membership.rank()),
-        backoff: Backoff::new(RETRY_FIRST, RETRY_MOST),
+        backoff: Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
         links: HashMap::new(),
         position: Position::default(),
-        unread: None,
+        remaining: None,
         view: Rc::new(view),
         cx,
         store,
@@ -123,7 +123,7 @@
         feed,
     };
     loop {
-        match follower.read_anew().await {
+        match follower.reload().await {
             Ok(()) => follower.follow().await,
             Err(e) => follower.store_failed(&e).await,
         }
@@ -132,35 +132,35 @@
 
 impl Follower {
     /// Reads the store up to the first page with upstreams, and sets the position to that revision.
-    async fn read_anew(&mut self) -> Result<(), StoreError> {
-        let mut reply = self.store.page(EVERYTHING, None).await?;
-        while reply.more && !has_upstreams(&reply) {
+    async fn reload(&mut self) -> Result<(), StoreError> {
+        let mut reply = self.store.read_page(ALL_KEYS, None).await?;
+        while reply.more && !reaches_upstreams(&reply) {
             let after = reply.kvs.last().map(|kv| kv.key.clone());
-            let page = self.store.page(EVERYTHING, after.as_deref()).await?;
+            let page = self.store.read_page(ALL_KEYS, after.as_deref()).await?;
             reply.kvs.extend(page.kvs);
             reply.more = page.more;
         }
         self.view.reset(&reply).await;
-        self.moved_to(reply.revision, Some(reply.revision));
+        self.set_position(reply.revision, Some(reply.revision));
         let last = reply.kvs.last().filter(|_| reply.more);
-        self.unread = last.map(|kv| Unread {
+        self.remaining = last.map(|kv| RemainingUpstreams {
             after: kv.key.clone(),
-            due: self.cx.clock.now() + self.membership.share_of(READ_EACH),
+            read_by: self.cx.clock.now() + self.membership.stagger_delay(READ_STAGGER_DELAY),
         });
         Ok(())
     }
 
     /// Reads the remaining upstreams if this VM needs them or their time has come.
-    async fn read_rest(&mut self) -> Result<(), StoreError> {
-        while let Some(Unread { after, due }) = &self.unread
-            && (self.needs_upstreams() || self.cx.clock.now() >= *due)
+    async fn read_remaining(&mut self) -> Result<(), StoreError> {
+        while let Some(RemainingUpstreams { after, read_by }) = &self.remaining
+            && (self.needs_upstreams() || self.cx.clock.now() >= *read_by)
         {
-            let page = self.store.page(EVERYTHING, Some(after)).await?;
-            self.view.take_found(&page).await;
+            let page = self.store.read_page(ALL_KEYS, Some(after)).await?;
+            self.view.apply_page(&page).await;
             let last = page.kvs.last().filter(|_| page.more);
-            self.unread = last.map(|kv| Unread {
+            self.remaining = last.map(|kv| RemainingUpstreams {
                 after: kv.key.clone(),
-                due: *due,
+                read_by: *read_by,
             });
         }
         Ok(())
@@ -173,39 +173,39 @@
         self.feed.is_reading()
             || scheduling.is_leading()
             || alone.is_some() && self.membership.is_candidate(&self.cx)
-            || alone >= Some(LEADERLESS + self.membership.share_of(READ_EACH))
+            || alone >= Some(LEADERLESS_TIMEOUT + self.membership.stagger_delay(READ_STAGGER_DELAY))
     }
 
     /// Follows changes until the store has compacted the next one.
     async fn follow(&mut self) {
         loop {
-            let mut peers = self.membership.peers_here();
+            let mut peers = self.membership.local_peers();
             let now = self.cx.clock.now();
-            let leads = self.cx.scheduling.is_leading();
-            let source = if leads {
+            let is_leading = self.cx.scheduling.is_leading();
+            let source = if is_leading {
                 // Local VMs may have followed this one, while readers in other data centres have the changes already.
-                let elsewhere = self.membership.readers_elsewhere();
-                let order = elsewhere.keys().chain(peers.keys());
+                let remote = self.membership.remote_readers();
+                let order = remote.keys().chain(peers.keys());
                 let source = self.choice.choose_for_scheduler(order.copied(), now);
-                peers.extend(elsewhere);
+                peers.extend(remote);
                 source
             } else {
                 Some(self.choice.choose(peers.keys().copied(), now))
             };
             self.feed.set_reading(source == Some(Source::Store));
-            if let Err(e) = self.read_rest().await {
+            if let Err(e) = self.read_remaining().await {
                 self.store_failed(&e).await;
             }
             let Some(source) = source else {
                 // VMs that followed this one need a moment to start reading the store themselves.
-                sleep(READERS_PAUSE.to_std()).await;
+                sleep(READER_SEARCH_DELAY.to_std()).await;
                 continue;
             };
             let step = match source {
                 Source::Store => self.watch_store().await,
-                Source::Vm(rank) => self.ask_vm(rank, &peers[&rank]).await,
+                Source::Vm(rank) => self.poll_vm(rank, &peers[&rank]).await,
             };
-            if step == Step::ReadAnew {
+            if step == Step::Reload {
                 return;
             }
         }
@@ -216,7 +216,7 @@
         let batch = tokio::select! {
             batch = self.next_batch(next) => batch,
             // A lease renewal detects a dead connection before the watch does.
-            () = self.feed.store_doubted() => {
+            () = self.feed.store_failure_reported() => {
                 Err(StoreError::OutcomeUnknown("a renewal has failed".to_owned()))
             }
         };
@@ -224,12 +224,12 @@
             Ok(batch) => {
                 self.choice.store_responded();
                 self.backoff.reset();
-                self.view.note_back();
-                self.take_batch(&batch).await
+                self.view.record_store_response();
+                self.apply_batch(&batch).await
             }
             Err(e) => {
                 self.store_failed(&e).await;
-                Step::GoOn
+                Step::Continue
             }
         }
     }
@@ -238,12 +238,12 @@
         &self,
         next: u64,
     ) -> Result<WatchBatch, StoreError> {
-        let mut batches = self.store.watch(Range::key(EVERYTHING), next).await?;
+        let mut batches = self.store.watch(Range::key(ALL_KEYS), next).await?;
         let ended = || StoreError::OutcomeUnknown("the watch ended".to_owned());
         batches.next().await.unwrap_or_else(|| Err(ended()))
     }
 
-    async fn take_batch(
+    async fn apply_batch(
         &mut self,
         batch: &WatchBatch,
     ) -> Step {
@@ -251,15 +251,15 @@
             Line::new("history_lost")
                 .with("revision", self.position.minor_after)
                 .warn();
-            return Step::ReadAnew;
+            return Step::Reload;
         }
-        self.view.take_all(&batch.events).await;
-        self.moved_to(batch.revision, Some(batch.revision));
+        self.view.apply_all(&batch.events).await;
+        self.set_position(batch.revision, Some(batch.revision));
         if !batch.events.is_empty() {
-            let pause = self.cx.settings.change_ms.0 * PAUSE_PERCENT / 100;
+            let pause = self.cx.settings.change_ms.0 * BATCH_DELAY_PERCENT / 100;
             sleep(Millis(pause).to_std()).await;
         }
-        Step::GoOn
+        Step::Continue
     }
 
     async fn store_failed(
@@ -267,44 +267,50 @@
         e: &StoreError,
     ) {
         self.choice.store_failed(self.cx.clock.now());
-        self.view.note_away(e);
+        self.view.record_outage(e);
         sleep(self.backoff.next_pause().to_std()).await;
     }
 
-    async fn ask_vm(
+    async fn poll_vm(
         &mut self,
         rank: VmRank,
-        vm: &VmEntry,
+        vm: &FeedPeer,
     ) -> Step {
         let now = self.cx.clock.now();
-        let asks_minor = now.since(self.position.minor_at) >= MINOR_EVERY;
-        let minor_after = asks_minor.then_some(self.position.minor_after);
+        let includes_minor = now.since(self.position.minor_at) >= MINOR_CHANGES_INTERVAL;
+        let minor_after = includes_minor.then_some(self.position.minor_after);
         let after = self.position.after;
-        let answer = ask_peer(self.link(rank, vm.address), after, minor_after, HELD).await;
-        match answer {
-            Ok(FeedAnswer::Changes {
+        let reply = ask_peer(
+            self.link(rank, vm.address),
+            after,
+            minor_after,
+            LONG_POLL_TIMEOUT,
+        )
+        .await;
+        match reply {
+            Ok(FeedReply::Changes {
                 revision,
-                since_back,
+                since_recovery,
                 events,
             }) => {
-                self.feed.heard();
-                if let Some(since) = since_back {
-                    self.view.note_back_elsewhere(since);
+                self.feed.record_contact();
+                if let Some(since) = since_recovery {
+                    self.view.record_remote_recovery(since);
                 }
-                self.view.take_all(&events).await;
-                let minor = asks_minor.then(|| minor_position(revision, &events));
-                self.moved_to(revision, minor);
+                self.view.apply_all(&events).await;
+                let minor = includes_minor.then(|| minor_position(revision, &events));
+                self.set_position(revision, minor);
             }
-            Ok(FeedAnswer::Unknown(why)) => self.vm_failed(rank, vm, why, &why.to_string()),
+            Ok(FeedReply::Unknown(why)) => self.vm_failed(rank, vm, why, &why.to_string()),
             Err(e) => self.vm_failed(rank, vm, SourceFailure::Unreachable, &e.to_string()),
         }
-        Step::GoOn
+        Step::Continue
     }
 
     fn vm_failed(
         &mut self,
         rank: VmRank,
-        vm: &VmEntry,
+        vm: &FeedPeer,
         why: SourceFailure,
         reason: &str,
     ) {
@@ -321,7 +327,7 @@
         }
     }
 
-    fn moved_to(
+    fn set_position(
         &mut self,
         revision: u64,
         minor: Option<u64>,
@@ -353,7 +359,7 @@
         }
         self.links
             .entry(rank)
-            .or_insert_with(|| PeerLink::new(address, PEER_LINK))
+            .or_insert_with(|| PeerLink::new(address, PEER_LINK_OPTIONS))
     }
 }
 
@@ -371,7 +377,7 @@
 }
 
 /// Whether a reply reaches the upstreams, the last keys in order that VMs follow.
-fn has_upstreams(reply: &RangeReply) -> bool {
+fn reaches_upstreams(reply: &RangeReply) -> bool {
     let last = reply.kvs.last();
     last.is_some_and(|kv| kv.key.as_str() >= entries::PREFIX)
 }
--- a/crates/entry/src/store/kv_store.rs
+++ b/crates/entry/src/store/kv_store.rs
@@ -26,21 +26,21 @@
 struct Inner {
     address: SocketAddr,
     /// Long-poll timeout of a watch; bounds the time until a dead connection is detected.
-    watch_held: Millis,
+    watch_timeout: Millis,
     pool: Pool,
 }
 
 impl KvStore {
     /// Creates a client of the service at `address` that connects on first use.
     ///
-    /// The service is asked to hold watches for `watch_held`.
+    /// The service is asked to hold watches for `watch_timeout`.
     pub fn new(
         address: SocketAddr,
-        watch_held: Millis,
+        watch_timeout: Millis,
     ) -> Self {
         let inner = Inner {
             address,
-            watch_held,
+            watch_timeout,
             pool: Pool::default(),
         };
         Self {
@@ -49,8 +49,8 @@
     }
 
     /// Closes connections that have exceeded their idle timeout.
-    pub fn sweep(&self) {
-        self.inner.pool.sweep();
+    pub fn close_expired(&self) {
+        self.inner.pool.close_expired();
     }
 
     /// Renews a lease with the timeout `limit`; returns none if it has expired.
@@ -65,7 +65,7 @@
         id: LeaseId,
         limit: Millis,
     ) -> Result<Option<Lease>, StoreError> {
-        let (status, body) = self.call_within(&encode_keep(id), limit).await?;
+        let (status, body) = self.call_with_timeout(&encode_keep(id), limit).await?;
         decode_keep(id, status, &body)
     }
 
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// [`StoreError`].
-    pub async fn page(
+    pub async fn read_page(
         &self,
         prefix: &str,
         after: Option<&str>,
@@ -87,11 +87,11 @@
         &self,
         call: &Call,
     ) -> Result<(u16, bytes::Bytes), StoreError> {
-        self.call_within(call, CALL_TIMEOUT).await
+        self.call_with_timeout(call, CALL_TIMEOUT).await
     }
 
     /// Makes a call with the timeout `limit`, on top of the time for which it asks to be held.
-    async fn call_within(
+    async fn call_with_timeout(
         &self,
         call: &Call,
         limit: Millis,
@@ -111,14 +111,14 @@
         })
     }
 
-    async fn pages(
+    async fn read_all_pages(
         &self,
         prefix: &str,
     ) -> Result<RangeReply, StoreError> {
         let mut all = RangeReply::default();
         loop {
             let after = all.kvs.last().map(|kv| kv.key.clone());
-            let page = self.page(prefix, after.as_deref()).await?;
+            let page = self.read_page(prefix, after.as_deref()).await?;
             // Pages are not a snapshot, so a watch has to start from the first page's revision.
             if after.is_none() {
                 all.revision = page.revision;
@@ -140,7 +140,7 @@
         &self,
         range: Range,
     ) -> StoreFuture<'_, RangeReply> {
-        Box::pin(async move { self.pages(&range.start).await })
+        Box::pin(async move { self.read_all_pages(&range.start).await })
     }
 
     fn txn(
@@ -194,7 +194,7 @@
         let watch: WatchStream = Box::pin(stream::try_unfold(
             state,
             |(store, prefix, after)| async move {
-                let call = encode_watch(&prefix, after, store.inner.watch_held);
+                let call = encode_watch(&prefix, after, store.inner.watch_timeout);
                 let (status, body) = store.call(&call).await?;
                 let batch = decode_watch(status, &body)?;
                 let after = batch.revision.max(after);
--- a/crates/entry/src/store/relay.rs
+++ b/crates/entry/src/store/lease_relay.rs
@@ -15,7 +15,7 @@
 };
 
 /// Options of the links to other VMs; the call timeout includes their own call to the store.
-const LINK: LinkOptions = LinkOptions {
+const RELAY_LINK_OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(100),
     call_timeout: Millis(300),
     heartbeat: Millis(60_000),
@@ -23,10 +23,10 @@
     backoff_most: Millis(200),
 };
 /// VMs tried in turn for one renewal.
-const TRIED: usize = 2;
+const MAX_RELAY_ATTEMPTS: usize = 2;
 
 /// Renews leases through other VMs while this VM can't reach the store.
-pub(super) struct Relay {
+pub(super) struct LeaseRelay {
     cx: Rc<Context>,
     /// The link to the VM that forwarded the last renewal.
     link: RefCell<Option<Rc<Link<scheduler::Client>>>>,
@@ -34,7 +34,7 @@
     asked: Cell<usize>,
 }
 
-impl Relay {
+impl LeaseRelay {
     pub(super) fn new(cx: Rc<Context>) -> Self {
         Self {
             cx,
@@ -48,8 +48,8 @@
         &self,
         id: LeaseId,
     ) -> Result<Option<Lease>, StoreError> {
-        for _ in 0..TRIED {
-            let Some(link) = self.known().or_else(|| self.next()) else {
+        for _ in 0..MAX_RELAY_ATTEMPTS {
+            let Some(link) = self.last_link().or_else(|| self.next_link()) else {
                 break;
             };
             match call_renew(&link, id).await {
@@ -71,11 +71,11 @@
         ))
     }
 
-    fn known(&self) -> Option<Rc<Link<scheduler::Client>>> {
+    fn last_link(&self) -> Option<Rc<Link<scheduler::Client>>> {
         self.link.borrow().clone()
     }
 
-    fn next(&self) -> Option<Rc<Link<scheduler::Client>>> {
+    fn next_link(&self) -> Option<Rc<Link<scheduler::Client>>> {
         let me = self.cx.scheduling.me();
         let vms = self.cx.scheduling.vms();
         let others: Vec<SocketAddr> = vms
@@ -85,7 +85,7 @@
             .collect();
         let asked = self.asked.replace(self.asked.get() + 1);
         let address = *others.get(asked.checked_rem(others.len())?)?;
-        Some(Rc::new(Link::new(address, LINK)))
+        Some(Rc::new(Link::new(address, RELAY_LINK_OPTIONS)))
     }
 }
 
@@ -93,7 +93,7 @@
     link: &Link<scheduler::Client>,
     id: LeaseId,
 ) -> Result<Option<Lease>, StoreError> {
-    let answer = link
+    let reply = link
         .call(Millis::ZERO, |client| async move {
             let mut req = client.renew_request();
             req.get().set_lease(id.0);
@@ -102,7 +102,7 @@
             Ok((res.get_state()?, Millis(res.get_ttl_ms().into())))
         })
         .await;
-    match answer {
+    match reply {
         Ok((RenewalState::Renewed, ttl)) => Ok(Some(Lease { id, ttl })),
         Ok((RenewalState::Ended, _)) => Ok(None),
         Ok((RenewalState::Unknown, _)) => Err(StoreError::OutcomeUnknown(
--- a/crates/entry/src/store/member_lease.rs
+++ b/crates/entry/src/store/member_lease.rs
@@ -12,25 +12,25 @@
 };
 
 /// Time to live of a VM's lease. Long to limit store load: failed VMs are detected by their silence, not by this.
-const LEASE: Millis = Millis(6_000);
+const VM_LEASE_TTL: Millis = Millis(6_000);
 /// How often the lease is renewed; two renewals may fail before it expires.
-const RENEW_EVERY: Millis = Millis(1_800);
+const RENEW_INTERVAL: Millis = Millis(1_800);
 /// Bounds of the backoff after failed calls.
-const RETRY_FIRST: Millis = Millis(200);
-const RETRY_MOST: Millis = Millis(800);
+const MIN_RETRY_DELAY: Millis = Millis(200);
+const MAX_RETRY_DELAY: Millis = Millis(800);
 
 /// Keeps this VM registered in the store; never returns.
-pub async fn keep_membership(
+pub async fn keep_registered(
     cx: Rc<Context>,
     store: KvStore,
     membership: Rc<Membership>,
 ) {
-    let mut backoff = Backoff::new(RETRY_FIRST, RETRY_MOST);
+    let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     loop {
-        match enter(&cx, &store, &membership).await {
+        match register(&cx, &store, &membership).await {
             Ok(lease) => {
                 backoff.reset();
-                stay(&store, &membership, lease).await;
+                renew_until_expired(&store, &membership, lease).await;
             }
             Err(e) => {
                 Line::new("lease_failed").with("reason", e).warn();
@@ -45,24 +45,24 @@
 /// # Errors
 ///
 /// Any error of the store; the leases then expire by themselves.
-pub async fn leave(
+pub async fn deregister(
     store: &KvStore,
     membership: &Membership,
 ) -> Result<(), StoreError> {
     // The leader's lease first, so that another VM can be elected.
-    let leases = [membership.lead_lease.take(), membership.lease.take()];
+    let leases = [membership.leader_lease.take(), membership.lease.take()];
     for lease in leases.into_iter().flatten() {
         store.revoke(lease.id).await?;
     }
     Ok(())
 }
 
-async fn enter(
+async fn register(
     cx: &Context,
     store: &KvStore,
     membership: &Membership,
 ) -> Result<Lease, StoreError> {
-    let ttl = LEASE.max(cx.settings.least_lease_ms);
+    let ttl = VM_LEASE_TTL.max(cx.settings.least_lease_ms);
     let lease = store.grant(ttl).await?;
     membership.lease.set(Some(lease));
     let me = membership.me();
@@ -80,13 +80,13 @@
 }
 
 /// Renews the lease until it has expired.
-async fn stay(
+async fn renew_until_expired(
     store: &KvStore,
     membership: &Membership,
     lease: Lease,
 ) {
     loop {
-        sleep(RENEW_EVERY.to_std()).await;
+        sleep(RENEW_INTERVAL.to_std()).await;
         match store.keep_alive(lease.id).await {
             Ok(Some(_)) => {}
             Ok(None) => {
--- a/crates/entry/src/store/membership.rs
+++ b/crates/entry/src/store/membership.rs
@@ -1,5 +1,5 @@
 use {
-    super::{VmEntry, VmRecord},
+    super::{FeedPeer, VmRecord},
     crate::{clock::Clock, context::Context, scheduling::Leader},
     jasmine_core::{clock::Millis, feed::VmRank, ids::Fence, scheduler::RateShare},
     jasmine_store::store::{KeyValue, Lease, LeaseId},
@@ -20,29 +20,29 @@
 pub const LEADER_KEY: &str = "jasmine/scheduler";
 
 /// Key of the last elected leader. Written with each election and not bound to a lease.
-pub const LAST_KEY: &str = "jasmine/last-scheduler";
+pub const LAST_LEADER_KEY: &str = "jasmine/last-scheduler";
 
 /// Delay between the candidacies of successive VMs, so that usually only the first one calls the store.
-const TURN: Millis = Millis(80);
+const ELECTION_DELAY_STEP: Millis = Millis(80);
 /// Extra delay on VMs that still reach the leader, which may regain a lease that expired during a store outage.
-const INCUMBENT: Millis = Millis(1_500);
+const INCUMBENT_DELAY: Millis = Millis(1_500);
 /// A VM that has run for less than this counts as new.
-const NEW: Millis = Millis(10_000);
+const MAX_NEW_VM_AGE: Millis = Millis(10_000);
 /// Extra election delay on a new VM, which knows less about the state of the engines.
-const NEWCOMER: Millis = Millis(600);
+const NEW_VM_DELAY: Millis = Millis(600);
 /// Extra delay after a full restart on VMs that didn't lead last: the last leader may order engines without the order
 /// gap.
-const LAST_FIRST: Millis = Millis(350);
+const RESTART_DELAY: Millis = Millis(350);
 /// No election before this on the first start of the deployment, so that all VMs can register first.
-const GATHERING: Millis = Millis(1_000);
+const FIRST_ELECTION_DELAY: Millis = Millis(1_000);
 /// Age of a VM after which accounts' rates may have been used, also on the first start of the deployment.
-const FIRST_START: Millis = Millis(9_000);
+const FIRST_START_TIMEOUT: Millis = Millis(9_000);
 
 /// VMs that load all upstreams while there is no leader, to be ready for election.
-const CANDIDATES: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// VMs per remote data centre that are asked for changes when no local VM has them.
-const READERS: usize = 2;
+const MAX_READERS_PER_DATA_CENTRE: usize = 2;
 
 /// The VM records and election state of the store, as this VM knows them.
 #[derive(Debug)]
@@ -56,16 +56,16 @@
     has_leader: Cell<bool>,
     /// Revision of the leader key, if an earlier run on this VM wrote it.
     predecessor: Cell<Option<u64>>,
-    absent_since: Cell<Millis>,
-    /// The last leader's identity and the revision of [`LAST_KEY`].
-    last: RefCell<Option<(String, u64)>>,
+    leaderless_since: Cell<Millis>,
+    /// The last leader's identity and the revision of [`LAST_LEADER_KEY`].
+    last_leader: RefCell<Option<(String, u64)>>,
     vms: RefCell<BTreeMap<String, VmRecord>>,
     /// Notified when there may be no leader any more.
-    pub(super) changed: Notify,
+    pub(super) leader_gone: Notify,
     /// The lease of this VM's record.
     pub(super) lease: Cell<Option<Lease>>,
     /// The lease of the leader key, while this VM leads or campaigns.
-    pub(super) lead_lease: Cell<Option<Lease>>,
+    pub(super) leader_lease: Cell<Option<Lease>>,
 }
 
 impl Membership {
@@ -78,19 +78,19 @@
             is_loaded: Cell::new(false),
             has_leader: Cell::new(false),
             predecessor: Cell::new(None),
-            absent_since: Cell::new(Millis::ZERO),
-            last: RefCell::default(),
+            leaderless_since: Cell::new(Millis::ZERO),
+            last_leader: RefCell::default(),
             vms: RefCell::default(),
-            changed: Notify::new(),
+            leader_gone: Notify::new(),
             lease: Cell::new(None),
-            lead_lease: Cell::new(None),
+            leader_lease: Cell::new(None),
         }
     }
 
     /// Marks the store as read completely: keys that weren't found don't exist.
     pub(super) fn set_loaded(&self) {
         self.is_loaded.set(true);
-        self.changed.notify_one();
+        self.leader_gone.notify_one();
     }
 
     /// Stores a VM's record; [`Self::publish_vms`] passes it to the scheduler.
@@ -102,7 +102,7 @@
             Ok(record) => {
                 self.vms.borrow_mut().insert(record.vm.clone(), record);
             }
-            Err(e) => unreadable(kv, &e),
+            Err(e) => log_unreadable(kv, &e),
         }
     }
 
@@ -144,15 +144,15 @@
     ) {
         let record = match serde_json::from_slice::<VmRecord>(&kv.value) {
             Ok(record) => record,
-            Err(e) => return unreadable(kv, &e),
+            Err(e) => return log_unreadable(kv, &e),
         };
         self.has_leader.set(true);
         // This run could bind the port, so the earlier run has ended and its lease need not expire first.
-        let is_predecessor = record.machine() == self.me.machine() && record != self.me;
+        let is_predecessor = record.host_identity() == self.me.host_identity() && record != self.me;
         self.predecessor
             .set(is_predecessor.then_some(kv.mod_revision));
         if is_predecessor {
-            self.changed.notify_one();
+            self.leader_gone.notify_one();
             return;
         }
         let fence = Fence(kv.mod_revision);
@@ -162,10 +162,10 @@
             .leader()
             .is_none_or(|known| known.fence <= fence);
         let is_mine = is_newest && record == self.me && !cx.scheduling.is_leading();
-        let lease = self.lead_lease.get().map(|lease| lease.id);
+        let lease = self.leader_lease.get().map(|lease| lease.id);
         if is_mine && lease == Some(LeaseId(kv.lease)) {
             // The transaction that wrote it succeeded, but its response was lost.
-            return self.take_lead(cx, fence, false);
+            return self.assume_leadership(cx, fence, false);
         }
         cx.scheduling.observe_leader(Leader {
             vm: record.vm,
@@ -175,59 +175,60 @@
         });
     }
 
-    /// Applies a value of [`LAST_KEY`].
-    pub(super) fn set_last(
+    /// Applies a value of [`LAST_LEADER_KEY`].
+    pub(super) fn set_last_leader(
         &self,
         kv: &KeyValue,
     ) {
-        let machine = String::from_utf8_lossy(&kv.value).into_owned();
+        let host_identity = String::from_utf8_lossy(&kv.value).into_owned();
         let is_newer = self
-            .last
+            .last_leader
             .borrow()
             .as_ref()
             .is_none_or(|&(_, revision)| revision < kv.mod_revision);
         if is_newer {
-            self.last.replace(Some((machine, kv.mod_revision)));
+            self.last_leader
+                .replace(Some((host_identity, kv.mod_revision)));
         }
     }
 
-    /// Returns the revision of [`LAST_KEY`] if an earlier run on this VM was the last leader.
-    pub(super) fn last_was_me(&self) -> Option<u64> {
-        let last = self.last.borrow();
-        let (machine, revision) = last.as_ref()?;
-        (*machine == self.me.machine()).then_some(*revision)
+    /// Returns the revision of [`LAST_LEADER_KEY`] if an earlier run on this VM was the last leader.
+    pub(super) fn own_last_leader_revision(&self) -> Option<u64> {
+        let last = self.last_leader.borrow();
+        let (host_identity, revision) = last.as_ref()?;
+        (*host_identity == self.me.host_identity()).then_some(*revision)
     }
 
     /// Records that the leader key doesn't exist.
     pub(super) fn remove_leader(&self) {
         self.predecessor.set(None);
         // Counted from this VM's first read, so that VMs that start together don't all campaign at once.
-        let is_first_look = self.absent_since.get() == Millis::ZERO;
+        let is_first_look = self.leaderless_since.get() == Millis::ZERO;
         if self.has_leader.replace(false) || is_first_look {
-            self.absent_since.set(self.clock.now());
-            self.changed.notify_one();
+            self.leaderless_since.set(self.clock.now());
+            self.leader_gone.notify_one();
         }
     }
 
-    /// Makes this VM the leader. `claims_last` is set if the election proved that an earlier run on it led last.
-    pub(super) fn take_lead(
+    /// Makes this VM the leader. `was_last_leader` is set if the election proved that an earlier run on it led last.
+    pub(super) fn assume_leadership(
         &self,
         cx: &Context,
         fence: Fence,
-        claims_last: bool,
+        was_last_leader: bool,
     ) {
         self.has_leader.set(true);
-        let continues_own = self.predecessor.take().is_some() || claims_last;
+        let continues_previous_run = self.predecessor.take().is_some() || was_last_leader;
         let age = self.clock.now().since(self.started);
         // An earlier leader may have used up rates and ordered engines.
-        let is_first = cx.scheduling.leader().is_none() && self.last.borrow().is_none();
-        let share = if cx.settings.first_start && age < FIRST_START && is_first {
+        let is_first = cx.scheduling.leader().is_none() && self.last_leader.borrow().is_none();
+        let share = if cx.settings.first_start && age < FIRST_START_TIMEOUT && is_first {
             RateShare::Fresh
         } else {
             RateShare::TakenOver
         };
         cx.scheduling.become_leader(fence, share);
-        if continues_own {
+        if continues_previous_run {
             cx.scheduling.local_scheduler.skip_order_gap();
         }
     }
@@ -243,37 +244,38 @@
     }
 
     /// The other VMs of this data centre, by rank.
-    pub(super) fn peers_here(&self) -> BTreeMap<VmRank, VmEntry> {
+    pub(super) fn local_peers(&self) -> BTreeMap<VmRank, FeedPeer> {
         let vms = self.vms.borrow();
-        let is_here = |vm: &&VmRecord| vm.data_centre == self.me.data_centre && vm.vm != self.me.vm;
-        let entry = |vm: &VmRecord| VmEntry {
+        let is_local =
+            |vm: &&VmRecord| vm.data_centre == self.me.data_centre && vm.vm != self.me.vm;
+        let entry = |vm: &VmRecord| FeedPeer {
             name: vm.vm.clone(),
             address: vm.peers,
         };
         vms.values()
-            .filter(is_here)
+            .filter(is_local)
             .map(|vm| (vm.rank(), entry(vm)))
             .collect()
     }
 
     /// The VMs of other data centres that read the store for their data centre, or are next in rank.
-    pub(super) fn readers_elsewhere(&self) -> BTreeMap<VmRank, VmEntry> {
+    pub(super) fn remote_readers(&self) -> BTreeMap<VmRank, FeedPeer> {
         let vms = self.vms.borrow();
-        let mut by_place: BTreeMap<&str, BTreeMap<VmRank, VmEntry>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<&str, BTreeMap<VmRank, FeedPeer>> = BTreeMap::new();
         for vm in vms
             .values()
             .filter(|vm| vm.data_centre != self.me.data_centre)
         {
-            let entry = VmEntry {
+            let entry = FeedPeer {
                 name: vm.vm.clone(),
                 address: vm.peers,
             };
-            let place = by_place.entry(&vm.data_centre).or_default();
-            place.insert(vm.rank(), entry);
+            let vms_there = by_data_centre.entry(&vm.data_centre).or_default();
+            vms_there.insert(vm.rank(), entry);
         }
-        let readers = by_place
+        let readers = by_data_centre
             .into_values()
-            .flat_map(|place| place.into_iter().take(READERS));
+            .flat_map(|vms_there| vms_there.into_iter().take(MAX_READERS_PER_DATA_CENTRE));
         readers.collect()
     }
 
@@ -287,7 +289,7 @@
     /// Counts the VMs that come before this one in an election.
     ///
     /// VMs with more processor come first; ties are broken by a hash that changes with each election.
-    pub(super) fn before_me(
+    pub(super) fn candidates_before_me(
         &self,
         cx: &Context,
     ) -> usize {
@@ -311,13 +313,13 @@
         &self,
         cx: &Context,
     ) -> bool {
-        self.last_was_me().is_some()
+        self.own_last_leader_revision().is_some()
             || self.predecessor.get().is_some()
-            || self.before_me(cx) < CANDIDATES
+            || self.candidates_before_me(cx) < MAX_CANDIDATES
     }
 
     /// This VM's delay if all VMs act one after the other, `each` apart, in hash order.
-    pub(super) fn share_of(
+    pub(super) fn stagger_delay(
         &self,
         each: Millis,
     ) -> Millis {
@@ -326,38 +328,49 @@
     }
 
     /// How long this VM waits before it campaigns when there is no leader.
-    pub(super) fn turn(
+    pub(super) fn election_delay(
         &self,
         cx: &Context,
     ) -> Millis {
         let leader = cx.scheduling.leader();
         let is_leaving = leader.as_ref().is_some_and(|leader| leader.is_leaving);
-        let incumbent = if cx.scheduling.is_following() && !is_leaving {
-            INCUMBENT
+        let incumbent_delay = if cx.scheduling.is_following() && !is_leaving {
+            INCUMBENT_DELAY
         } else {
             Millis::ZERO
         };
-        let is_new = self.clock.now().since(self.started) < NEW && !self.vms.borrow().is_empty();
-        let newcomer = if is_new && leader.is_some() {
-            NEWCOMER
+        let is_new =
+            self.clock.now().since(self.started) < MAX_NEW_VM_AGE && !self.vms.borrow().is_empty();
+        let new_vm_delay = if is_new && leader.is_some() {
+            NEW_VM_DELAY
         } else {
             Millis::ZERO
         };
         let is_restart = is_new && leader.is_none();
-        match (self.last_was_me().is_some(), self.last.borrow().is_some()) {
+        match (
+            self.own_last_leader_revision().is_some(),
+            self.last_leader.borrow().is_some(),
+        ) {
             (true, _) if is_new => Millis::ZERO,
-            (false, true) if is_restart => Millis(self.before_me(cx) as u64 * TURN.0) + LAST_FIRST,
-            _ => Millis(self.before_me(cx) as u64 * TURN.0) + incumbent + newcomer,
+            (false, true) if is_restart => {
+                Millis(self.candidates_before_me(cx) as u64 * ELECTION_DELAY_STEP.0) + RESTART_DELAY
+            }
+            _ => {
+                Millis(self.candidates_before_me(cx) as u64 * ELECTION_DELAY_STEP.0)
+                    + incumbent_delay
+                    + new_vm_delay
+            }
         }
     }
 
     /// Whether this VM is new, wasn't the last leader and knows no leader.
-    pub(super) fn knows_no_leader(
+    pub(super) fn is_new_without_leader(
         &self,
         cx: &Context,
     ) -> bool {
-        let is_new = self.clock.now().since(self.started) < NEW;
-        let led_last = self.predecessor.get().is_some() || self.last_was_me().is_some();
+        let is_new = self.clock.now().since(self.started) < MAX_NEW_VM_AGE;
+        let led_last =
+            self.predecessor.get().is_some() || self.own_last_leader_revision().is_some();
         is_new && !led_last && cx.scheduling.leader().is_none()
     }
 
@@ -372,20 +385,20 @@
     }
 
     /// Whether this VM may campaign now.
-    pub(super) fn may_stand(
+    pub(super) fn can_campaign(
         &self,
         cx: &Context,
     ) -> bool {
         let now = self.clock.now();
-        let waited = now.since(self.absent_since.get());
-        let is_early = cx.settings.first_start && now.since(self.started) < GATHERING;
-        let is_free = !self.has_leader.get() && !is_early && waited >= self.turn(cx);
+        let waited = now.since(self.leaderless_since.get());
+        let is_early = cx.settings.first_start && now.since(self.started) < FIRST_ELECTION_DELAY;
+        let is_free = !self.has_leader.get() && !is_early && waited >= self.election_delay(cx);
         let is_own = self.predecessor.get().is_some() || cx.scheduling.is_leading();
         self.is_loaded.get() && (is_free || (is_own && !self.has_other_leader()))
     }
 }
 
-fn unreadable(
+fn log_unreadable(
     kv: &KeyValue,
     e: &serde_json::Error,
 ) {
--- a/crates/entry/src/store/mod.rs
+++ b/crates/entry/src/store/mod.rs
@@ -1,22 +1,22 @@
 //! The platform's key-value service: client, replication of its content, registration and leader election.
 
+mod election;
 mod feed;
 mod follower;
 mod kv_store;
-mod lead;
+mod lease_relay;
 mod member_lease;
 mod membership;
-mod relay;
 mod view;
 mod vm_record;
 
 pub(crate) use feed::write_answer;
 pub use {
-    feed::{Feed, FeedAnswer},
+    election::run_election,
+    feed::{Feed, FeedReply},
     follower::follow,
     kv_store::KvStore,
-    lead::keep_lead,
-    member_lease::{keep_membership, leave},
+    member_lease::{deregister, keep_registered},
     membership::Membership,
-    vm_record::{VmEntry, VmRecord},
+    vm_record::{FeedPeer, VmRecord},
 };
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Feed, Membership,
-        membership::{LAST_KEY, LEADER_KEY, VM_PREFIX},
+        membership::{LAST_LEADER_KEY, LEADER_KEY, VM_PREFIX},
     },
     crate::context::Context,
     jasmine_core::{clock::Millis, ingress::UpstreamEntry, scheduler::Announcement},
@@ -20,10 +20,10 @@
 };
 
 /// How long after a store outage an upstream with an expired entry stays in use, so that it can register again.
-const REJOIN: Millis = Millis(2_300);
+const REJOIN_TIMEOUT: Millis = Millis(2_300);
 
 /// Most changes applied before yielding to other tasks.
-const TAKEN_AT_ONCE: usize = 32;
+const MAX_CHANGES_PER_YIELD: usize = 32;
 
 /// Applies the store's content to configuration, scheduler and membership.
 #[derive(Debug)]
@@ -33,10 +33,10 @@
     feed: Rc<Feed>,
     upstreams: RefCell<HashMap<String, UpstreamEntry>>,
     /// Upstreams whose entries expired in a store outage, and when they are removed.
-    lapsed: RefCell<HashMap<String, Millis>>,
+    expired: RefCell<HashMap<String, Millis>>,
     /// When the store last recovered from an outage.
-    back_at: Cell<Millis>,
-    is_away: Cell<bool>,
+    recovered_at: Cell<Millis>,
+    is_store_down: Cell<bool>,
     /// The upstreams found so far, while the store is being read.
     found: RefCell<HashSet<String>>,
 }
@@ -52,49 +52,49 @@
             membership,
             feed,
             upstreams: RefCell::default(),
-            lapsed: RefCell::default(),
-            back_at: Cell::new(Millis::ZERO),
-            is_away: Cell::new(false),
+            expired: RefCell::default(),
+            recovered_at: Cell::new(Millis::ZERO),
+            is_store_down: Cell::new(false),
             found: RefCell::default(),
         }
     }
 
     /// Records that the store doesn't respond.
-    pub(super) fn note_away(
+    pub(super) fn record_outage(
         &self,
         e: &StoreError,
     ) {
-        if !self.is_away.replace(true) {
+        if !self.is_store_down.replace(true) {
             Line::new("store_lost").with("reason", e).warn();
         }
     }
 
     /// Records that the store has responded.
-    pub(super) fn note_back(&self) {
-        self.feed.answered();
-        if self.is_away.replace(false) {
+    pub(super) fn record_store_response(&self) {
+        self.feed.record_response();
+        if self.is_store_down.replace(false) {
             Line::new("store_back").info();
-            self.came_back(self.cx.clock.now());
+            self.set_recovered_at(self.cx.clock.now());
         }
     }
 
     /// Records a recovery of the store that the followed VM has seen, `since` ago.
-    pub(super) fn note_back_elsewhere(
+    pub(super) fn record_remote_recovery(
         &self,
         since: Millis,
     ) {
         let at = self.cx.clock.now() - since;
-        if at > self.back_at.get() {
-            self.came_back(at);
+        if at > self.recovered_at.get() {
+            self.set_recovered_at(at);
         }
     }
 
-    fn came_back(
+    fn set_recovered_at(
         &self,
         at: Millis,
     ) {
-        self.back_at.set(at);
-        self.feed.came_back(at);
+        self.recovered_at.set(at);
+        self.feed.set_recovered_at(at);
     }
 
     /// Replaces what was known by the content of the store.
@@ -102,9 +102,9 @@
         self: &Rc<Self>,
         reply: &RangeReply,
     ) {
-        self.note_back();
+        self.record_store_response();
         self.feed.reset(reply.revision);
-        for kvs in reply.kvs.chunks(TAKEN_AT_ONCE) {
+        for kvs in reply.kvs.chunks(MAX_CHANGES_PER_YIELD) {
             for kv in kvs {
                 self.put(kv, Announcement::Found);
             }
@@ -120,15 +120,15 @@
             self.membership.remove_leader();
         }
         self.found.replace(HashSet::new());
-        self.note_found(reply);
+        self.record_found(reply);
     }
 
     /// Applies a further page of upstreams, except those with later changes known.
-    pub(super) async fn take_found(
+    pub(super) async fn apply_page(
         self: &Rc<Self>,
         page: &RangeReply,
     ) {
-        for kvs in page.kvs.chunks(TAKEN_AT_ONCE) {
+        for kvs in page.kvs.chunks(MAX_CHANGES_PER_YIELD) {
             for kv in kvs {
                 if self.feed.record_change(&WatchEvent::Put(kv.clone()), false) {
                     self.put(kv, Announcement::Found);
@@ -136,11 +136,11 @@
             }
             yield_now().await;
         }
-        self.note_found(page);
+        self.record_found(page);
     }
 
     /// Records the upstreams of a page; after the last page, removes those that weren't found.
-    fn note_found(
+    fn record_found(
         self: &Rc<Self>,
         page: &RangeReply,
     ) {
@@ -173,28 +173,28 @@
     }
 
     /// Applies changes, yielding to other tasks in between.
-    pub(super) async fn take_all(
+    pub(super) async fn apply_all(
         self: &Rc<Self>,
         events: &[WatchEvent],
     ) {
-        for events in events.chunks(TAKEN_AT_ONCE) {
+        for events in events.chunks(MAX_CHANGES_PER_YIELD) {
             for event in events {
-                self.take(event);
+                self.apply(event);
             }
-            if events.len() == TAKEN_AT_ONCE {
+            if events.len() == MAX_CHANGES_PER_YIELD {
                 yield_now().await;
             }
         }
     }
 
     /// Applies a change, unless a later one of its key was applied.
-    fn take(
+    fn apply(
         self: &Rc<Self>,
         event: &WatchEvent,
     ) {
         match event {
             WatchEvent::Put(kv) => match kv.key.strip_prefix(entries::PREFIX) {
-                Some(id) => self.take_upstream(id, kv, event),
+                Some(id) => self.apply_upstream(id, kv, event),
                 None if self.feed.record_change(event, true) => self.put(kv, Announcement::New),
                 None => {}
             },
@@ -206,7 +206,7 @@
     /// Applies a change of an upstream, as a minor one if only what the upstream holds has changed.
     ///
     /// Only the leader needs minor changes at once, and it reads the store itself.
-    fn take_upstream(
+    fn apply_upstream(
         &self,
         id: &str,
         kv: &KeyValue,
@@ -226,7 +226,7 @@
             }
             Err(e) => {
                 self.feed.record_change(event, true);
-                unreadable(&kv.key, &e);
+                log_unreadable(&kv.key, &e);
             }
         }
     }
@@ -234,27 +234,27 @@
     fn put(
         &self,
         kv: &KeyValue,
-        how: Announcement,
+        announcement: Announcement,
     ) {
         if kv.key == configuration::KEY {
             match configuration::decode(&kv.value) {
                 Ok(config) => self.cx.set_config(config),
-                Err(e) => unreadable(&kv.key, &e),
+                Err(e) => log_unreadable(&kv.key, &e),
             }
         } else if let Some(id) = kv.key.strip_prefix(entries::PREFIX) {
             match entries::decode(id, &kv.value) {
-                Ok(entry) => self.put_upstream(entry, how),
-                Err(e) => unreadable(&kv.key, &e),
+                Ok(entry) => self.put_upstream(entry, announcement),
+                Err(e) => log_unreadable(&kv.key, &e),
             }
         } else if kv.key.starts_with(versions::PREFIX) {
-            self.put_version(kv, how);
+            self.put_version(kv, announcement);
         } else if kv.key == LEADER_KEY {
             self.membership.set_leader(&self.cx, kv);
-        } else if kv.key == LAST_KEY {
-            self.membership.set_last(kv);
+        } else if kv.key == LAST_LEADER_KEY {
+            self.membership.set_last_leader(kv);
         } else if kv.key.starts_with(VM_PREFIX) {
             self.membership.set_vm(kv);
-            if how == Announcement::New {
+            if announcement == Announcement::New {
                 self.membership.publish_vms(&self.cx);
             }
         }
@@ -276,7 +276,7 @@
     fn put_upstream(
         &self,
         entry: UpstreamEntry,
-        how: Announcement,
+        announcement: Announcement,
     ) {
         let mut upstreams = self.upstreams.borrow_mut();
         let known = upstreams.get(&entry.id);
@@ -284,8 +284,10 @@
         if known.is_some_and(|known| known.started_unix_ms > entry.started_unix_ms) {
             return;
         }
-        // Upstreams found at startup are logged as one line by `note_found`.
-        let is_change = known.map_or(how == Announcement::New, |known| known.state != entry.state);
+        // Upstreams found at startup are logged as one line by `record_found`.
+        let is_change = known.map_or(announcement == Announcement::New, |known| {
+            known.state != entry.state
+        });
         if is_change {
             Line::new("upstream_seen")
                 .with("upstream", &entry.id)
@@ -294,7 +296,7 @@
                 .with("state", format!("{:?}", entry.state))
                 .info();
         }
-        self.lapsed.borrow_mut().remove(&entry.id);
+        self.expired.borrow_mut().remove(&entry.id);
         self.cx.scheduling.local_scheduler.set_upstream(&entry);
         upstreams.insert(entry.id.clone(), entry);
     }
@@ -302,7 +304,7 @@
     fn put_version(
         &self,
         kv: &KeyValue,
-        how: Announcement,
+        announcement: Announcement,
     ) {
         match versions::decode(&kv.value) {
             Ok(announced) => {
@@ -312,7 +314,7 @@
                         &announced.model,
                         adapter,
                         announced.version,
-                        how,
+                        announcement,
                     );
                     Line::new("version_announced")
                         .with("adapter", adapter)
@@ -320,7 +322,7 @@
                         .info();
                 }
             }
-            Err(e) => unreadable(&kv.key, &e),
+            Err(e) => log_unreadable(&kv.key, &e),
         }
     }
 
@@ -330,25 +332,25 @@
         id: &str,
     ) {
         let now = self.cx.clock.now();
-        let until = self.back_at.get() + REJOIN;
-        let has_been_away = self.back_at.get() > Millis::ZERO;
-        if !has_been_away || now >= until {
-            return self.forget(id, "entry gone");
+        let until = self.recovered_at.get() + REJOIN_TIMEOUT;
+        let has_recovered = self.recovered_at.get() > Millis::ZERO;
+        if !has_recovered || now >= until {
+            return self.drop_upstream(id, "entry gone");
         }
-        self.lapsed.borrow_mut().insert(id.to_owned(), until);
+        self.expired.borrow_mut().insert(id.to_owned(), until);
         let view = Rc::clone(self);
         let id = id.to_owned();
         spawn_local(async move {
             sleep(until.since(now).to_std()).await;
-            if view.lapsed.borrow().get(&id) == Some(&until) {
-                view.lapsed.borrow_mut().remove(&id);
-                view.forget(&id, "entry didn't come back");
+            if view.expired.borrow().get(&id) == Some(&until) {
+                view.expired.borrow_mut().remove(&id);
+                view.drop_upstream(&id, "entry didn't come back");
             }
         });
     }
 
     /// Removes an upstream from the scheduler.
-    fn forget(
+    fn drop_upstream(
         &self,
         id: &str,
         reason: &str,
@@ -363,7 +365,7 @@
     }
 }
 
-fn unreadable(
+fn log_unreadable(
     key: &str,
     e: &jasmine_platform::DecodeError,
 ) {
--- a/crates/entry/src/store/vm_record.rs
+++ b/crates/entry/src/store/vm_record.rs
@@ -32,7 +32,7 @@
     }
 
     /// Identity across restarts: name and IP address, so that another VM with the same name differs.
-    pub fn machine(&self) -> String {
+    pub fn host_identity(&self) -> String {
         format!("{}@{}", self.vm, self.peers.ip())
     }
 
@@ -48,7 +48,7 @@
 
 /// A VM from which this one may read changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct VmEntry {
+pub struct FeedPeer {
     /// The VM's name.
     pub name: String,
     /// The address on which it listens for other VMs.
--- a/crates/entry/src/upstream/call.rs
+++ b/crates/entry/src/upstream/call.rs
@@ -6,10 +6,10 @@
     tokio::time::timeout,
 };
 
-/// The largest answer accepted, in bytes; holds a page of the store in base64.
-const MAX_ANSWER: usize = 8 << 20;
+/// The largest response accepted, in bytes; holds a page of the store in base64.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 /// Longest idle time of a reused connection.
-const IDLE: Millis = Millis(3_000);
+const IDLE_TIMEOUT: Millis = Millis(3_000);
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
         let result = timeout(self.limit.to_std(), self.attempt(pool)).await;
         let result = result.unwrap_or(Err(CallError::Unanswered));
         if matches!(result, Err(CallError::Unanswered)) {
-            pool.forget(self.address);
+            pool.close_idle(self.address);
         }
         result
     }
@@ -67,7 +67,7 @@
         let reused = if self.fresh {
             None
         } else {
-            pool.reuse(self.address, IDLE)
+            pool.reuse(self.address, IDLE_TIMEOUT)
         };
         let mut connection = match reused {
             Some(connection) => connection,
@@ -76,21 +76,25 @@
                 .await
                 .map_err(|_e| CallError::Unsent)?,
         };
-        let answer = self.exchange(&mut connection).await;
-        let (head, body) = answer.map_err(|_e| CallError::Unanswered)?;
-        pool.keep(self.address, connection, &head);
+        let response = self.exchange(&mut connection).await;
+        let (head, body) = response.map_err(|_e| CallError::Unanswered)?;
+        pool.release(self.address, connection, &head);
         Ok((head.status, body))
     }
 
     async fn exchange(
         &self,
         connection: &mut Connection,
-    ) -> Result<(crate::http1::AnswerHead, Bytes), ExchangeError> {
+    ) -> Result<(crate::http1::ResponseHead, Bytes), ExchangeError> {
         let request = self.encode();
-        let begun = connection.begin(&request, self.method, |_| true).await?;
-        let body = connection.whole_body(&begun.head, MAX_ANSWER).await?;
-        if begun.sent_all {
-            Ok((begun.head, body))
+        let response_start = connection
+            .send_request(&request, self.method, |_| true)
+            .await?;
+        let body = connection
+            .read_whole_body(&response_start.head, MAX_RESPONSE_BYTES)
+            .await?;
+        if response_start.is_request_sent {
+            Ok((response_start.head, body))
         } else {
             Err(ExchangeError::Invalid)
         }
--- a/crates/entry/src/upstream/connection.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -1,5 +1,5 @@
 use {
-    crate::http1::{AnswerHead, BodyPart, BodyReader, HttpError, parse_answer_head},
+    crate::http1::{BodyPart, BodyReader, HttpError, ResponseHead, parse_response_head},
     bytes::{Buf, Bytes, BytesMut},
     jasmine_core::clock::Millis,
     std::{io, net::SocketAddr},
@@ -10,9 +10,9 @@
 };
 
 /// Bytes read at a time.
-const READ: usize = 4 << 10;
-/// Most answers to other requests that are skipped before the matching one.
-const MAX_STRAY: u32 = 2;
+const READ_BYTES: usize = 4 << 10;
+/// Most responses to other requests that are skipped before the matching one.
+const MAX_STRAY_RESPONSES: u32 = 2;
 
 /// Why an exchange failed; the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,13 +43,13 @@
     }
 }
 
-/// The head of an answer, and how much of the request was sent before it.
+/// The head of a response, and how much of the request was sent before it.
 #[derive(Clone, Debug)]
-pub struct Begun {
+pub struct ResponseStart {
     /// Status and headers.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Whether the whole request had been sent.
-    pub sent_all: bool,
+    pub is_request_sent: bool,
 }
 
 /// A connection to a server, used for one exchange at a time.
@@ -60,7 +60,7 @@
     /// When it became idle.
     pub(super) idle_since: Millis,
     /// How long it may stay idle and still be reused.
-    pub(super) idle_limit: Millis,
+    pub(super) idle_timeout: Millis,
 }
 
 impl Connection {
@@ -76,53 +76,58 @@
             stream,
             buf: BytesMut::new(),
             idle_since: Millis::ZERO,
-            idle_limit: Millis::ZERO,
+            idle_timeout: Millis::ZERO,
         })
     }
 
     /// Whether the connection is open and has no unread data.
     ///
-    /// On a reused connection, a surplus answer would be taken for the next request's.
-    pub fn is_quiet(&self) -> bool {
+    /// On a reused connection, a surplus response would be taken for the next request's.
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0_u8; 1];
         let pending = self.stream.try_read(&mut probe);
         self.buf.is_empty() && matches!(pending, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its answer, which `is_own` accepts.
+    /// Sends a request and reads the head of its response, which `is_match` accepts.
     ///
     /// Sends and reads at the same time: an upstream may answer before it has read a long body, and stop reading until
-    /// its answer is read.
+    /// its response is read.
     ///
     /// # Errors
     ///
     /// [`ExchangeError`].
-    pub async fn begin<F>(
+    pub async fn send_request<F>(
         &mut self,
         request: &[u8],
         method: &str,
-        is_own: F,
-    ) -> Result<Begun, ExchangeError>
+        is_match: F,
+    ) -> Result<ResponseStart, ExchangeError>
     where
-        F: Fn(&AnswerHead) -> bool,
+        F: Fn(&ResponseHead) -> bool,
     {
         let mut sent = 0;
         let mut stray = 0;
         loop {
-            while let Some((head, len)) = parse_answer_head(&self.buf, method)? {
+            while let Some((head, len)) = parse_response_head(&self.buf, method)? {
                 self.buf.advance(len);
-                let sent_all = sent == request.len();
+                let is_request_sent = sent == request.len();
                 match head.status {
                     100..=199 => {}
-                    _ if is_own(&head) => return Ok(Begun { head, sent_all }),
-                    _ if stray >= MAX_STRAY => return Err(ExchangeError::Invalid),
+                    _ if is_match(&head) => {
+                        return Ok(ResponseStart {
+                            head,
+                            is_request_sent,
+                        });
+                    }
+                    _ if stray >= MAX_STRAY_RESPONSES => return Err(ExchangeError::Invalid),
                     _ => {
                         stray += 1;
-                        self.pass_over(&head).await?;
+                        self.discard_body(&head).await?;
                     }
                 }
             }
-            self.buf.reserve(READ);
+            self.buf.reserve(READ_BYTES);
             let (mut rx, mut tx) = self.stream.split();
             tokio::select! {
                 written = tx.write(&request[sent..]), if sent < request.len() => {
@@ -152,9 +157,9 @@
                 BodyPart::End => return Ok(None),
                 BodyPart::NeedMore => {}
             }
-            self.buf.reserve(READ);
+            self.buf.reserve(READ_BYTES);
             if self.stream.read_buf(&mut self.buf).await? == 0 {
-                reader.at_close()?;
+                reader.check_close()?;
                 return Ok(None);
             }
         }
@@ -165,9 +170,9 @@
     /// # Errors
     ///
     /// [`ExchangeError`].
-    pub async fn whole_body(
+    pub async fn read_whole_body(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
         max: usize,
     ) -> Result<Bytes, ExchangeError> {
         let mut reader = BodyReader::new(head.framing);
@@ -184,9 +189,9 @@
         Ok(whole.freeze())
     }
 
-    async fn pass_over(
+    async fn discard_body(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> Result<(), ExchangeError> {
         let mut reader = BodyReader::new(head.framing);
         while self.body(&mut reader).await?.is_some() {}
--- a/crates/entry/src/upstream/mod.rs
+++ b/crates/entry/src/upstream/mod.rs
@@ -6,6 +6,6 @@
 
 pub use {
     call::{CallError, HttpCall},
-    connection::{Begun, Connection, ExchangeError},
+    connection::{Connection, ExchangeError, ResponseStart},
     pool::Pool,
 };
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -1,6 +1,6 @@
 use {
     super::Connection,
-    crate::{clock::Clock, http1::AnswerHead},
+    crate::{clock::Clock, http1::ResponseHead},
     jasmine_core::clock::Millis,
     std::{cell::RefCell, collections::HashMap, io, net::SocketAddr, time::Duration},
     tokio::time::timeout,
@@ -9,13 +9,13 @@
 /// Timeout of connecting; allows for one retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
 /// Idle timeout of connections whose upstream sends no `Keep-Alive` timeout.
-const IDLE_LIMIT: Millis = Millis(4_000);
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(4_000);
 /// Idle timeout in percent of the upstream's `Keep-Alive` timeout.
 ///
 /// The margin avoids requests that cross the upstream's close, whose outcome would be unknown.
-const KEPT_PERCENT: u64 = 60;
+const KEEP_ALIVE_PERCENT: u64 = 60;
 /// Most idle connections per address.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_PER_ADDRESS: usize = 16;
 
 /// A pool of idle connections by address.
 #[derive(Debug, Default)]
@@ -25,18 +25,18 @@
 }
 
 impl Pool {
-    /// Takes a usable connection that has been idle for at most `longest`, if there is one.
+    /// Takes a usable connection that has been idle for at most `max_idle`, if there is one.
     pub fn reuse(
         &self,
         address: SocketAddr,
-        longest: Millis,
+        max_idle: Millis,
     ) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
             let age = now.since(connection.idle_since);
-            if age <= connection.idle_limit.min(longest) && connection.is_quiet() {
+            if age <= connection.idle_timeout.min(max_idle) && connection.is_reusable() {
                 return Some(connection);
             }
         }
@@ -58,37 +58,37 @@
     }
 
     /// Returns a connection to the pool after a complete exchange, unless the upstream closes it.
-    pub fn keep(
+    pub fn release(
         &self,
         address: SocketAddr,
         mut connection: Connection,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) {
-        if !head.keeps_connection || !connection.is_quiet() {
+        if !head.keeps_connection || !connection.is_reusable() {
             return;
         }
         connection.idle_since = self.clock.now();
-        connection.idle_limit = named_limit(head).unwrap_or(IDLE_LIMIT);
+        connection.idle_timeout = keep_alive_timeout(head).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
-        if connections.len() < MAX_IDLE {
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
             connections.push(connection);
         }
     }
 
     /// Closes connections that have exceeded their idle timeout.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connections| {
             connections
-                .retain(|connection| now.since(connection.idle_since) <= connection.idle_limit);
+                .retain(|connection| now.since(connection.idle_since) <= connection.idle_timeout);
             !connections.is_empty()
         });
     }
 
     /// Closes all idle connections to an address: if one is dead, the others are likely to be too.
-    pub fn forget(
+    pub fn close_idle(
         &self,
         address: SocketAddr,
     ) {
@@ -97,12 +97,12 @@
 }
 
 /// The idle timeout derived from the upstream's `Keep-Alive` header.
-fn named_limit(head: &AnswerHead) -> Option<Millis> {
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Millis> {
     let secs: u64 = head
         .headers
-        .words("keep-alive")
+        .elements("keep-alive")
         .find_map(|word| word.strip_prefix("timeout="))?
         .parse()
         .ok()?;
-    Some(Millis(secs * 1000 * KEPT_PERCENT / 100))
+    Some(Millis(secs * 1000 * KEEP_ALIVE_PERCENT / 100))
 }
--- a/crates/entry/tests/at_most_once.rs
+++ b/crates/entry/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What may be run again, and what callers are told about what ran.
+//! Retries of idempotent and non-idempotent requests, and the outcome that callers are told.
 
 mod deployment;
 
@@ -18,8 +18,7 @@
 
 #[test]
 fn a_lost_answer_is_not_run_again() {
-    // An enrolment runs, and its answer is lost with the connection. Run once more it would wipe the phone a
-    // second time; told that it has not run, its caller would do that itself.
+    // Guards against a non-idempotent request that runs twice, or is reported as not run, after its response is lost.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     for behaviour in [Behaviour::Reset, Behaviour::Truncate, Behaviour::Unsealed] {
@@ -34,7 +33,7 @@
 
 #[test]
 fn a_failure_is_passed_on_as_it_is() {
-    // The upstream ran the request and says that it failed. Its word, with its seal, is the answer.
+    // Guards against an upstream's own error response being retried, or replaced by one of the daemon.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     all(&upstreams, &Behaviour::Fail);
@@ -47,8 +46,7 @@
 
 #[test]
 fn what_was_not_run_goes_elsewhere() {
-    // One upstream is full and says that it has not run the request; another has taken over the address of one
-    // that is gone. Either way the request is as good as new.
+    // Guards against a request that is counted as run after an upstream refused it, or that runs twice.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     for behaviour in [Behaviour::Shed, Behaviour::Misdirected] {
@@ -67,7 +65,7 @@
 
 #[test]
 fn a_refusal_is_true_and_has_a_time() {
-    // All upstreams are full. The caller is told at once that nothing ran and when to come back.
+    // Guards against a late refusal, or one without a retry delay, when all upstreams shed load.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     all(&upstreams, &Behaviour::Shed);
@@ -76,14 +74,13 @@
     let answer = vm.ask(&request);
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    assert!(began.elapsed().as_millis() < 1_000, "not held back");
+    assert!(began.elapsed().as_millis() < 1_000, "refused without delay");
     assert_eq!(runs_of(&upstreams, request.id()), 0);
 }
 
 #[test]
 fn a_read_is_tried_at_another_upstream() {
-    // One upstream fails its requests, breaks them off or says nothing. A read does no harm twice, so its caller
-    // gets the other one's answer, whichever of them is tried first.
+    // Guards against an idempotent request failing although another upstream can serve it.
     for behaviour in [
         Behaviour::Fail,
         Behaviour::Reset,
@@ -106,7 +103,10 @@
             );
             assert!(runs_of(&upstreams, request.id()) <= 2, "{behaviour:?}");
             asked += 1;
-            assert!(asked < 50, "{behaviour:?}: the bad one is never tried");
+            assert!(
+                asked < 50,
+                "{behaviour:?}: the failing upstream is never tried"
+            );
             upstreams[1].usually(Behaviour::Slow(std::time::Duration::from_millis(60)));
             drop(vm.ask(&Request::new("GET", "/read/")));
             upstreams[1].usually(Behaviour::Answer(b"good".to_vec()));
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_read_has_its_share_of_attempts() {
-    // Every upstream fails. The route allows two, so two run it, and the caller gets the word of one of them.
+    // Guards against more attempts than the route allows when every upstream fails.
     let (store, upstreams) = platform(&["s-1", "s-2", "s-3"]);
     let vm = Vm::start(&store);
     all(&upstreams, &Behaviour::Fail);
--- a/crates/entry/tests/broken_streams.rs
+++ b/crates/entry/tests/broken_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break off, fall silent or go on elsewhere.
+//! Streams that are truncated or stall, and their resumption at another upstream.
 
 mod deployment;
 
@@ -18,8 +18,7 @@
 
 #[test]
 fn a_cut_stream_goes_on_elsewhere() {
-    // An engine crashes in the middle of an event, or falls silent. Another one goes on after the last whole
-    // event; the caller sees one answer without a gap, without a piece twice and with the first one's head.
+    // Guards against lost or duplicate events when a stream is truncated or stalls and another upstream resumes it.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     for broken in [Behaviour::CutAfter(3), Behaviour::MuteAfter(3)] {
@@ -30,7 +29,7 @@
         upstreams[1].next(broken.clone());
         let request = Request::new("POST", "/stream/").body(b"prompt");
         let first = vm.ask(&request);
-        // Both are broken once: the second takes over from the first only when it isn't itself.
+        // Each upstream breaks one stream, so one of the two requests may find both of them broken.
         let again = vm.ask(&Request::new("POST", "/stream/").body(b"prompt"));
         let whole = [&first, &again].into_iter().find(|answer| answer.is_whole);
         let whole = whole.unwrap_or_else(|| panic!("{broken:?}: {first:?} {again:?}"));
@@ -58,7 +57,7 @@
 
 #[test]
 fn a_callers_own_place_is_kept() {
-    // A caller whose connection broke asks for the rest. The upstream goes on where the caller says.
+    // Guards against losing the caller's own `Last-Event-Id` when it resumes a stream.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Events(6));
@@ -70,8 +69,7 @@
 
 #[test]
 fn a_stream_that_cannot_go_on_looks_broken() {
-    // A stream that may not be repeated is cut. Ended like a whole one, its caller would take half of a policy for
-    // all of it.
+    // Guards against ending a truncated stream like a complete one if it can't be resumed.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     for upstream in &upstreams {
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are not, or not only, the answer to a request.
+//! Upstream responses that are duplicate, early, unframed or missing.
 
 mod deployment;
 
@@ -10,8 +10,7 @@
 
 #[test]
 fn a_second_answer_reaches_nobody() {
-    // An upstream answers one request twice. On a connection that is used again the second answer stands where
-    // the next caller's is expected: somebody would get another one's status.
+    // Guards against a duplicate response on a reused connection being forwarded to the next caller.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Twice);
@@ -34,8 +33,7 @@
 
 #[test]
 fn an_early_answer_spoils_nothing() {
-    // An upstream answers before it has read a long body and goes on reading on that connection. Whatever is sent
-    // there next would be taken for the rest of the body.
+    // Guards against reusing a connection on which the upstream still expects the rest of a body.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Early);
@@ -51,8 +49,7 @@
 
 #[test]
 fn a_caller_that_leaves_stops_the_work() {
-    // A caller closes its connection while an upstream works for it and nothing is being written. Unless that is
-    // noticed, the upstream works on for nobody.
+    // Guards against an upstream working on after the caller has disconnected.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Hang);
@@ -72,8 +69,7 @@
 
 #[test]
 fn the_routes_time_ends_a_wait() {
-    // An upstream never answers a call that may not be repeated. Its caller is told at the route's time that the
-    // outcome isn't known, and not that nothing ran.
+    // Guards against reporting a request as not run, or late, when its upstream never responds.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Hang);
--- a/crates/entry/tests/deployment/mod.rs
+++ b/crates/entry/tests/deployment/mod.rs
@@ -1,6 +1,6 @@
-//! Entry daemons as processes before stand-ins of the platform, and a caller that writes plain bytes.
+//! Starts entry daemons as processes with fake platform services, and sends raw HTTP requests to them.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use {
     jasmine_platform_stand_in::{KvStandIn, UpstreamStandIn},
@@ -24,13 +24,14 @@
     },
 };
 
-/// The longest that anything here is waited for.
+/// Timeout of every wait and read.
 pub const LIMIT: Duration = Duration::from_secs(20);
+/// API key of the account `one`.
 pub const KEY: &str = "key-of-one";
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// One entry VM.
+/// A running entry daemon.
 pub struct Vm {
     pub name: String,
     child: Child,
@@ -41,20 +42,20 @@
 }
 
 impl Vm {
-    /// Starts a daemon before the store; it has its configuration when this returns.
+    /// Starts a daemon and waits until it is ready.
     pub fn start(store: &KvStandIn) -> Self {
         let vm = Self::start_unready(store);
         until("it is ready", || vm.is_ready());
         vm
     }
 
-    /// Starts a daemon and waits only until it listens.
+    /// Starts a daemon and waits until it listens.
     pub fn start_unready(store: &KvStandIn) -> Self {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         Self::start_as(store, &format!("vm-{}-{number}", std::process::id()))
     }
 
-    /// Starts a daemon under this name.
+    /// Starts a daemon with this VM name.
     pub fn start_as(
         store: &KvStandIn,
         name: &str,
@@ -62,7 +63,7 @@
         Self::start_before(store.address(), name)
     }
 
-    /// Starts a daemon under this name that reaches the store at an address.
+    /// Starts a daemon with this VM name and this address of the store.
     pub fn start_before(
         store: SocketAddr,
         name: &str,
@@ -70,7 +71,7 @@
         Self::start_with(store, name, |_| {})
     }
 
-    /// Starts a daemon whose settings are changed first.
+    /// Starts a daemon with settings modified by `change`.
     pub fn start_with<F>(
         store: SocketAddr,
         name: &str,
@@ -130,13 +131,13 @@
         }
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the readiness probe succeeds.
     pub fn is_ready(&self) -> bool {
         let answer = exchange(self.readiness, b"GET /-/readyz HTTP/1.1\r\nHost: r\r\n\r\n");
         answer.is_some_and(|answer| answer.status == 200)
     }
 
-    /// What it has logged of one event.
+    /// Returns the log lines of one event.
     pub fn logged(
         &self,
         event: &str,
@@ -147,7 +148,7 @@
         lines.iter().filter(is_one).cloned().collect()
     }
 
-    /// Everything that it has logged.
+    /// Returns the whole log.
     pub fn log(&self) -> String {
         let lines = self.lines.lock().unwrap();
         lines.join("\n") + "\n"
@@ -160,24 +161,24 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     pub fn ended(&mut self) -> ExitStatus {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(began.elapsed() < LIMIT, "it doesn't end");
+            assert!(began.elapsed() < LIMIT, "the process did not exit in time");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Sends a request over a connection of its own.
+    /// Sends a request over a new connection.
     pub fn ask(
         &self,
         request: &Request,
@@ -185,7 +186,7 @@
         exchange(self.callers, &request.bytes()).expect("an answer")
     }
 
-    /// Sends plain bytes; none where the connection ends without an answer.
+    /// Sends raw bytes; returns none if the connection closes without a response.
     pub fn send(
         &self,
         bytes: &[u8],
@@ -196,14 +197,14 @@
 
 impl Drop for Vm {
     fn drop(&mut self) {
-        // Both fail only where the process has ended by itself.
+        // Both fail only if the process has already exited.
         drop(self.child.kill());
         drop(self.child.wait());
         drop(fs::remove_file(&self.settings));
     }
 }
 
-/// A request of a caller.
+/// A caller's request.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub method: &'static str,
@@ -230,7 +231,7 @@
         .with("X-Api-Key", KEY)
     }
 
-    /// Sets a header.
+    /// Sets a header, replacing earlier values.
     pub fn with(
         mut self,
         name: &str,
@@ -275,14 +276,14 @@
     }
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
-    /// The body, chunks taken apart.
+    /// The decoded body.
     pub body: Vec<u8>,
-    /// Whether its end was marked, and not only the connection's.
+    /// Whether the body was complete according to its framing.
     pub is_whole: bool,
 }
 
@@ -303,7 +304,7 @@
     }
 }
 
-/// Sends bytes over a connection of its own and reads one answer.
+/// Sends bytes over a new connection and reads one response.
 pub fn exchange(
     address: SocketAddr,
     bytes: &[u8],
@@ -314,7 +315,7 @@
     read_answer(&mut stream)
 }
 
-/// Reads one answer.
+/// Reads one response; none if the connection closes before its head is complete.
 pub fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
     let mut buf = Vec::new();
     let head_end = loop {
@@ -389,7 +390,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds, and panics after [`LIMIT`].
 pub fn until<F>(
     what: &str,
     mut holds: F,
@@ -416,7 +417,7 @@
     })
 }
 
-/// A configuration with one route of each kind, on the service `app`.
+/// A configuration with a route of each kind.
 pub fn config(version: u64) -> Value {
     let mut public = route("open", "idempotent", 1, false);
     public["public"] = json!(true);
@@ -452,7 +453,7 @@
     })
 }
 
-/// A store with a configuration, and the upstreams of the service `app`.
+/// Starts a store with a configuration, and upstreams of the service `app`.
 pub fn platform(upstreams: &[&str]) -> (KvStandIn, Vec<UpstreamStandIn>) {
     let store = KvStandIn::start().unwrap();
     store.put("op/config", &config(1));
@@ -466,7 +467,7 @@
     (store, upstreams)
 }
 
-/// How often a request with this id ran over all upstreams.
+/// Counts the runs of a request at all upstreams.
 pub fn runs_of(
     upstreams: &[UpstreamStandIn],
     id: &str,
--- a/crates/entry/tests/event_list.rs
+++ b/crates/entry/tests/event_list.rs
@@ -1,10 +1,10 @@
-//! The events of the log and the page that lists them.
+//! Checks that the documentation lists every log event.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// The names of the events that the sources write.
+/// Collects the names of the log events in the sources below a folder.
 fn written(
     folder: &Path,
     names: &mut BTreeSet<String>,
--- a/crates/entry/tests/explained_failures.rs
+++ b/crates/entry/tests/explained_failures.rs
@@ -1,4 +1,4 @@
-//! The way from a failed request's id to its cause, on what real processes wrote.
+//! Tracing a failed request from its id to its cause in the logs of real processes.
 
 mod deployment;
 
@@ -9,7 +9,7 @@
     std::fs,
 };
 
-/// What the log of one VM tells of a request, once its end is written.
+/// Traces a request in the log of one VM, once its end is logged.
 fn story_of(
     vm: &Vm,
     request: &Request,
@@ -29,8 +29,7 @@
 
 #[test]
 fn a_refusal_for_rate_names_the_account() {
-    // A caller complains that it was refused. The id leads to the account whose tokens were used up, and to who
-    // decided that; nothing points at an upstream.
+    // Guards against a trace of a rate-limited request that doesn't name the account, or blames an upstream.
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     let mut refused = None;
@@ -50,7 +49,7 @@
 
 #[test]
 fn an_unknown_outcome_names_the_upstream() {
-    // An enrolment's answer is lost. The id leads to the upstream that had it and to how that ended.
+    // Guards against a trace of a request with unknown outcome that doesn't name its upstream.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Reset);
@@ -71,7 +70,7 @@
 
 #[test]
 fn a_cut_stream_names_who_cut_it() {
-    // A summary broke off. The id leads to the engine that stopped, and says how many events its caller has.
+    // Guards against a trace of a truncated stream without its upstream and the number of events forwarded.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::CutAfter(3));
@@ -89,8 +88,7 @@
 
 #[test]
 fn a_refusal_without_a_configuration_says_so() {
-    // A VM that has just started refuses callers because the store is away. The same refusal for another reason would
-    // send the engineer to the upstreams.
+    // Guards against a trace that blames upstreams for refusals by a VM without a configuration.
     let (store, _upstreams) = platform(&["s-1"]);
     store.set_outage(jasmine_platform_stand_in::Outage::Silent);
     let vm = Vm::start_unready(&store);
--- a/crates/entry/tests/fault_soak.rs
+++ b/crates/entry/tests/fault_soak.rs
@@ -1,7 +1,7 @@
-//! Random faults from outside, in series and overlapping, while callers go on.
+//! Soak test: random overlapping faults under load.
 //!
-//! By hand: `JASMINE_SOAK_FIRST=100 JASMINE_SOAK_SEEDS=50 JASMINE_SOAK_SECONDS=20 cargo test --release -p jasmine-entry --test
-//! fault_soak -- --ignored --nocapture`.
+//! Further seeds by hand: `JASMINE_SOAK_FIRST=100 JASMINE_SOAK_SEEDS=50 JASMINE_SOAK_SECONDS=20 cargo test --release
+//! -p jasmine-entry --test fault_soak -- --ignored --nocapture`.
 
 mod deployment;
 mod soak;
@@ -11,8 +11,7 @@
     std::{env, time::Duration},
 };
 
-/// Seeds that are always played. 114 was red, as 111 and 115 were: a stop begun before the faults were over ended after
-/// it, and the test didn't start the process again.
+/// Seeds that always run. In 114, a planned stop outlasts the faults.
 const KEPT: [u64; 2] = [1, 114];
 const SECONDS: u64 = 6;
 
@@ -43,9 +42,8 @@
 
 #[test]
 fn promises_hold_under_faults() {
-    // Processes die, freeze and are stopped in turn, links to the store, to upstreams and to callers break in each of their
-    // ways, the store is away and forgets, all at once. Somebody enrolls a phone meanwhile, and must find it enrolled
-    // once, or be told truly that it isn't.
+    // Guards against requests that run twice, wrong outcomes, crossed responses and overfilled engines while processes,
+    // links and the store fail at the same time.
     play_all(KEPT, SECONDS);
 }
 
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! SIGTERM.
+//! The planned stop of a VM by SIGTERM.
 
 mod deployment;
 
@@ -11,8 +11,7 @@
 
 #[test]
 fn a_stop_breaks_nothing_off() {
-    // A VM is stopped while it works for a caller, and the balancer still sends others for a moment. Each gets its
-    // answer and is told to come back over another connection; then the process ends by itself.
+    // Guards against cutting off running requests, and those that the load balancer still sends, on a planned stop.
     let (store, upstreams) = platform(&["s-1"]);
     let mut vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Slow(Duration::from_millis(1_500)));
@@ -32,8 +31,7 @@
 
 #[test]
 fn what_comes_too_late_goes_elsewhere() {
-    // A caller's request comes seconds after the signal. Begun now it would be cut off by the end of the process;
-    // it is told at once that it has not run.
+    // Guards against starting a request so late that the exit of the process would cut it off.
     let (store, upstreams) = platform(&["s-1"]);
     let mut vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Slow(Duration::from_millis(4_500)));
@@ -53,9 +51,7 @@
 
 #[test]
 fn what_waits_is_sent_elsewhere() {
-    // A request has come just before the balancer stopped sending callers, and waits for an engine that takes seconds to
-    // come. The process ends before its turn: the caller is told that it has not run, early enough to try another VM,
-    // where it would otherwise find its connection closed without a word.
+    // Guards against closing the connection of a request that still waits for an upstream without a response.
     let (store, _upstreams) = platform(&["s-1"]);
     let mut patient = deployment::config(2);
     for route in patient["routes"].as_array_mut().unwrap() {
@@ -90,16 +86,15 @@
     vm.signal(Signal::SIGTERM);
     assert!(deployment::read_answer(&mut idle).is_none());
     assert!(vm.ended().success());
-    until("it is told", || !vm.logged("stopped").is_empty());
+    until("the stop is logged", || !vm.logged("stopped").is_empty());
 }
 
 #[test]
 fn the_lead_goes_with_the_stop() {
-    // The scheduler is stopped. If the others waited for its lease to lapse, nothing new would be loaded for
-    // seconds on every planned restart.
+    // Guards against a planned restart of the leader delaying adapter loads until its lease expires.
     let (store, _upstreams) = platform(&["s-1"]);
     let first = Vm::start(&store);
-    until("one leads", || !first.logged("lead_taken").is_empty());
+    until("a VM leads", || !first.logged("lead_taken").is_empty());
     let second = Vm::start(&store);
     until("the other follows", || {
         !second.logged("leader_followed").is_empty()
--- a/crates/entry/tests/request_smuggling.rs
+++ b/crates/entry/tests/request_smuggling.rs
@@ -1,10 +1,10 @@
-//! Requests that two readers would understand in two ways.
+//! Requests with ambiguous framing, and oversized or slow ones.
 
 mod deployment;
 
 use deployment::{Request, Vm, platform};
 
-/// Heads and bodies, each with what is wrong about it.
+/// Invalid requests, each with what is wrong with it.
 fn bad_requests() -> Vec<(&'static str, Vec<u8>)> {
     let base = "POST /write/ HTTP/1.1\r\nHost: app.example\r\nX-Request-Id: bad\r\nX-Api-Key: key-of-one\r\n";
     let hidden = "GET /write/hidden HTTP/1.1\r\nHost: app.example\r\nX-Request-Id: hidden\r\nX-Api-Key: key-of-one\r\n\r\n";
@@ -98,8 +98,7 @@
 
 #[test]
 fn ambiguous_requests_are_refused() {
-    // A caller sends a request whose end two readers see in two places. What one of them takes for its body the other
-    // takes for a second request, which runs although nobody was asked for its key.
+    // Guards against request smuggling: a body that an upstream takes for a second request bypasses the key check.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     for (what, bytes) in bad_requests() {
@@ -109,13 +108,13 @@
         let closes = answer.and_then(|answer| answer.header("connection"));
         assert_eq!(closes.as_deref(), Some("close"), "{what}");
     }
-    assert_eq!(upstreams[0].ran(), [], "nothing of it ran");
+    assert_eq!(upstreams[0].ran(), [], "none of the requests ran");
     assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
 }
 
 #[test]
 fn a_request_inside_a_body_stays_a_body() {
-    // The body of a request looks like a request. It has its length, so it is passed on as it is.
+    // Guards against a body that looks like a request being taken for one.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     let inner = Request::new("GET", "/write/inner").bytes();
@@ -131,8 +130,7 @@
 
 #[test]
 fn what_is_too_large_or_slow_is_refused() {
-    // One caller sends endless headers, one a body without bound, one a byte a minute. Each would hold memory or a
-    // connection for as long as it likes.
+    // Guards against callers that occupy memory or connections with oversized or very slow requests.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     let long = Request::new("GET", "/read/").with("X-Long", &"a".repeat(5_000));
--- a/crates/entry/tests/soak/callers.rs
+++ b/crates/entry/tests/soak/callers.rs
@@ -12,14 +12,14 @@
     },
 };
 
-/// Callers at each VM.
+/// Callers per VM.
 const AT_EACH: usize = 4;
-/// Requests that a caller sends over one connection.
+/// Most requests per connection.
 const OVER_ONE: usize = 6;
 const PAUSE: Duration = Duration::from_millis(15);
-/// How long a caller waits for an answer; requests state five seconds.
+/// Read timeout of a caller; longer than the deadline of its requests.
 const PATIENCE: Duration = Duration::from_secs(6);
-/// What callers ask for, in turn.
+/// Methods and targets, requested in rotation.
 const TARGETS: [(&str, &str); 5] = [
     ("GET", "/read/x"),
     ("POST", "/write/x"),
@@ -28,14 +28,14 @@
     ("POST", "/write/y"),
 ];
 
-/// What a caller got.
+/// The result of a request as its caller sees it.
 #[derive(Clone, Debug)]
 pub enum Said {
     Answer(Answer),
     Nothing,
 }
 
-/// One request of a caller, and what came of it.
+/// A request and its result.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub id: String,
@@ -43,7 +43,7 @@
     pub said: Said,
 }
 
-/// Callers that go on until they are told to finish.
+/// Callers that send requests until they are stopped.
 pub struct Callers {
     stop: Arc<AtomicBool>,
     records: Arc<Mutex<Vec<Record>>>,
@@ -102,7 +102,7 @@
             let id = req.id().to_owned();
             let record = Record { id, target, said };
             records.lock().unwrap().push(record);
-            // Without a pause, a VM that refuses at once would be all that is asked.
+            // Without a pause, immediate refusals would dominate the records.
             thread::sleep(PAUSE);
             if !goes_on || stop.load(Ordering::Relaxed) {
                 break;
--- a/crates/entry/tests/soak/checks.rs
+++ b/crates/entry/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold of everything that callers, upstreams and engines have seen.
+//! Invariants on what callers, upstreams and engines have seen.
 
 use {
     super::{
@@ -10,9 +10,9 @@
     std::collections::HashMap,
 };
 
-/// Statuses that say that the request has not run and never will.
+/// Statuses which state that the request didn't run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
-/// Whole answers of upstreams.
+/// Bodies of complete upstream responses.
 const WHOLE: [&str; 3] = ["ok", "first", "slow"];
 
 pub fn check(
@@ -39,13 +39,13 @@
     broken.extend(seen.iter().filter_map(of_headers));
     broken.extend(of_engine(world));
     if world.logs().contains(KEY) {
-        broken.push("a key is in the logs".to_owned());
+        broken.push("an API key is in the logs".to_owned());
     }
     broken.extend(of_service(records));
     broken
 }
 
-/// Whoever reaches a VM is mostly served; a VM without power answers nobody.
+/// At least half of the requests that get a response are served.
 fn of_service(records: &[Record]) -> Option<String> {
     let answered = records.iter().filter(|record| record.is_answered()).count();
     let served = records.iter().filter(|record| record.is_served()).count();
@@ -56,7 +56,7 @@
     (served * 2 < answered).then(|| format!("only {served} of {answered} served"))
 }
 
-/// A call that may not be repeated runs once at most, and never where its caller is told that it hasn't.
+/// A non-idempotent request runs at most once, and not if its caller was told that it didn't run.
 fn of_runs(
     record: &Record,
     runs: u32,
@@ -67,17 +67,17 @@
     match &record.said {
         _ if runs > 1 => Some(format!("{} ran {runs} times", record.id)),
         Said::Answer(answer) if NOT_RUN.contains(&answer.status) && runs > 0 => Some(format!(
-            "{} ran and was answered {}",
+            "{} ran, but its status is {}",
             record.id, answer.status
         )),
         Said::Answer(answer) if answer.status == 200 && answer.is_whole && runs == 0 => {
-            Some(format!("{} has an answer and never ran", record.id))
+            Some(format!("{} succeeded, but never ran", record.id))
         }
         _ => None,
     }
 }
 
-/// A success is the whole answer to its own request.
+/// A successful response belongs to its request and is complete.
 fn of_answer(record: &Record) -> Option<String> {
     let Said::Answer(answer) = &record.said else {
         return None;
@@ -89,18 +89,18 @@
     let text = answer.text();
     match record.target {
         _ if id.as_deref() != Some(&record.id) => {
-            Some(format!("{} got the answer of {id:?}", record.id))
+            Some(format!("{} got the response to {id:?}", record.id))
         }
         "/flow/x" => of_stream(record, answer),
         "/model/x" => None,
         _ if answer.is_whole && !WHOLE.contains(&text.as_str()) => {
-            Some(format!("{} got {text:?}", record.id))
+            Some(format!("{} got the unexpected body {text:?}", record.id))
         }
         _ => None,
     }
 }
 
-/// A stream has each event once, in order, and doesn't end as whole before its last.
+/// A stream has each event once and in order, and isn't complete before its last event.
 fn of_stream(
     record: &Record,
     answer: &Answer,
@@ -118,27 +118,33 @@
         .then(|| format!("{}: events {ids:?}, whole {}", record.id, answer.is_whole))
 }
 
+/// Upstreams get the right account and never an API key.
 fn of_headers(seen: &Seen) -> Option<String> {
     let id = seen.headers.get("x-request-id");
     let has_key = seen.headers.values().any(|value| value.contains(KEY));
     let account = seen.headers.get("x-tenant").map(String::as_str);
     match account {
-        _ if has_key => Some(format!("{id:?}: the key went to an upstream")),
+        _ if has_key => Some(format!("{id:?}: the API key was forwarded to an upstream")),
         Some("one") => None,
-        other => Some(format!("{id:?} ran for {other:?}")),
+        other => Some(format!(
+            "{id:?} ran for account {other:?}, expected \"one\""
+        )),
     }
 }
 
-/// Engines are never ordered to hold too much, and hear lower tokens after higher ones from nobody.
+/// Engines are never overfilled, and their orders' fencing tokens never decrease.
 fn of_engine(world: &World) -> Vec<String> {
     let mut broken = Vec::new();
     if world.engine.overfilled() > 0 {
-        broken.push(format!("overfilled {} times", world.engine.overfilled()));
+        broken.push(format!(
+            "the engine was overfilled {} times",
+            world.engine.overfilled()
+        ));
     }
     let orders = world.engine.orders();
     let fences: Vec<Option<u64>> = orders.iter().map(|order| order["fence"].as_u64()).collect();
     if !fences.is_sorted() {
-        broken.push(format!("tokens of orders: {fences:?}"));
+        broken.push(format!("decreasing fencing tokens of orders: {fences:?}"));
     }
     broken
 }
--- a/crates/entry/tests/soak/fault.rs
+++ b/crates/entry/tests/soak/fault.rs
@@ -6,14 +6,14 @@
     std::time::Duration,
 };
 
-/// Between two faults, in milliseconds: several overlap.
+/// Time between the starts of two faults, in milliseconds; shorter than most faults, so that they overlap.
 const BETWEEN: std::ops::Range<u64> = 60..450;
-/// How long a fault lasts, in milliseconds.
+/// Duration of a fault, in milliseconds.
 const LASTS: std::ops::Range<u64> = 100..1_600;
 pub const VMS: usize = 3;
 pub const UPSTREAMS: usize = 3;
 
-/// What goes wrong, or is done by an operator.
+/// A fault or an operator's action.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Kill(usize),
@@ -30,7 +30,7 @@
     Leaves(usize, Duration),
 }
 
-/// What happens when, by a seed.
+/// Generates the fault schedule of a seed.
 pub fn plan(
     seed: u64,
     length: Duration,
--- a/crates/entry/tests/soak/mod.rs
+++ b/crates/entry/tests/soak/mod.rs
@@ -1,8 +1,7 @@
-//! Entry daemons, stand-ins and callers that go on while faults come from outside, and what must hold of it all.
+//! Soak test: runs entry daemons under load, injects faults and checks invariants.
 //!
-//! Everything that runs between processes runs through proxies that delay, cut or silence it; processes are killed, stopped,
-//! frozen and started anew by signals. A seed decides what happens when; what it does to the processes depends on the
-//! machine besides, so that a seed is a kind of day and not an exact repetition.
+//! Connections run through fault-injecting proxies; processes are killed, stopped, suspended and restarted. A seed
+//! determines the schedule of faults, but their effects depend on timing, so runs aren't exactly reproducible.
 
 mod callers;
 mod checks;
@@ -20,11 +19,11 @@
     world::World,
 };
 
-/// How long callers go on after the last fault is over, for what comes late.
+/// How long callers continue after the last fault, to catch late effects.
 const SETTLE: Duration = Duration::from_millis(1_500);
 const STEP: Duration = Duration::from_millis(10);
 
-/// Plays one seed and returns what was broken.
+/// Runs the fault schedule of one seed and returns the violated invariants.
 pub fn play(
     seed: u64,
     length: Duration,
--- a/crates/entry/tests/soak/world.rs
+++ b/crates/entry/tests/soak/world.rs
@@ -13,9 +13,9 @@
     },
 };
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 pub const EVENTS: u64 = 12;
-/// How long after a kill a process starts again.
+/// Delay between the exit of a process and its restart.
 const DOWN: Duration = Duration::from_millis(200);
 const ANY: &str = "127.0.0.1:0";
 
@@ -30,7 +30,7 @@
     log: String,
 }
 
-/// Which proxy or state a fault has changed.
+/// The proxy or state that has to be restored after a fault.
 #[derive(Clone, Copy, Debug)]
 enum Place {
     StoreLink(usize),
@@ -40,7 +40,7 @@
     Leaving(usize),
 }
 
-/// All that runs.
+/// All processes, fake services and proxies of a run.
 pub struct World {
     store: KvStandIn,
     slots: Vec<Slot>,
@@ -112,20 +112,20 @@
         });
     }
 
-    /// Where callers reach the VMs, whatever becomes of the processes.
+    /// The callers' addresses of the VMs, which stay the same across restarts.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let address = |slot: &Slot| slot.caller_link.address();
         self.slots.iter().map(address).collect()
     }
 
-    /// Whatever all VMs have logged.
+    /// The logs of all VMs.
     pub fn logs(&self) -> String {
         let log =
             |slot: &Slot| slot.log.clone() + &slot.vm.as_ref().map_or_else(String::new, Vm::log);
         self.slots.iter().map(log).collect()
     }
 
-    /// Keeps the logs of a seed that broke something.
+    /// Saves the logs of a failed seed.
     pub fn keep_logs(
         &self,
         seed: u64,
@@ -135,7 +135,7 @@
         eprintln!("logs of seed {seed}: {}", path.display());
     }
 
-    /// Brings a fault about.
+    /// Starts a fault.
     pub fn begin(
         &mut self,
         fault: Fault,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Ends what is over and starts processes that are due.
+    /// Ends expired faults and restarts processes that are due.
     pub fn step(&mut self) {
         let now = Instant::now();
         let (over, lasting) = std::mem::take(&mut self.ends)
@@ -208,7 +208,7 @@
         }
     }
 
-    /// What still isn't served a while after all faults are over.
+    /// Returns the routes that aren't served in time after all faults have ended.
     pub fn serves_again(&self) -> Vec<String> {
         let targets = [
             ("GET", "/read/x"),
@@ -229,7 +229,7 @@
                 }
                 if !is_served(&last) {
                     broken.push(format!(
-                        "{}: {target} isn't served again: {last:?}",
+                        "{}: {target} isn't served after recovery, last status {last:?}",
                         slot.name
                     ));
                 }
