--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request from its caller to an upstream and back.
+//! Forwarding of requests from callers to upstreams and of the responses back.
 
 mod deployment;
 
@@ -33,8 +33,7 @@
 
 #[test]
 fn upstreams_get_our_words_for_the_callers() {
-    // A caller sends headers that only the system may set, and its key. If they went through, a caller could
-    // pass for another account, or take an engine's memory; and whoever reads an upstream's log has the key.
+    // Guards against forwarding callers' API keys, or platform headers with which a caller could act as another account.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     let request = Request::new("GET", "/read/a")
@@ -98,8 +97,7 @@
 
 #[test]
 fn an_account_over_its_rate_is_told_when_to_come_back() {
-    // The account has a burst of ten requests. The eleventh is refused before anything is sent, with the time by
-    // which its tokens will have been earned, so that its caller need not guess.
+    // Guards against a `Retry-After` that is missing or shorter than the account needs to earn its tokens.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     let request = || Request::new("GET", "/read/").with("X-Api-Key", "key-of-small");
@@ -116,7 +114,11 @@
     assert!(delay > 0.0 && delay < 1.0, "{delay}");
     let ran = upstreams[0].ran().len();
     std::thread::sleep(std::time::Duration::from_secs_f64(delay + 0.02));
-    assert_eq!(vm.ask(&request()).status, 200, "the promise comes true");
+    assert_eq!(
+        vm.ask(&request()).status,
+        200,
+        "served after the retry delay"
+    );
     assert_eq!(upstreams[0].ran().len(), ran + 1);
 }
 
@@ -135,7 +137,7 @@
     }
     assert!(
         upstreams[0].connections() <= 2,
-        "the upstream's is used again too"
+        "upstream connections are reused too"
     );
 }
 
@@ -153,8 +155,7 @@
 
 #[test]
 fn a_change_is_in_force_soon() {
-    // An operator takes a route away and adds another one. A VM that goes on with the old configuration sends
-    // callers where nobody wants them any more.
+    // Guards against VMs that keep an old configuration, or replace it by an even older one.
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     let mut next = deployment::config(5);
@@ -169,6 +170,6 @@
     assert_eq!(
         vm.ask(&Request::new("GET", "/moved/")).status,
         200,
-        "never an older one"
+        "an older configuration is not applied"
     );
 }
