--- a/crates/entry/src/forward/driver.rs
+++ b/crates/entry/src/forward/driver.rs
@@ -109,12 +109,12 @@
                 .info();
             match self.attempt(&placement, out).await {
                 Step::Done(result) => {
-                    let word = if result.is_ok() {
+                    let outcome = if result.is_ok() {
                         "answered"
                     } else {
                         "caller_gone"
                     };
-                    self.log_end(word);
+                    self.log_end(outcome);
                     return result;
                 }
                 Step::Retry => {}
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -101,7 +101,7 @@
         &self,
         outcome: Outcome,
     ) {
-        let word = match outcome {
+        let label = match outcome {
             Outcome::Answered { .. } => "answered",
             Outcome::Failed => "failed",
             Outcome::Shed => "shed",
@@ -112,7 +112,7 @@
             Outcome::Silent => "silent",
             Outcome::Abandoned => "abandoned",
         };
-        self.attempts.add(1, &[KeyValue::new("end", word)]);
+        self.attempts.add(1, &[KeyValue::new("end", label)]);
     }
 
     /// Counts an order by its result.
@@ -120,7 +120,7 @@
         &self,
         end: OrderResult,
     ) {
-        let word = match end {
+        let label = match end {
             OrderResult::Accepted => "accepted",
             OrderResult::AlreadyInEffect => "holds",
             OrderResult::Conflict => "conflict",
@@ -129,7 +129,7 @@
             OrderResult::Lost => "lost",
             OrderResult::Unsent => "unsent",
         };
-        self.orders.add(1, &[KeyValue::new("end", word)]);
+        self.orders.add(1, &[KeyValue::new("end", label)]);
     }
 
     /// Counts a refused request by error kind and account.
@@ -188,7 +188,7 @@
         self.gauges.config.record(version, &[]);
         self.metrics
             .page()
-            .unwrap_or_else(|e| format!("# the page can't be written: {e}\n"))
+            .unwrap_or_else(|e| format!("# can't encode the metrics: {e}\n"))
     }
 
     fn labels_of(
--- a/crates/entry/src/store/election.rs
+++ b/crates/entry/src/store/election.rs
@@ -59,9 +59,7 @@
             election.campaign().await;
         }
         match election.membership.leader_lease.get() {
-            Some(lease) if election.cx.scheduling.is_leading() => {
-                election.renew_until_lost(lease).await
-            }
+            Some(lease) if election.cx.scheduling.is_leading() => election.hold_lease(lease).await,
             _ => election.wait().await,
         }
     }
@@ -119,7 +117,7 @@
     }
 
     /// Renews the lease until it has expired or another VM leads.
-    async fn renew_until_lost(
+    async fn hold_lease(
         &self,
         lease: Lease,
     ) {
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -335,7 +335,7 @@
         let until = self.recovered_at.get() + REJOIN_TIMEOUT;
         let has_recovered = self.recovered_at.get() > Millis::ZERO;
         if !has_recovered || now >= until {
-            return self.drop_upstream(id, "entry gone");
+            return self.drop_upstream(id, "entry removed");
         }
         self.expired.borrow_mut().insert(id.to_owned(), until);
         let view = Rc::clone(self);
@@ -344,7 +344,7 @@
             sleep(until.since(now).to_std()).await;
             if view.expired.borrow().get(&id) == Some(&until) {
                 view.expired.borrow_mut().remove(&id);
-                view.drop_upstream(&id, "entry didn't come back");
+                view.drop_upstream(&id, "entry not renewed after a store outage");
             }
         });
     }
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -101,7 +101,7 @@
     let secs: u64 = head
         .headers
         .elements("keep-alive")
-        .find_map(|word| word.strip_prefix("timeout="))?
+        .find_map(|element| element.strip_prefix("timeout="))?
         .parse()
         .ok()?;
     Some(Millis(secs * 1000 * KEEP_ALIVE_PERCENT / 100))
--- a/crates/entry/tests/at_most_once.rs
+++ b/crates/entry/tests/at_most_once.rs
@@ -7,7 +7,7 @@
     jasmine_platform_stand_in::{Behaviour, UpstreamStandIn},
 };
 
-fn all(
+fn set_all(
     upstreams: &[UpstreamStandIn],
     behaviour: &Behaviour,
 ) {
@@ -22,7 +22,7 @@
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     for behaviour in [Behaviour::Reset, Behaviour::Truncate, Behaviour::Unsealed] {
-        all(&upstreams, &behaviour);
+        set_all(&upstreams, &behaviour);
         let request = Request::new("POST", "/write/").body(b"enrol");
         let answer = vm.ask(&request);
         assert_eq!(answer.status, 502, "{behaviour:?}");
@@ -36,7 +36,7 @@
     // Guards against an upstream's own error response being retried, or replaced by one of the daemon.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
-    all(&upstreams, &Behaviour::Fail);
+    set_all(&upstreams, &Behaviour::Fail);
     let request = Request::new("POST", "/write/").body(b"enrol");
     let answer = vm.ask(&request);
     assert_eq!((answer.status, answer.text().as_str()), (500, "failed"));
@@ -68,7 +68,7 @@
     // Guards against a late refusal, or one without a retry delay, when all upstreams shed load.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
-    all(&upstreams, &Behaviour::Shed);
+    set_all(&upstreams, &Behaviour::Shed);
     let request = Request::new("POST", "/write/").body(b"enrol");
     let began = std::time::Instant::now();
     let answer = vm.ask(&request);
@@ -92,7 +92,7 @@
         let vm = Vm::start(&store);
         upstreams[0].usually(behaviour.clone());
         upstreams[1].usually(Behaviour::Answer(b"good".to_vec()));
-        let mut asked = 0;
+        let mut attempts = 0;
         while upstreams[0].ran().is_empty() {
             let request = Request::new("GET", "/read/");
             let answer = vm.ask(&request);
@@ -102,9 +102,9 @@
                 "{behaviour:?}"
             );
             assert!(runs_of(&upstreams, request.id()) <= 2, "{behaviour:?}");
-            asked += 1;
+            attempts += 1;
             assert!(
-                asked < 50,
+                attempts < 50,
                 "{behaviour:?}: the failing upstream is never tried"
             );
             upstreams[1].usually(Behaviour::Slow(std::time::Duration::from_millis(60)));
@@ -119,7 +119,7 @@
     // Guards against more attempts than the route allows when every upstream fails.
     let (store, upstreams) = platform(&["s-1", "s-2", "s-3"]);
     let vm = Vm::start(&store);
-    all(&upstreams, &Behaviour::Fail);
+    set_all(&upstreams, &Behaviour::Fail);
     let request = Request::new("GET", "/read/");
     assert_eq!(vm.ask(&request).status, 500);
     assert_eq!(runs_of(&upstreams, request.id()), 2);
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -56,10 +56,10 @@
     let mut stream = std::net::TcpStream::connect(vm.callers).unwrap();
     let request = Request::new("POST", "/write/").body(b"enrol");
     std::io::Write::write_all(&mut stream, &request.bytes()).unwrap();
-    deployment::until("it runs", || upstreams[0].ran().len() == 1);
+    deployment::until("the request runs", || upstreams[0].ran().len() == 1);
     drop(stream);
     let left = std::time::Instant::now();
-    deployment::until("it is cancelled", || upstreams[0].cancelled() == 1);
+    deployment::until("the request is cancelled", || upstreams[0].cancelled() == 1);
     assert!(
         left.elapsed() < Duration::from_millis(500),
         "{:?}",
--- a/crates/entry/tests/deployment/mod.rs
+++ b/crates/entry/tests/deployment/mod.rs
@@ -45,7 +45,7 @@
     /// Starts a daemon and waits until it is ready.
     pub fn start(store: &KvStandIn) -> Self {
         let vm = Self::start_unready(store);
-        until("it is ready", || vm.is_ready());
+        until("the daemon is ready", || vm.is_ready());
         vm
     }
 
@@ -81,11 +81,11 @@
         F: Fn(&mut Value),
     {
         let settings = std::env::temp_dir().join(format!("jasmine-entry-{name}.json"));
-        let any = "127.0.0.1:0";
+        let any_address = "127.0.0.1:0";
         let mut text = json!({
             "vm": name,
             "data_centre": "one",
-            "listen": {"callers": any, "readiness": any, "peers": any, "metrics": any},
+            "listen": {"callers": any_address, "readiness": any_address, "peers": any_address, "metrics": any_address},
             "store": store.to_string(),
             "first_start": true,
             "engines_check_fences": true,
@@ -102,10 +102,10 @@
             .unwrap();
         let lines = Arc::new(Mutex::new(Vec::new()));
         let output = BufReader::new(child.stdout.take().unwrap());
-        let gathered = Arc::clone(&lines);
+        let collected = Arc::clone(&lines);
         thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
-                gathered.lock().unwrap().push(line);
+                collected.lock().unwrap().push(line);
             }
         });
         let started = || {
@@ -115,7 +115,7 @@
                 .find(|line| line.contains("event=started"))
                 .cloned()
         };
-        until("it has started", || started().is_some());
+        until("the daemon has started", || started().is_some());
         let line = started().unwrap();
         let address = |name: &str| -> SocketAddr {
             let (_, rest) = line.split_once(&format!(" {name}=")).unwrap();
@@ -183,7 +183,7 @@
         &self,
         request: &Request,
     ) -> Answer {
-        exchange(self.callers, &request.bytes()).expect("an answer")
+        exchange(self.callers, &request.bytes()).expect("a response")
     }
 
     /// Sends raw bytes; returns none if the connection closes without a response.
@@ -393,12 +393,12 @@
 /// Waits until a condition holds, and panics after [`LIMIT`].
 pub fn until<F>(
     what: &str,
-    mut holds: F,
+    mut is_met: F,
 ) where
     F: FnMut() -> bool,
 {
     let began = Instant::now();
-    while !holds() {
+    while !is_met() {
         assert!(began.elapsed() < LIMIT, "not in time: {what}");
         thread::sleep(Duration::from_millis(10));
     }
--- a/crates/entry/tests/event_list.rs
+++ b/crates/entry/tests/event_list.rs
@@ -5,14 +5,14 @@
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
 /// Collects the names of the log events in the sources below a folder.
-fn written(
+fn collect_events(
     folder: &Path,
     names: &mut BTreeSet<String>,
 ) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            written(&path, names);
+            collect_events(&path, names);
             continue;
         }
         let text = fs::read_to_string(&path).unwrap();
@@ -28,7 +28,7 @@
 #[test]
 fn the_page_lists_every_event() {
     let mut names = BTreeSet::new();
-    written(
+    collect_events(
         Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")),
         &mut names,
     );
--- a/crates/entry/tests/explained_failures.rs
+++ b/crates/entry/tests/explained_failures.rs
@@ -10,17 +10,17 @@
 };
 
 /// Traces a request in the log of one VM, once its end is logged.
-fn story_of(
+fn trace_request(
     vm: &Vm,
     request: &Request,
 ) -> Story {
     let path = std::env::temp_dir().join(format!("{}.log", vm.name));
     let mut story = None;
-    until("its end is logged", || {
+    until("the end of the request is logged", || {
         fs::write(&path, vm.log()).unwrap();
-        let told = trace(request.id(), std::slice::from_ref(&path)).unwrap();
-        let has_end = told.end().is_some();
-        story = Some(told);
+        let traced = trace(request.id(), std::slice::from_ref(&path)).unwrap();
+        let has_end = traced.end().is_some();
+        story = Some(traced);
         has_end
     });
     fs::remove_file(&path).unwrap();
@@ -40,8 +40,8 @@
             break;
         }
     }
-    let told = story_of(&vm, &refused.expect("the burst ends"));
-    let cause = told.cause();
+    let traced = trace_request(&vm, &refused.expect("the burst ends"));
+    let cause = traced.cause();
     assert!(cause.contains("Account small was over its rate"), "{cause}");
     assert!(cause.contains("10 tokens"), "{cause}");
     assert!(!cause.contains("s-1"), "{cause}");
@@ -55,15 +55,15 @@
     upstreams[0].next(Behaviour::Reset);
     let request = Request::new("POST", "/write/").body(b"enrol");
     assert_eq!(vm.ask(&request).status, 502);
-    let told = story_of(&vm, &request);
-    let cause = told.cause();
+    let traced = trace_request(&vm, &request);
+    let cause = traced.cause();
     assert!(
         cause.contains("Upstream s-1 had it and ended with Lost"),
         "{cause}"
     );
-    let words: Vec<&str> = told.own.iter().map(|line| line.event.as_str()).collect();
+    let events: Vec<&str> = traced.own.iter().map(|line| line.event.as_str()).collect();
     assert_eq!(
-        words,
+        events,
         ["request_sent", "attempt_failed", "request_given_up"]
     );
 }
@@ -76,14 +76,15 @@
     upstreams[0].next(Behaviour::CutAfter(3));
     let request = Request::new("POST", "/once/").body(b"prompt");
     assert!(!vm.ask(&request).is_whole);
-    let told = story_of(&vm, &request);
+    let traced = trace_request(&vm, &request);
     assert!(
-        told.cause()
+        traced
+            .cause()
             .contains("Upstream s-1 stopped in the middle (Lost); the caller has 3 events"),
         "{}",
-        told.cause()
+        traced.cause()
     );
-    assert_eq!(told.end().unwrap().get("events"), Some("3"));
+    assert_eq!(traced.end().unwrap().get("events"), Some("3"));
 }
 
 #[test]
@@ -94,8 +95,8 @@
     let vm = Vm::start_unready(&store);
     let request = Request::new("GET", "/read/");
     assert_eq!(vm.ask(&request).status, 503);
-    let told = story_of(&vm, &request);
-    assert_eq!(told.cause(), "This VM had no configuration yet.");
+    let traced = trace_request(&vm, &request);
+    assert_eq!(traced.cause(), "This VM had no configuration yet.");
 }
 
 #[test]
@@ -106,7 +107,7 @@
         vm.ask(&Request::new("POST", "/write/").body(b"a secret prompt"));
         vm.ask(&Request::new("GET", "/read/").with("X-Api-Key", "key-of-nobody"));
     }
-    until("it is logged", || {
+    until("the requests are logged", || {
         vm.log().matches("request_ended").count() >= 3
     });
     let log = vm.log();
--- a/crates/entry/tests/fault_soak.rs
+++ b/crates/entry/tests/fault_soak.rs
@@ -7,53 +7,53 @@
 mod soak;
 
 use {
-    soak::play,
+    soak::run_seed,
     std::{env, time::Duration},
 };
 
 /// Seeds that always run. In 114, a planned stop outlasts the faults.
-const KEPT: [u64; 2] = [1, 114];
-const SECONDS: u64 = 6;
+const FIXED_SEEDS: [u64; 2] = [1, 114];
+const DEFAULT_SECONDS: u64 = 6;
 
-fn setting(
+fn env_setting(
     name: &str,
     default: u64,
 ) -> u64 {
     env::var(name).map_or(default, |text| text.parse().expect("a number"))
 }
 
-fn play_all<I>(
+fn run_seeds<I>(
     seeds: I,
     seconds: u64,
 ) where
     I: IntoIterator<Item = u64>,
 {
-    let mut red = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in seeds {
-        let broken = play(seed, Duration::from_secs(seconds));
-        println!("seed {seed}: {} broken", broken.len());
-        if !broken.is_empty() {
-            println!("{}", broken.join("\n"));
-            red.push(seed);
+        let violations = run_seed(seed, Duration::from_secs(seconds));
+        println!("seed {seed}: {} broken", violations.len());
+        if !violations.is_empty() {
+            println!("{}", violations.join("\n"));
+            failed_seeds.push(seed);
         }
     }
-    assert!(red.is_empty(), "seeds {red:?}");
+    assert!(failed_seeds.is_empty(), "failed seeds {failed_seeds:?}");
 }
 
 #[test]
 fn promises_hold_under_faults() {
     // Guards against requests that run twice, wrong outcomes, crossed responses and overfilled engines while processes,
     // links and the store fail at the same time.
-    play_all(KEPT, SECONDS);
+    run_seeds(FIXED_SEEDS, DEFAULT_SECONDS);
 }
 
 #[test]
 #[ignore = "minutes long; by hand"]
 fn fresh_seeds() {
-    let first = setting("JASMINE_SOAK_FIRST", 100);
-    let seeds = setting("JASMINE_SOAK_SEEDS", 50);
-    play_all(
+    let first = env_setting("JASMINE_SOAK_FIRST", 100);
+    let seeds = env_setting("JASMINE_SOAK_SEEDS", 50);
+    run_seeds(
         first..first + seeds,
-        setting("JASMINE_SOAK_SECONDS", SECONDS),
+        env_setting("JASMINE_SOAK_SECONDS", DEFAULT_SECONDS),
     );
 }
--- a/crates/entry/tests/leader_changes.rs
+++ b/crates/entry/tests/leader_changes.rs
@@ -48,11 +48,11 @@
     ));
     scheduling.start();
     let feed = Rc::new(Feed::new(Millis(2_000)));
-    let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let server = SchedulerServer::new(
         Rc::clone(&scheduling),
         feed,
-        KvStore::new(nowhere, Millis(500)),
+        KvStore::new(unused_address, Millis(500)),
     );
     let client: scheduler::Client = capnp_rpc::new_client(server);
     spawn_local(serve(listener, client.client));
@@ -111,12 +111,12 @@
     }
 }
 
-async fn until<F>(mut holds: F)
+async fn until<F>(mut is_met: F)
 where
     F: FnMut() -> bool,
 {
     let waited = async {
-        while !holds() {
+        while !is_met() {
             sleep(Duration::from_millis(5)).await;
         }
     };
@@ -142,8 +142,8 @@
         old.scheduling.become_leader(Fence(1), RateShare::Fresh);
         follower.scheduling.observe_leader(old.leader.clone());
         until(|| follower.scheduling.is_following()).await;
-        let asking = Rc::clone(&follower.scheduling);
-        let asked = spawn_local(async move { asking.place(job()).await });
+        let scheduling = Rc::clone(&follower.scheduling);
+        let pending = spawn_local(async move { scheduling.place(job()).await });
         until(|| old.scheduling.local_scheduler.load().0 == 1).await;
 
         new.scheduling
@@ -152,7 +152,7 @@
         new.scheduling.become_leader(Fence(2), RateShare::TakenOver);
         old.scheduling.observe_leader(new.leader.clone());
         follower.scheduling.observe_leader(new.leader.clone());
-        let placed = timeout(LIMIT, asked)
+        let placed = timeout(LIMIT, pending)
             .await
             .expect("decided in time")
             .unwrap();
@@ -172,8 +172,8 @@
         let old = node("old", 1).await;
         let new = node("new", 2).await;
         old.scheduling.become_leader(Fence(1), RateShare::Fresh);
-        let asking = Rc::clone(&old.scheduling);
-        let asked = spawn_local(async move { asking.place(job()).await });
+        let scheduling = Rc::clone(&old.scheduling);
+        let pending = spawn_local(async move { scheduling.place(job()).await });
         until(|| old.scheduling.local_scheduler.load().0 == 1).await;
 
         new.scheduling
@@ -181,7 +181,7 @@
             .set_upstream(&server("s-new"));
         new.scheduling.become_leader(Fence(2), RateShare::TakenOver);
         old.scheduling.observe_leader(new.leader.clone());
-        let placed = timeout(LIMIT, asked)
+        let placed = timeout(LIMIT, pending)
             .await
             .expect("decided in time")
             .unwrap();
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -17,14 +17,14 @@
     upstreams[0].next(Behaviour::Slow(Duration::from_millis(1_500)));
     let callers = vm.callers;
     let slow = Request::new("POST", "/write/").body(b"enrol");
-    let waiting = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
-    until("it runs", || upstreams[0].ran().len() == 1);
+    let running = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
+    until("the request runs", || upstreams[0].ran().len() == 1);
     vm.signal(Signal::SIGTERM);
-    until("the balancer is told", || !vm.is_ready());
+    until("the readiness probe fails", || !vm.is_ready());
     let during = vm.ask(&Request::new("GET", "/read/"));
     assert_eq!(during.status, 200);
     assert_eq!(during.header("connection").as_deref(), Some("close"));
-    let answer = waiting.join().unwrap().expect("an answer");
+    let answer = running.join().unwrap().expect("a response");
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert!(vm.ended().success());
 }
@@ -37,15 +37,15 @@
     upstreams[0].next(Behaviour::Slow(Duration::from_millis(4_500)));
     let callers = vm.callers;
     let slow = Request::new("POST", "/write/").body(b"enrol");
-    let waiting = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
-    until("it runs", || upstreams[0].ran().len() == 1);
+    let running = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
+    until("the request runs", || upstreams[0].ran().len() == 1);
     vm.signal(Signal::SIGTERM);
     thread::sleep(Duration::from_millis(3_300));
     let late = vm.ask(&Request::new("POST", "/write/").body(b"late"));
     assert_eq!(late.status, 503);
     assert!(late.header("retry-after").is_some());
     assert_eq!(upstreams[0].ran().len(), 1);
-    assert_eq!(waiting.join().unwrap().expect("an answer").status, 200);
+    assert_eq!(running.join().unwrap().expect("a response").status, 200);
     assert!(vm.ended().success());
 }
 
@@ -53,20 +53,20 @@
 fn what_waits_is_sent_elsewhere() {
     // Guards against closing the connection of a request that still waits for an upstream without a response.
     let (store, _upstreams) = platform(&["s-1"]);
-    let mut patient = deployment::config(2);
-    for route in patient["routes"].as_array_mut().unwrap() {
+    let mut long_timeouts = deployment::config(2);
+    for route in long_timeouts["routes"].as_array_mut().unwrap() {
         route["timeout_ms"] = 15_000.into();
     }
-    store.put("op/config", &patient);
+    store.put("op/config", &long_timeouts);
     let mut vm = Vm::start(&store);
     vm.signal(Signal::SIGTERM);
     thread::sleep(Duration::from_millis(1_500));
-    let waits = Request::new("POST", "/model/")
+    let waiting_request = Request::new("POST", "/model/")
         .with("X-Deadline-Ms", "15000")
         .with("X-Model", "base/a1")
         .with("X-Token-Counts", "100,10")
         .body(b"prompt");
-    let answer = vm.send(&waits.bytes()).expect("an answer");
+    let answer = vm.send(&waiting_request.bytes()).expect("a response");
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert!(answer.text().contains("shutting_down"), "{}", answer.text());
     assert!(answer.header("retry-after").is_some());
--- a/crates/entry/tests/soak/callers.rs
+++ b/crates/entry/tests/soak/callers.rs
@@ -13,12 +13,12 @@
 };
 
 /// Callers per VM.
-const AT_EACH: usize = 4;
+const CALLERS_PER_VM: usize = 4;
 /// Most requests per connection.
-const OVER_ONE: usize = 6;
-const PAUSE: Duration = Duration::from_millis(15);
+const MAX_REQUESTS_PER_CONNECTION: usize = 6;
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 /// Read timeout of a caller; longer than the deadline of its requests.
-const PATIENCE: Duration = Duration::from_secs(6);
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
 /// Methods and targets, requested in rotation.
 const TARGETS: [(&str, &str); 5] = [
     ("GET", "/read/x"),
@@ -30,9 +30,9 @@
 
 /// The result of a request as its caller sees it.
 #[derive(Clone, Debug)]
-pub enum Said {
-    Answer(Answer),
-    Nothing,
+pub enum CallResult {
+    Response(Answer),
+    NoResponse,
 }
 
 /// A request and its result.
@@ -40,7 +40,7 @@
 pub struct Record {
     pub id: String,
     pub target: &'static str,
-    pub said: Said,
+    pub result: CallResult,
 }
 
 /// Callers that send requests until they are stopped.
@@ -56,10 +56,10 @@
         let records = Arc::new(Mutex::new(Vec::new()));
         let mut threads = Vec::new();
         for address in vms {
-            for number in 0..AT_EACH {
+            for number in 0..CALLERS_PER_VM {
                 let (stop, records) = (Arc::clone(&stop), Arc::clone(&records));
                 threads.push(thread::spawn(move || {
-                    call_on(address, number, &stop, &records);
+                    run_caller(address, number, &stop, &records);
                 }));
             }
         }
@@ -80,31 +80,31 @@
     }
 }
 
-fn call_on(
+fn run_caller(
     address: SocketAddr,
     first: usize,
     stop: &AtomicBool,
     records: &Mutex<Vec<Record>>,
 ) {
-    let mut turn = first;
+    let mut request_number = first;
     while !stop.load(Ordering::Relaxed) {
         let Ok(mut stream) = TcpStream::connect(address) else {
-            thread::sleep(PAUSE);
+            thread::sleep(REQUEST_INTERVAL);
             continue;
         };
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        for _ in 0..OVER_ONE {
-            let (method, target) = TARGETS[turn % TARGETS.len()];
-            turn += 1;
-            let req = request(method, target, turn);
-            let said = ask(&mut stream, &req);
-            let goes_on = matches!(&said, Said::Answer(answer) if keeps(answer));
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+        for _ in 0..MAX_REQUESTS_PER_CONNECTION {
+            let (method, target) = TARGETS[request_number % TARGETS.len()];
+            request_number += 1;
+            let req = request(method, target, request_number);
+            let result = call(&mut stream, &req);
+            let can_reuse = matches!(&result, CallResult::Response(answer) if is_reusable(answer));
             let id = req.id().to_owned();
-            let record = Record { id, target, said };
+            let record = Record { id, target, result };
             records.lock().unwrap().push(record);
             // Without a pause, immediate refusals would dominate the records.
-            thread::sleep(PAUSE);
-            if !goes_on || stop.load(Ordering::Relaxed) {
+            thread::sleep(REQUEST_INTERVAL);
+            if !can_reuse || stop.load(Ordering::Relaxed) {
                 break;
             }
         }
@@ -114,12 +114,12 @@
 fn request(
     method: &'static str,
     target: &str,
-    turn: usize,
+    request_number: usize,
 ) -> Request {
     let req = Request::new(method, target);
     match target {
         "/model/x" => req
-            .with("X-Model", &format!("base/a{}", turn % 5 + 1))
+            .with("X-Model", &format!("base/a{}", request_number % 5 + 1))
             .with("X-Token-Counts", "100,10")
             .with("X-Prompt-Prefix", "a1:50,b2:50")
             .body(b"prompt"),
@@ -128,19 +128,19 @@
     }
 }
 
-fn ask(
+fn call(
     stream: &mut TcpStream,
     req: &Request,
-) -> Said {
+) -> CallResult {
     if stream.write_all(&req.bytes()).is_err() {
-        return Said::Nothing;
+        return CallResult::NoResponse;
     }
-    read_answer(stream).map_or(Said::Nothing, Said::Answer)
+    read_answer(stream).map_or(CallResult::NoResponse, CallResult::Response)
 }
 
-fn keeps(answer: &Answer) -> bool {
+fn is_reusable(answer: &Answer) -> bool {
     let closes = answer
         .header("connection")
-        .is_some_and(|said| said == "close");
+        .is_some_and(|value| value == "close");
     answer.is_whole && !closes
 }
--- a/crates/entry/tests/soak/checks.rs
+++ b/crates/entry/tests/soak/checks.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        callers::{Record, Said},
-        world::{EVENTS, World},
+        callers::{CallResult, Record},
+        cluster::{Cluster, EVENTS},
     },
     crate::deployment::{Answer, KEY},
     jasmine_platform_stand_in::{Seen, UpstreamStandIn},
@@ -11,18 +11,18 @@
 };
 
 /// Statuses which state that the request didn't run.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Bodies of complete upstream responses.
-const WHOLE: [&str; 3] = ["ok", "first", "slow"];
+const COMPLETE_BODIES: [&str; 3] = ["ok", "first", "slow"];
 
 pub fn check(
-    world: &World,
+    cluster: &Cluster,
     records: &[Record],
 ) -> Vec<String> {
-    let seen: Vec<Seen> = world
+    let seen: Vec<Seen> = cluster
         .upstreams
         .iter()
-        .chain([&world.streams])
+        .chain([&cluster.streams])
         .flat_map(UpstreamStandIn::ran)
         .collect();
     let mut runs: HashMap<String, u32> = HashMap::new();
@@ -30,24 +30,27 @@
         let id = seen.headers.get("x-request-id").cloned();
         *runs.entry(id.unwrap_or_default()).or_default() += 1;
     }
-    let mut broken: Vec<String> = Vec::new();
+    let mut violations: Vec<String> = Vec::new();
     for record in records {
         let runs = runs.get(&record.id).copied().unwrap_or_default();
-        broken.extend(of_runs(record, runs));
-        broken.extend(of_answer(record));
+        violations.extend(check_runs(record, runs));
+        violations.extend(check_response(record));
     }
-    broken.extend(seen.iter().filter_map(of_headers));
-    broken.extend(of_engine(world));
-    if world.logs().contains(KEY) {
-        broken.push("an API key is in the logs".to_owned());
+    violations.extend(seen.iter().filter_map(check_headers));
+    violations.extend(check_engine(cluster));
+    if cluster.logs().contains(KEY) {
+        violations.push("an API key is in the logs".to_owned());
     }
-    broken.extend(of_service(records));
-    broken
+    violations.extend(check_availability(records));
+    violations
 }
 
 /// At least half of the requests that get a response are served.
-fn of_service(records: &[Record]) -> Option<String> {
-    let answered = records.iter().filter(|record| record.is_answered()).count();
+fn check_availability(records: &[Record]) -> Option<String> {
+    let answered = records
+        .iter()
+        .filter(|record| record.has_response())
+        .count();
     let served = records.iter().filter(|record| record.is_served()).count();
     println!(
         "{served} served of {answered} answered of {}",
@@ -57,20 +60,22 @@
 }
 
 /// A non-idempotent request runs at most once, and not if its caller was told that it didn't run.
-fn of_runs(
+fn check_runs(
     record: &Record,
     runs: u32,
 ) -> Option<String> {
     if !record.target.starts_with("/write/") {
         return None;
     }
-    match &record.said {
+    match &record.result {
         _ if runs > 1 => Some(format!("{} ran {runs} times", record.id)),
-        Said::Answer(answer) if NOT_RUN.contains(&answer.status) && runs > 0 => Some(format!(
-            "{} ran, but its status is {}",
-            record.id, answer.status
-        )),
-        Said::Answer(answer) if answer.status == 200 && answer.is_whole && runs == 0 => {
+        CallResult::Response(answer) if NOT_RUN_STATUSES.contains(&answer.status) && runs > 0 => {
+            Some(format!(
+                "{} ran, but its status is {}",
+                record.id, answer.status
+            ))
+        }
+        CallResult::Response(answer) if answer.status == 200 && answer.is_whole && runs == 0 => {
             Some(format!("{} succeeded, but never ran", record.id))
         }
         _ => None,
@@ -78,8 +83,8 @@
 }
 
 /// A successful response belongs to its request and is complete.
-fn of_answer(record: &Record) -> Option<String> {
-    let Said::Answer(answer) = &record.said else {
+fn check_response(record: &Record) -> Option<String> {
+    let CallResult::Response(answer) = &record.result else {
         return None;
     };
     if answer.status != 200 {
@@ -91,9 +96,9 @@
         _ if id.as_deref() != Some(&record.id) => {
             Some(format!("{} got the response to {id:?}", record.id))
         }
-        "/flow/x" => of_stream(record, answer),
+        "/flow/x" => check_stream(record, answer),
         "/model/x" => None,
-        _ if answer.is_whole && !WHOLE.contains(&text.as_str()) => {
+        _ if answer.is_whole && !COMPLETE_BODIES.contains(&text.as_str()) => {
             Some(format!("{} got the unexpected body {text:?}", record.id))
         }
         _ => None,
@@ -101,7 +106,7 @@
 }
 
 /// A stream has each event once and in order, and isn't complete before its last event.
-fn of_stream(
+fn check_stream(
     record: &Record,
     answer: &Answer,
 ) -> Option<String> {
@@ -112,14 +117,14 @@
         .filter_map(|event| event.lines().find_map(|line| line.strip_prefix("id: ")))
         .filter_map(|id| id.parse().ok())
         .collect();
-    let in_order = ids.iter().copied().eq(1..=ids.len() as u64);
-    let is_short = answer.is_whole && ids.len() as u64 != EVENTS;
-    (!in_order || is_short)
+    let is_in_order = ids.iter().copied().eq(1..=ids.len() as u64);
+    let is_incomplete = answer.is_whole && ids.len() as u64 != EVENTS;
+    (!is_in_order || is_incomplete)
         .then(|| format!("{}: events {ids:?}, whole {}", record.id, answer.is_whole))
 }
 
 /// Upstreams get the right account and never an API key.
-fn of_headers(seen: &Seen) -> Option<String> {
+fn check_headers(seen: &Seen) -> Option<String> {
     let id = seen.headers.get("x-request-id");
     let has_key = seen.headers.values().any(|value| value.contains(KEY));
     let account = seen.headers.get("x-tenant").map(String::as_str);
@@ -133,28 +138,28 @@
 }
 
 /// Engines are never overfilled, and their orders' fencing tokens never decrease.
-fn of_engine(world: &World) -> Vec<String> {
-    let mut broken = Vec::new();
-    if world.engine.overfilled() > 0 {
-        broken.push(format!(
+fn check_engine(cluster: &Cluster) -> Vec<String> {
+    let mut violations = Vec::new();
+    if cluster.engine.overfilled() > 0 {
+        violations.push(format!(
             "the engine was overfilled {} times",
-            world.engine.overfilled()
+            cluster.engine.overfilled()
         ));
     }
-    let orders = world.engine.orders();
+    let orders = cluster.engine.orders();
     let fences: Vec<Option<u64>> = orders.iter().map(|order| order["fence"].as_u64()).collect();
     if !fences.is_sorted() {
-        broken.push(format!("decreasing fencing tokens of orders: {fences:?}"));
+        violations.push(format!("decreasing fencing tokens of orders: {fences:?}"));
     }
-    broken
+    violations
 }
 
 impl Record {
-    const fn is_answered(&self) -> bool {
-        matches!(self.said, Said::Answer(_))
+    const fn has_response(&self) -> bool {
+        matches!(self.result, CallResult::Response(_))
     }
 
     fn is_served(&self) -> bool {
-        matches!(&self.said, Said::Answer(answer) if answer.status == 200 && answer.is_whole)
+        matches!(&self.result, CallResult::Response(answer) if answer.status == 200 && answer.is_whole)
     }
 }
--- a/crates/entry/tests/soak/world.rs
+++ b/crates/entry/tests/soak/cluster.rs
@@ -16,14 +16,14 @@
 /// Number of events of a complete stream.
 pub const EVENTS: u64 = 12;
 /// Delay between the exit of a process and its restart.
-const DOWN: Duration = Duration::from_millis(200);
-const ANY: &str = "127.0.0.1:0";
+const RESTART_DELAY: Duration = Duration::from_millis(200);
+const ANY_ADDRESS: &str = "127.0.0.1:0";
 
-struct Slot {
+struct VmSlot {
     name: String,
     vm: Option<Vm>,
     starts_at: Option<Instant>,
-    thaws_at: Option<Instant>,
+    resumes_at: Option<Instant>,
     is_stopping: bool,
     store_link: Proxy,
     caller_link: Proxy,
@@ -32,27 +32,27 @@
 
 /// The proxy or state that has to be restored after a fault.
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum FaultTarget {
     StoreLink(usize),
     CallerLink(usize),
     UpstreamLink(usize),
     Store,
-    Leaving(usize),
+    Draining(usize),
 }
 
 /// All processes, fake services and proxies of a run.
-pub struct World {
+pub struct Cluster {
     store: KvStandIn,
-    slots: Vec<Slot>,
+    slots: Vec<VmSlot>,
     pub upstreams: Vec<UpstreamStandIn>,
     upstream_links: Vec<Proxy>,
     pub streams: UpstreamStandIn,
     pub engine: EngineStandIn,
     version: u64,
-    ends: Vec<(Instant, Place)>,
+    pending_ends: Vec<(Instant, FaultTarget)>,
 }
 
-impl World {
+impl Cluster {
     pub fn start(seed: u64) -> Self {
         let store = KvStandIn::start().unwrap();
         let upstreams: Vec<_> = (0..UPSTREAMS)
@@ -60,12 +60,12 @@
             .collect();
         let upstream_links = upstreams
             .iter()
-            .map(|upstream| link_to(address_of(&upstream.entry("app", "one", "ready"))))
+            .map(|upstream| start_proxy(entry_address(&upstream.entry("app", "one", "ready"))))
             .collect();
         let streams = UpstreamStandIn::start("t-1").unwrap();
         streams.usually(Behaviour::Events(EVENTS));
         let engine = EngineStandIn::start("e-1").unwrap();
-        let mut world = Self {
+        let mut cluster = Self {
             store,
             slots: Vec::new(),
             upstreams,
@@ -73,40 +73,40 @@
             streams,
             engine,
             version: 0,
-            ends: Vec::new(),
+            pending_ends: Vec::new(),
         };
-        world.new_config();
+        cluster.put_config();
         for number in 0..UPSTREAMS {
-            world.enter(number, "ready");
+            cluster.register_upstream(number, "ready");
         }
-        let entry = world.streams.entry("flows", "one", "ready");
-        world.store.put(&world.streams.key(), &entry);
-        let entry = world.engine.entry("llm", "one");
-        world.store.put(&world.engine.key(), &entry);
+        let entry = cluster.streams.entry("flows", "one", "ready");
+        cluster.store.put(&cluster.streams.key(), &entry);
+        let entry = cluster.engine.entry("llm", "one");
+        cluster.store.put(&cluster.engine.key(), &entry);
         for number in 0..VMS {
-            world.add_vm(format!("soak-{}-{seed}-{number}", std::process::id()));
+            cluster.add_vm(format!("soak-{}-{seed}-{number}", std::process::id()));
         }
         let all_ready = || {
-            let vms = world.slots.iter().filter_map(|slot| slot.vm.as_ref());
+            let vms = cluster.slots.iter().filter_map(|slot| slot.vm.as_ref());
             vms.filter(|vm| vm.is_ready()).count() == VMS
         };
         deployment::until("all are ready", all_ready);
-        world
+        cluster
     }
 
     fn add_vm(
         &mut self,
         name: String,
     ) {
-        let store_link = link_to(self.store.address());
+        let store_link = start_proxy(self.store.address());
         let vm = Vm::start_before(store_link.address(), &name);
-        self.slots.push(Slot {
+        self.slots.push(VmSlot {
             name,
             store_link,
-            caller_link: link_to(vm.callers),
+            caller_link: start_proxy(vm.callers),
             vm: Some(vm),
             starts_at: None,
-            thaws_at: None,
+            resumes_at: None,
             is_stopping: false,
             log: String::new(),
         });
@@ -114,19 +114,19 @@
 
     /// The callers' addresses of the VMs, which stay the same across restarts.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        let address = |slot: &Slot| slot.caller_link.address();
+        let address = |slot: &VmSlot| slot.caller_link.address();
         self.slots.iter().map(address).collect()
     }
 
     /// The logs of all VMs.
     pub fn logs(&self) -> String {
         let log =
-            |slot: &Slot| slot.log.clone() + &slot.vm.as_ref().map_or_else(String::new, Vm::log);
+            |slot: &VmSlot| slot.log.clone() + &slot.vm.as_ref().map_or_else(String::new, Vm::log);
         self.slots.iter().map(log).collect()
     }
 
     /// Saves the logs of a failed seed.
-    pub fn keep_logs(
+    pub fn save_logs(
         &self,
         seed: u64,
     ) {
@@ -136,7 +136,7 @@
     }
 
     /// Starts a fault.
-    pub fn begin(
+    pub fn start_fault(
         &mut self,
         fault: Fault,
     ) {
@@ -147,33 +147,37 @@
                 self.signal(vm, Signal::SIGTERM);
                 self.slots[vm].is_stopping = true;
             }
-            Fault::Freeze(vm, time) => {
+            Fault::Suspend(vm, time) => {
                 self.signal(vm, Signal::SIGSTOP);
-                self.slots[vm].thaws_at = Some(now + time);
+                self.slots[vm].resumes_at = Some(now + time);
             }
             Fault::StoreLink(vm, link, time) => {
                 self.slots[vm].store_link.set(link);
-                self.ends.push((now + time, Place::StoreLink(vm)));
+                self.pending_ends
+                    .push((now + time, FaultTarget::StoreLink(vm)));
             }
             Fault::CallerLink(vm, link, time) => {
                 self.slots[vm].caller_link.set(link);
-                self.ends.push((now + time, Place::CallerLink(vm)));
+                self.pending_ends
+                    .push((now + time, FaultTarget::CallerLink(vm)));
             }
             Fault::UpstreamLink(upstream, link, time) => {
                 self.upstream_links[upstream].set(link);
-                self.ends.push((now + time, Place::UpstreamLink(upstream)));
+                self.pending_ends
+                    .push((now + time, FaultTarget::UpstreamLink(upstream)));
             }
-            Fault::StoreAway(outage, time) => {
+            Fault::StoreOutage(outage, time) => {
                 self.store.set_outage(outage);
-                self.ends.push((now + time, Place::Store));
+                self.pending_ends.push((now + time, FaultTarget::Store));
             }
-            Fault::HistoryLost => self.store.forget_history(),
-            Fault::Misbehaves(upstream, how) => self.upstreams[upstream].next(how),
-            Fault::OrdersLost(count) => self.engine.lose_answers(count),
-            Fault::NewConfig => self.new_config(),
-            Fault::Leaves(upstream, time) => {
-                self.enter(upstream, "draining");
-                self.ends.push((now + time, Place::Leaving(upstream)));
+            Fault::StoreHistoryLost => self.store.forget_history(),
+            Fault::UpstreamMisbehaves(upstream, how) => self.upstreams[upstream].next(how),
+            Fault::OrderResponsesLost(count) => self.engine.lose_answers(count),
+            Fault::NewConfig => self.put_config(),
+            Fault::UpstreamDrains(upstream, time) => {
+                self.register_upstream(upstream, "draining");
+                self.pending_ends
+                    .push((now + time, FaultTarget::Draining(upstream)));
             }
         }
     }
@@ -181,12 +185,12 @@
     /// Ends expired faults and restarts processes that are due.
     pub fn step(&mut self) {
         let now = Instant::now();
-        let (over, lasting) = std::mem::take(&mut self.ends)
+        let (expired, active) = std::mem::take(&mut self.pending_ends)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.ends = lasting;
-        for (_, place) in over {
-            self.end(place);
+        self.pending_ends = active;
+        for (_, target) in expired {
+            self.end_fault(target);
         }
         for slot in &mut self.slots {
             slot.step(now);
@@ -194,28 +198,28 @@
     }
 
     /// Ends all faults and waits until all processes run.
-    pub fn heal(&mut self) {
-        for (_, place) in std::mem::take(&mut self.ends) {
-            self.end(place);
+    pub fn end_all_faults(&mut self) {
+        for (_, target) in std::mem::take(&mut self.pending_ends) {
+            self.end_fault(target);
         }
         for slot in &mut self.slots {
-            slot.thaws_at = slot.thaws_at.map(|_| Instant::now());
+            slot.resumes_at = slot.resumes_at.map(|_| Instant::now());
         }
         let began = Instant::now();
-        while began.elapsed() < LIMIT && !self.slots.iter().all(Slot::is_running) {
+        while began.elapsed() < LIMIT && !self.slots.iter().all(VmSlot::is_running) {
             self.step();
             thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// Returns the routes that aren't served in time after all faults have ended.
-    pub fn serves_again(&self) -> Vec<String> {
+    pub fn unserved_routes(&self) -> Vec<String> {
         let targets = [
             ("GET", "/read/x"),
             ("POST", "/write/x"),
             ("POST", "/flow/x"),
         ];
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for slot in &self.slots {
             for (method, target) in targets {
                 let began = Instant::now();
@@ -228,14 +232,14 @@
                     thread::sleep(Duration::from_millis(50));
                 }
                 if !is_served(&last) {
-                    broken.push(format!(
+                    violations.push(format!(
                         "{}: {target} isn't served after recovery, last status {last:?}",
                         slot.name
                     ));
                 }
             }
         }
-        broken
+        violations
     }
 
     fn signal(
@@ -250,21 +254,21 @@
         }
     }
 
-    fn end(
+    fn end_fault(
         &mut self,
-        place: Place,
+        target: FaultTarget,
     ) {
-        let whole = Link::default();
-        match place {
-            Place::StoreLink(vm) => self.slots[vm].store_link.set(whole),
-            Place::CallerLink(vm) => self.slots[vm].caller_link.set(whole),
-            Place::UpstreamLink(upstream) => self.upstream_links[upstream].set(whole),
-            Place::Store => self.store.set_outage(Outage::None),
-            Place::Leaving(upstream) => self.enter(upstream, "ready"),
+        let healthy = Link::default();
+        match target {
+            FaultTarget::StoreLink(vm) => self.slots[vm].store_link.set(healthy),
+            FaultTarget::CallerLink(vm) => self.slots[vm].caller_link.set(healthy),
+            FaultTarget::UpstreamLink(upstream) => self.upstream_links[upstream].set(healthy),
+            FaultTarget::Store => self.store.set_outage(Outage::None),
+            FaultTarget::Draining(upstream) => self.register_upstream(upstream, "ready"),
         }
     }
 
-    fn enter(
+    fn register_upstream(
         &self,
         number: usize,
         state: &str,
@@ -275,7 +279,7 @@
         self.store.put(&upstream.key(), &entry);
     }
 
-    fn new_config(&mut self) {
+    fn put_config(&mut self) {
         self.version += 1;
         let mut config = deployment::config(self.version);
         config["services"]
@@ -292,10 +296,10 @@
     }
 }
 
-impl Slot {
+impl VmSlot {
     fn is_running(&self) -> bool {
         let is_up = self.vm.is_some() && self.starts_at.is_none();
-        is_up && self.thaws_at.is_none() && !self.is_stopping
+        is_up && self.resumes_at.is_none() && !self.is_stopping
     }
 
     fn step(
@@ -303,8 +307,8 @@
         now: Instant,
     ) {
         if let Some(vm) = &mut self.vm {
-            if self.thaws_at.is_some_and(|at| at <= now) {
-                self.thaws_at = None;
+            if self.resumes_at.is_some_and(|at| at <= now) {
+                self.resumes_at = None;
                 if !vm.has_ended() {
                     vm.signal(Signal::SIGCONT);
                 }
@@ -312,8 +316,8 @@
             if vm.has_ended() {
                 self.log.push_str(&vm.log());
                 self.vm = None;
-                self.thaws_at = None;
-                self.starts_at = Some(now + DOWN);
+                self.resumes_at = None;
+                self.starts_at = Some(now + RESTART_DELAY);
             }
         }
         if self.starts_at.is_some_and(|at| at <= now) {
@@ -326,10 +330,10 @@
     }
 }
 
-fn link_to(target: SocketAddr) -> Proxy {
-    Proxy::start(ANY.parse().unwrap(), target).unwrap()
+fn start_proxy(target: SocketAddr) -> Proxy {
+    Proxy::start(ANY_ADDRESS.parse().unwrap(), target).unwrap()
 }
 
-fn address_of(entry: &Value) -> SocketAddr {
+fn entry_address(entry: &Value) -> SocketAddr {
     entry["address"].as_str().unwrap().parse().unwrap()
 }
--- a/crates/entry/tests/soak/fault.rs
+++ b/crates/entry/tests/soak/fault.rs
@@ -7,9 +7,9 @@
 };
 
 /// Time between the starts of two faults, in milliseconds; shorter than most faults, so that they overlap.
-const BETWEEN: std::ops::Range<u64> = 60..450;
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 60..450;
 /// Duration of a fault, in milliseconds.
-const LASTS: std::ops::Range<u64> = 100..1_600;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 100..1_600;
 pub const VMS: usize = 3;
 pub const UPSTREAMS: usize = 3;
 
@@ -18,16 +18,16 @@
 pub enum Fault {
     Kill(usize),
     Stop(usize),
-    Freeze(usize, Duration),
+    Suspend(usize, Duration),
     StoreLink(usize, Link, Duration),
     CallerLink(usize, Link, Duration),
     UpstreamLink(usize, Link, Duration),
-    StoreAway(Outage, Duration),
-    HistoryLost,
-    Misbehaves(usize, Behaviour),
-    OrdersLost(u32),
+    StoreOutage(Outage, Duration),
+    StoreHistoryLost,
+    UpstreamMisbehaves(usize, Behaviour),
+    OrderResponsesLost(u32),
     NewConfig,
-    Leaves(usize, Duration),
+    UpstreamDrains(usize, Duration),
 }
 
 /// Generates the fault schedule of a seed.
@@ -39,33 +39,33 @@
     let mut at = Duration::from_millis(300);
     let mut plan = Vec::new();
     while at < length {
-        plan.push((at, draw(&mut rng)));
-        at += Duration::from_millis(rng.random_range(BETWEEN));
+        plan.push((at, random_fault(&mut rng)));
+        at += Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS));
     }
     plan
 }
 
-fn draw(rng: &mut ChaCha8Rng) -> Fault {
+fn random_fault(rng: &mut ChaCha8Rng) -> Fault {
     let vm = rng.random_range(0..VMS);
     let upstream = rng.random_range(0..UPSTREAMS);
-    let time = Duration::from_millis(rng.random_range(LASTS));
+    let time = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
     match rng.random_range(0..16) {
         0 => Fault::Kill(vm),
         1 => Fault::Stop(vm),
-        2 | 3 => Fault::Freeze(vm, time),
-        4 | 5 => Fault::StoreLink(vm, link(rng), time),
-        6 => Fault::CallerLink(vm, link(rng), time),
-        7 | 8 => Fault::UpstreamLink(upstream, link(rng), time),
-        9 => Fault::StoreAway(outage(rng), time),
-        10 => Fault::HistoryLost,
-        11 | 12 => Fault::Misbehaves(upstream, behaviour(rng)),
-        13 => Fault::OrdersLost(rng.random_range(1..3)),
+        2 | 3 => Fault::Suspend(vm, time),
+        4 | 5 => Fault::StoreLink(vm, random_link(rng), time),
+        6 => Fault::CallerLink(vm, random_link(rng), time),
+        7 | 8 => Fault::UpstreamLink(upstream, random_link(rng), time),
+        9 => Fault::StoreOutage(random_outage(rng), time),
+        10 => Fault::StoreHistoryLost,
+        11 | 12 => Fault::UpstreamMisbehaves(upstream, random_behaviour(rng)),
+        13 => Fault::OrderResponsesLost(rng.random_range(1..3)),
         14 => Fault::NewConfig,
-        _ => Fault::Leaves(upstream, time),
+        _ => Fault::UpstreamDrains(upstream, time),
     }
 }
 
-fn link(rng: &mut ChaCha8Rng) -> Link {
+fn random_link(rng: &mut ChaCha8Rng) -> Link {
     let mode = match rng.random_range(0..6) {
         0 => LinkFault::Cut,
         1 => LinkFault::CutToTarget,
@@ -81,7 +81,7 @@
     }
 }
 
-fn outage(rng: &mut ChaCha8Rng) -> Outage {
+fn random_outage(rng: &mut ChaCha8Rng) -> Outage {
     match rng.random_range(0..5) {
         0 => Outage::Busy,
         1 => Outage::Many,
@@ -91,7 +91,7 @@
     }
 }
 
-fn behaviour(rng: &mut ChaCha8Rng) -> Behaviour {
+fn random_behaviour(rng: &mut ChaCha8Rng) -> Behaviour {
     match rng.random_range(0..8) {
         0 => Behaviour::Fail,
         1 => Behaviour::Shed,
--- a/crates/entry/tests/soak/mod.rs
+++ b/crates/entry/tests/soak/mod.rs
@@ -5,48 +5,48 @@
 
 mod callers;
 mod checks;
+mod cluster;
 mod fault;
-mod world;
 
 use {
     callers::Callers,
     checks::check,
+    cluster::Cluster,
     fault::plan,
     std::{
         thread,
         time::{Duration, Instant},
     },
-    world::World,
 };
 
 /// How long callers continue after the last fault, to catch late effects.
-const SETTLE: Duration = Duration::from_millis(1_500);
-const STEP: Duration = Duration::from_millis(10);
+const SETTLE_DELAY: Duration = Duration::from_millis(1_500);
+const STEP_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Runs the fault schedule of one seed and returns the violated invariants.
-pub fn play(
+pub fn run_seed(
     seed: u64,
     length: Duration,
 ) -> Vec<String> {
-    let mut world = World::start(seed);
-    let callers = Callers::start(world.addresses());
+    let mut cluster = Cluster::start(seed);
+    let callers = Callers::start(cluster.addresses());
     let began = Instant::now();
     let mut faults = plan(seed, length).into_iter().peekable();
     while began.elapsed() < length {
         while faults.peek().is_some_and(|(at, _)| *at <= began.elapsed()) {
             let (_, fault) = faults.next().unwrap();
-            world.begin(fault);
+            cluster.start_fault(fault);
         }
-        world.step();
-        thread::sleep(STEP);
+        cluster.step();
+        thread::sleep(STEP_INTERVAL);
     }
-    world.heal();
-    let mut broken = world.serves_again();
-    thread::sleep(SETTLE);
+    cluster.end_all_faults();
+    let mut violations = cluster.unserved_routes();
+    thread::sleep(SETTLE_DELAY);
     let records = callers.finish();
-    broken.extend(check(&world, &records));
-    if !broken.is_empty() {
-        world.keep_logs(seed);
+    violations.extend(check(&cluster, &records));
+    if !violations.is_empty() {
+        cluster.save_logs(seed);
     }
-    broken
+    violations
 }
--- a/crates/entry/tests/store_changes_relay.rs
+++ b/crates/entry/tests/store_changes_relay.rs
@@ -104,16 +104,16 @@
     let (store, _upstreams) = platform(&["s-1"]);
     let vms: Vec<Vm> = (0..3).map(|_| Vm::start(&store)).collect();
     thread::sleep(Duration::from_millis(1_500));
-    for frozen in 0..vms.len() {
-        vms[frozen].signal(Signal::SIGSTOP);
-        let version = frozen as u64 + 2;
+    for suspended in 0..vms.len() {
+        vms[suspended].signal(Signal::SIGSTOP);
+        let version = suspended as u64 + 2;
         let path = format!("/moved-{version}/");
         let began = Instant::now();
         store.put("op/config", &moved(version, &path));
         for (_, vm) in vms
             .iter()
             .enumerate()
-            .filter(|&(number, _)| number != frozen)
+            .filter(|&(number, _)| number != suspended)
         {
             until("the configuration is applied", || is_served(vm, &path));
         }
@@ -122,8 +122,10 @@
             "{:?}",
             began.elapsed()
         );
-        vms[frozen].signal(Signal::SIGCONT);
-        until("it reads changes again", || is_served(&vms[frozen], &path));
+        vms[suspended].signal(Signal::SIGCONT);
+        until("it reads changes again", || {
+            is_served(&vms[suspended], &path)
+        });
         assert!(began.elapsed() < LIMIT);
         thread::sleep(Duration::from_millis(500));
     }
