--- a/crates/entry/src/caller/listener.rs
+++ b/crates/entry/src/caller/listener.rs
@@ -11,19 +11,18 @@
     },
 };
 
-/// Connections that wait to be accepted; beyond them callers' first packets are dropped and come again
-/// seconds later.
+/// Connections queued for accept; if the queue is full, SYN packets are dropped and retried after seconds.
 const BACKLOG: u32 = 1024;
-/// The pause after a failed accept, which comes from a lack of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long the balancer may take with its question.
-const PROBE_LIMIT: Duration = Duration::from_secs(2);
+/// Delay after a failed accept, usually due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout of one readiness probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Listens on an address.
+/// Binds a TCP listener to an IPv4 address.
 ///
 /// # Errors
 ///
-/// Whatever the system says.
+/// Any I/O error.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -31,8 +30,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Hands each connection to `serve`, for ever.
-pub async fn accept_each<S>(
+/// Passes each accepted connection to `serve`; never returns.
+pub async fn accept_loop<S>(
     listener: TcpListener,
     serve: S,
 ) where
@@ -43,40 +42,40 @@
             Ok((stream, _)) => serve(stream),
             Err(e) => {
                 Line::new("accept_failed").with("reason", e).warn();
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves callers, for ever.
+/// Accepts and serves callers; never returns.
 pub async fn serve_callers(
     cx: Rc<Context>,
     listener: TcpListener,
 ) {
-    accept_each(listener, |stream| {
+    accept_loop(listener, |stream| {
         spawn_local(serve_connection(Rc::clone(&cx), stream));
     })
     .await;
 }
 
-/// Tells the balancer whether callers may be sent here, for ever.
+/// Answers the load balancer's readiness probes; never returns.
 pub async fn serve_readiness(
     cx: Rc<Context>,
     listener: TcpListener,
 ) {
-    accept_each(listener, |stream| {
+    accept_loop(listener, |stream| {
         let cx = Rc::clone(&cx);
         spawn_local(async move {
-            // A balancer that says nothing is not waited for.
-            let _elapsed = timeout(PROBE_LIMIT, answer_probes(&cx, stream)).await;
+            // A connection without a complete probe is dropped.
+            let _elapsed = timeout(PROBE_TIMEOUT, serve_probe(&cx, stream)).await;
         });
     })
     .await;
 }
 
-/// Answers whatever is asked: the daemon has one thing to say here.
-async fn answer_probes(
+/// Answers any request with the readiness status.
+async fn serve_probe(
     cx: &Context,
     mut stream: TcpStream,
 ) -> io::Result<()> {
@@ -94,7 +93,7 @@
         (false, StopStage::Running) => "503 Starting",
         (false, _) => "503 Stopping",
     };
-    let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    stream.write_all(answer.as_bytes()).await?;
+    let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    stream.write_all(response.as_bytes()).await?;
     stream.shutdown().await
 }
--- a/crates/entry/src/daemon/run.rs
+++ b/crates/entry/src/daemon/run.rs
@@ -7,7 +7,7 @@
         scheduling::{
             LocalScheduler, OrderContext, SchedulerNode, SchedulerServer, run_engine_tasks,
         },
-        store::{Feed, KvStore, Membership, VmRecord, follow, keep_lead, keep_membership},
+        store::{Feed, KvStore, Membership, VmRecord, follow, keep_registered, run_election},
         upstream::Pool,
     },
     jasmine_conf::settings::EntrySettings,
@@ -21,33 +21,34 @@
     tokio::{net::TcpListener, sync::mpsc, task::spawn_local, time::sleep},
 };
 
-/// How often idle connections are looked through.
-const SWEEP_EVERY: Duration = Duration::from_secs(2);
+/// How often expired idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// For how long the store holds a watch, in percent of the time in which a change has to be in force. A connection
-/// may go silent without a word; it is noticed by an answer that is overdue.
-const WATCH_HELD_PERCENT: u64 = 25;
+/// Long-poll timeout of store watches, in percent of the allowed propagation time of a change.
+///
+/// Short enough to detect a dead connection in time.
+const WATCH_TIMEOUT_PERCENT: u64 = 25;
 
-/// Why the daemon can't run.
+/// Why the daemon failed to start.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum DaemonError {
-    /// An address of the settings can't be listened on.
+    /// Binding a listener failed.
     #[display("can't listen on {key} = {address}: {source}")]
     Listen {
-        /// The settings' key.
+        /// The settings key of the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Metrics can't be set up.
+    /// Setting up the metrics failed.
     #[display("{_0}")]
     Metrics(MetricsError),
 }
 
-/// Serves until a planned stop is over.
+/// Runs the daemon until a planned stop has completed.
 ///
 /// # Errors
 ///
@@ -74,7 +75,7 @@
         scheduling.require_valid_lease();
     }
     let pool = Rc::new(Pool::default());
-    let store = KvStore::new(settings.store, watch_held(&settings));
+    let store = KvStore::new(settings.store, watch_timeout(&settings));
     let feed = Rc::new(Feed::new(settings.change_ms));
     let membership = Rc::new(Membership::new(VmRecord {
         vm: me.clone(),
@@ -114,22 +115,22 @@
         Rc::clone(&membership),
         Rc::clone(&feed),
     ));
-    let entry = keep_membership(Rc::clone(&cx), store.clone(), Rc::clone(&membership));
-    let lead = keep_lead(
+    let membership_task = keep_registered(Rc::clone(&cx), store.clone(), Rc::clone(&membership));
+    let election = run_election(
         Rc::clone(&cx),
         store.clone(),
         Rc::clone(&membership),
         Rc::clone(&feed),
     );
-    let keeping = [
-        spawn_local(entry).abort_handle(),
-        spawn_local(lead).abort_handle(),
+    let lease_tasks = [
+        spawn_local(membership_task).abort_handle(),
+        spawn_local(election).abort_handle(),
     ];
-    spawn_local(sweep(pool, store.clone()));
+    spawn_local(close_expired(pool, store.clone()));
     spawn_local(serve_readiness(Rc::clone(&cx), readiness));
     spawn_local(serve_metrics(Rc::clone(&cx), metrics_listener));
     spawn_local(serve_callers(Rc::clone(&cx), callers));
-    stop::on_signal(&cx, &store, &membership, &feed, &keeping).await;
+    stop::on_signal(&cx, &store, &membership, &feed, &lease_tasks).await;
     Ok(())
 }
 
@@ -162,18 +163,18 @@
     }
 }
 
-/// For how long the store is asked to hold a watch.
-const fn watch_held(settings: &EntrySettings) -> Millis {
-    Millis(settings.change_ms.0 * WATCH_HELD_PERCENT / 100)
+/// The long-poll timeout of store watches.
+const fn watch_timeout(settings: &EntrySettings) -> Millis {
+    Millis(settings.change_ms.0 * WATCH_TIMEOUT_PERCENT / 100)
 }
 
-async fn sweep(
+async fn close_expired(
     pool: Rc<Pool>,
     store: KvStore,
 ) {
     loop {
-        sleep(SWEEP_EVERY).await;
-        pool.sweep();
-        store.sweep();
+        sleep(SWEEP_INTERVAL).await;
+        pool.close_expired();
+        store.close_expired();
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What the daemon counts, as a Prometheus page.
+//! The daemon's metrics and their Prometheus endpoint.
 
 use {
-    crate::{caller::accept_each, context::Context, forward::ForwardRequest},
+    crate::{caller::accept_loop, context::Context, forward::ForwardRequest},
     jasmine_core::{
         clock::Millis,
         error::Refusal,
@@ -22,12 +22,12 @@
     },
 };
 
-/// Accounts that have histograms of their own; all others share one. An account has some hundred numbers.
-const MAX_ACCOUNTS: usize = 64;
-/// The label of accounts beyond that, and of requests without one.
-const OTHER: &str = "other";
-/// How long a reader may take.
-const READ_LIMIT: Millis = Millis(2_000);
+/// Most label sets with histograms of their own; further accounts share [`OTHER_ACCOUNT`].
+const MAX_LABEL_SETS: usize = 64;
+/// Account label of further accounts and of requests without one.
+const OTHER_ACCOUNT: &str = "other";
+/// Timeout of one scrape.
+const SCRAPE_TIMEOUT: Millis = Millis(2_000);
 
 /// The daemon's instruments.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
 }
 
 impl EntryMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
@@ -96,12 +96,12 @@
         })
     }
 
-    /// Counts an attempt's end.
-    pub fn attempt(
+    /// Counts an attempt by its outcome.
+    pub fn count_attempt(
         &self,
         outcome: Outcome,
     ) {
-        let word = match outcome {
+        let label = match outcome {
             Outcome::Answered { .. } => "answered",
             Outcome::Failed => "failed",
             Outcome::Shed => "shed",
@@ -112,15 +112,15 @@
             Outcome::Silent => "silent",
             Outcome::Abandoned => "abandoned",
         };
-        self.attempts.add(1, &[KeyValue::new("end", word)]);
+        self.attempts.add(1, &[KeyValue::new("end", label)]);
     }
 
-    /// Counts an order's end.
+    /// Counts an order by its result.
     pub fn order(
         &self,
         end: OrderResult,
     ) {
-        let word = match end {
+        let label = match end {
             OrderResult::Accepted => "accepted",
             OrderResult::Holds => "holds",
             OrderResult::Conflict => "conflict",
@@ -129,20 +129,21 @@
             OrderResult::Lost => "lost",
             OrderResult::Unsent => "unsent",
         };
-        self.orders.add(1, &[KeyValue::new("end", word)]);
+        self.orders.add(1, &[KeyValue::new("end", label)]);
     }
 
-    /// Counts a refusal.
-    pub fn refused(
+    /// Counts a refused request by error kind and account.
+    pub fn count_refused(
         &self,
         refusal: Refusal,
         account: Option<&str>,
     ) {
-        self.refusals.count(refusal.kind, account.unwrap_or(OTHER));
+        self.refusals
+            .count(refusal.kind, account.unwrap_or(OTHER_ACCOUNT));
     }
 
-    /// Records a request that was answered: how long it waited for an upstream, and for its first event.
-    pub fn answered(
+    /// Records an answered request with its queue wait and, for streams, the time to the first event.
+    pub fn record_answered(
         &self,
         req: &ForwardRequest,
         waited: Millis,
@@ -158,7 +159,7 @@
     }
 
     /// Records the time between two parts of a stream.
-    pub fn gap(
+    pub fn record_gap(
         &self,
         req: &ForwardRequest,
         gap: Millis,
@@ -166,7 +167,7 @@
         self.requests.token_gap(&self.labels_of(req), gap.to_std());
     }
 
-    /// The page, with the gauges as they are now.
+    /// Updates the gauges and renders all metrics.
     fn page(
         &self,
         cx: &Context,
@@ -187,7 +188,7 @@
         self.gauges.config.record(version, &[]);
         self.metrics
             .page()
-            .unwrap_or_else(|e| format!("# the page can't be written: {e}\n"))
+            .unwrap_or_else(|e| format!("# can't encode the metrics: {e}\n"))
     }
 
     fn labels_of(
@@ -199,13 +200,13 @@
             CallKind::NonIdempotent => "non_idempotent",
             CallKind::Stream { .. } => "stream",
         };
-        let account = req.account.as_deref().unwrap_or(OTHER);
+        let account = req.account.as_deref().unwrap_or(OTHER_ACCOUNT);
         let mut labels = self.labels.borrow_mut();
         let is_known = labels.contains_key(&(account.to_owned(), class));
-        let account = if is_known || labels.len() < MAX_ACCOUNTS {
+        let account = if is_known || labels.len() < MAX_LABEL_SETS {
             account
         } else {
-            OTHER
+            OTHER_ACCOUNT
         };
         labels
             .entry((account.to_owned(), class))
@@ -214,22 +215,22 @@
     }
 }
 
-/// Serves the page to whoever connects, for ever.
+/// Serves the Prometheus endpoint; never returns.
 pub async fn serve_metrics(
     cx: Rc<Context>,
     listener: TcpListener,
 ) {
-    accept_each(listener, |stream| {
+    accept_loop(listener, |stream| {
         let cx = Rc::clone(&cx);
         spawn_local(async move {
-            // A reader that asks for nothing, or doesn't read, is given up.
-            let _elapsed = timeout(READ_LIMIT.to_std(), answer(&cx, stream)).await;
+            // Clients that don't send a request or don't read the response are dropped.
+            let _elapsed = timeout(SCRAPE_TIMEOUT.to_std(), serve_scrape(&cx, stream)).await;
         });
     })
     .await;
 }
 
-async fn answer(
+async fn serve_scrape(
     cx: &Context,
     mut stream: TcpStream,
 ) -> io::Result<()> {
--- /dev/null
+++ b/crates/entry/src/store/feed/change_feed.rs
@@ -0,0 +1,232 @@
+use {
+    super::FeedReply,
+    crate::clock::Clock,
+    jasmine_core::{
+        clock::Millis,
+        feed::{Change, ChangesSince, RecentChanges, SourceFailure},
+    },
+    jasmine_store::store::WatchEvent,
+    std::cell::{Cell, RefCell},
+    tokio::{
+        sync::{Notify, watch},
+        time::timeout,
+    },
+};
+
+/// Time without a response after which the store counts as lost, in percent of the allowed propagation time.
+///
+/// Exceeds the watch pause plus the held watch, and leaves VMs that follow this one time to read the store themselves.
+const STALE_PERCENT: u64 = 70;
+/// How long a VM that has lost the store counts as current, in percent of the allowed propagation time.
+///
+/// Gives another VM of its data centre time to read the store in its place.
+const CURRENT_PERCENT: u64 = 150;
+/// How long a recovery of the store is reported to other VMs.
+const RECOVERY_REPORT_TIMEOUT: Millis = Millis(10_000);
+
+/// The latest store changes, kept for this VM and served to those that follow it.
+#[derive(Debug)]
+pub struct Feed {
+    clock: Clock,
+    recent: RefCell<RecentChanges<WatchEvent>>,
+    /// Wakes held requests when the feed's state changes.
+    wakeup: watch::Sender<u64>,
+    /// Whether this VM follows the store directly.
+    is_reading: Cell<bool>,
+    /// When [`Self::is_reading`] last changed.
+    reading_since: Cell<Millis>,
+    has_stopped: Cell<bool>,
+    /// When the store last responded to this VM.
+    responded_at: Cell<Millis>,
+    /// When this VM last heard from the store, directly or through another VM.
+    last_contact_at: Cell<Millis>,
+    /// Notified when a call to the store outside the watch fails.
+    store_failure: Notify,
+    /// When the store last recovered from an outage.
+    recovered_at: Cell<Option<Millis>>,
+    stale_after: Millis,
+    /// Allowed propagation time of a change.
+    max_propagation_delay: Millis,
+}
+
+impl Feed {
+    /// Creates an empty feed; `max_propagation_delay` is the allowed propagation time of a change.
+    pub fn new(max_propagation_delay: Millis) -> Self {
+        Self {
+            clock: Clock,
+            recent: RefCell::default(),
+            wakeup: watch::Sender::default(),
+            is_reading: Cell::new(false),
+            reading_since: Cell::new(Millis::ZERO),
+            has_stopped: Cell::new(false),
+            responded_at: Cell::new(Millis::ZERO),
+            last_contact_at: Cell::new(Millis::ZERO),
+            store_failure: Notify::new(),
+            recovered_at: Cell::new(None),
+            stale_after: Millis(max_propagation_delay.0 * STALE_PERCENT / 100),
+            max_propagation_delay,
+        }
+    }
+
+    /// Restarts the history after a full read at a revision.
+    pub(crate) fn reset(
+        &self,
+        revision: u64,
+    ) {
+        self.recent.borrow_mut().reset(revision);
+    }
+
+    /// Records a change; returns false if a later one of its key is known.
+    pub(crate) fn record_change(
+        &self,
+        event: &WatchEvent,
+        is_major: bool,
+    ) -> bool {
+        let (WatchEvent::Put(kv) | WatchEvent::Delete(kv)) = event;
+        let change = Change {
+            revision: kv.mod_revision,
+            value: event.clone(),
+        };
+        let now = self.clock.now();
+        self.recent
+            .borrow_mut()
+            .record_change(&kv.key, change, is_major, now)
+    }
+
+    /// Whether the recent history has a change of a key.
+    pub(crate) fn has_changed_lately(
+        &self,
+        key: &str,
+    ) -> bool {
+        self.recent.borrow().has(key)
+    }
+
+    /// Marks the history as complete up to a revision.
+    pub(crate) fn advance(
+        &self,
+        revision: u64,
+    ) {
+        self.recent.borrow_mut().advance(revision, self.clock.now());
+        self.wakeup.send_modify(|count| *count += 1);
+    }
+
+    /// Records that the store has just responded to this VM.
+    pub(crate) fn record_response(&self) {
+        self.responded_at.set(self.clock.now());
+        self.record_contact();
+    }
+
+    /// Records that this VM has just heard from the store, directly or through another VM.
+    pub(crate) fn record_contact(&self) {
+        self.last_contact_at.set(self.clock.now());
+    }
+
+    /// Whether this VM has recently heard from the store, directly or through another VM.
+    pub(crate) fn is_current(&self) -> bool {
+        self.clock.now().since(self.last_contact_at.get())
+            < Millis(self.max_propagation_delay.0 * CURRENT_PERCENT / 100)
+    }
+
+    /// Reports that a call to the store outside the watch failed.
+    pub(crate) fn report_store_failure(&self) {
+        self.store_failure.notify_one();
+    }
+
+    /// Waits for the next report by [`Self::report_store_failure`].
+    pub(crate) async fn store_failure_reported(&self) {
+        self.store_failure.notified().await;
+    }
+
+    /// Records when the store recovered from an outage.
+    pub(crate) fn set_recovered_at(
+        &self,
+        at: Millis,
+    ) {
+        self.recovered_at.set(Some(at));
+    }
+
+    /// Whether this VM follows the store directly.
+    pub(crate) const fn is_reading(&self) -> bool {
+        self.is_reading.get()
+    }
+
+    /// Sets whether this VM follows the store directly.
+    pub(crate) fn set_reading(
+        &self,
+        is_reading: bool,
+    ) {
+        if self.is_reading.replace(is_reading) != is_reading {
+            self.reading_since.set(self.clock.now());
+            self.wakeup.send_modify(|count| *count += 1);
+        }
+    }
+
+    /// Stops serving changes to other VMs.
+    pub fn stop(&self) {
+        self.has_stopped.set(true);
+        self.wakeup.send_modify(|count| *count += 1);
+    }
+
+    /// Returns the changes after a revision, waiting up to `wait` for the first one that isn't minor.
+    pub async fn changes(
+        &self,
+        after: u64,
+        minor_after: Option<u64>,
+        wait: Millis,
+    ) -> FeedReply {
+        let until = self.clock.now() + wait;
+        let mut wakeup = self.wakeup.subscribe();
+        loop {
+            wakeup.mark_unchanged();
+            let now = self.clock.now();
+            let stale_at = self.responded_at.get() + self.stale_after;
+            if let Some(reply) = self.reply(after, minor_after, now, stale_at, until) {
+                return reply;
+            }
+            let pause = until.min(stale_at).since(now).max(Millis(1));
+            // The state is checked again after a change and after the timeout.
+            let _either = timeout(pause.to_std(), wakeup.changed()).await;
+        }
+    }
+
+    fn reply(
+        &self,
+        after: u64,
+        minor_after: Option<u64>,
+        now: Millis,
+        stale_at: Millis,
+        until: Millis,
+    ) -> Option<FeedReply> {
+        if !self.is_reading.get() || self.has_stopped.get() {
+            return Some(FeedReply::Unknown(SourceFailure::NotReading));
+        }
+        if now >= stale_at {
+            // A VM that has just switched to the store has no response yet, which doesn't mean that the store is lost.
+            let has_just_switched = now < self.reading_since.get() + self.stale_after;
+            let why = if has_just_switched {
+                SourceFailure::NotReading
+            } else {
+                SourceFailure::Stale
+            };
+            return Some(FeedReply::Unknown(why));
+        }
+        let recent = self.recent.borrow();
+        match recent.since(after, minor_after) {
+            ChangesSince::Gone => Some(FeedReply::Unknown(SourceFailure::HistoryGone)),
+            ChangesSince::Changes(events) if events.is_empty() && now < until => None,
+            ChangesSince::Changes(events) => Some(FeedReply::Changes {
+                revision: recent.revision(),
+                since_recovery: self.since_recovery(now),
+                events,
+            }),
+        }
+    }
+
+    fn since_recovery(
+        &self,
+        now: Millis,
+    ) -> Option<Millis> {
+        let since = now.since(self.recovered_at.get()?);
+        (since < RECOVERY_REPORT_TIMEOUT).then_some(since)
+    }
+}
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Feed, FeedAnswer, KvStore, Membership, VmEntry, feed::ask_peer, view::View},
+    super::{Feed, FeedPeer, FeedReply, KvStore, Membership, feed::ask_peer, view::View},
     crate::context::Context,
     futures::StreamExt,
     jasmine_core::{
@@ -17,61 +17,61 @@
     tokio::time::sleep,
 };
 
-/// All keys: the operator's, the upstreams' and our own. One watch over all of them is one call.
-const EVERYTHING: &str = "";
-/// The pause after a watch that brought something, in percent of the time in which a change has to be in force:
-/// changes come in bursts, each call has its price, and a slow store takes some hundred milliseconds besides.
-const PAUSE_PERCENT: u64 = 32;
-/// The pauses after failed calls. Each call is counted, those that fail too, and an outage lasts for seconds.
-const RETRY_FIRST: Millis = Millis(150);
-const RETRY_MOST: Millis = Millis(600);
-/// How long another VM may take to answer beyond the time for which it holds a question.
-const PEER_LINK: LinkOptions = LinkOptions {
+/// Prefix of all keys, so that one watch covers configuration, upstreams and VMs.
+const ALL_KEYS: &str = "";
+/// Pause after a watch that returned changes, in percent of the allowed propagation time: batches bursts of changes.
+const BATCH_DELAY_PERCENT: u64 = 32;
+/// Bounds of the backoff after failed calls.
+const MIN_RETRY_DELAY: Millis = Millis(150);
+const MAX_RETRY_DELAY: Millis = Millis(600);
+/// Options of the links to other VMs; the call timeout is on top of the long-poll timeout.
+const PEER_LINK_OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(300),
     call_timeout: Millis(350),
-    // A question is held for less than this, so that it is itself the sign of life.
+    // Longer than a long poll, which itself shows that the VM is alive.
     heartbeat: Millis(5_000),
     backoff_first: Millis(30),
     backoff_most: Millis(200),
 };
-/// For how long another VM holds a question. One that is frozen is noticed after this and the time of the call.
-const HELD: Millis = Millis(300);
-/// How long a leader that has lost the store waits until it looks again for a VM that reads it.
-const READERS_PAUSE: Millis = Millis(60);
-/// How often some small changes are asked for besides: what engines hold, for the case that this VM has to decide alone.
-const MINOR_EVERY: Millis = Millis(3_000);
+/// Long-poll timeout at another VM. A suspended VM is detected after this plus the call timeout.
+const LONG_POLL_TIMEOUT: Millis = Millis(300);
+/// Pause before a leader that has lost the store looks again for a VM that reads it.
+const READER_SEARCH_DELAY: Millis = Millis(60);
+/// How often minor changes (what engines hold) are requested too, in case this VM has to schedule on its own.
+const MINOR_CHANGES_INTERVAL: Millis = Millis(3_000);
 
-/// How far apart VMs read the upstreams that they don't need at once. After a power loss hundreds of them start together,
-/// and thousands of entries for each fill the store's network for seconds, while nobody can be elected.
-const READ_EACH: Millis = Millis(40);
-/// How long nobody leads until VMs begin to read the upstreams that aren't among the first to lead.
-const LEADERLESS: Millis = Millis(800);
-/// Small changes that were left out and are read after all by a VM that begins to read the store itself.
-const MAX_CAUGHT_UP: u64 = 1_000;
+/// Delay between successive VMs' reads of upstreams that they don't need at once.
+///
+/// Prevents hundreds of VMs that start together from saturating the store and delaying the election.
+const READ_STAGGER_DELAY: Millis = Millis(40);
+/// Time without a leader after which VMs that aren't candidates read all upstreams too.
+const LEADERLESS_TIMEOUT: Millis = Millis(800);
+/// Most revisions of skipped minor changes that are read when this VM switches to the store.
+const MAX_MINOR_CATCH_UP: u64 = 1_000;
 
 type PeerLink = Link<scheduler::Client>;
 
-/// What a step of following has come to.
+/// What follows a step of following the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    GoOn,
-    /// What comes next is gone: all has to be read anew.
-    ReadAnew,
+    Continue,
+    /// The store has compacted the next revision: everything has to be read again.
+    Reload,
 }
 
-/// How far this VM has followed.
+/// The revisions up to which this VM has applied changes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Position {
     after: u64,
-    /// The same for small changes.
+    /// The same for minor changes.
     minor_after: u64,
     minor_at: Millis,
 }
 
 impl Position {
-    /// The first change to read of the store itself: what engines hold too, unless too much of that was left out.
+    /// The first revision to read from the store: includes skipped minor changes unless there are too many.
     const fn read_from(self) -> u64 {
-        if self.after - self.minor_after <= MAX_CAUGHT_UP {
+        if self.after - self.minor_after <= MAX_MINOR_CATCH_UP {
             self.minor_after + 1
         } else {
             self.after + 1
@@ -89,20 +89,20 @@
     backoff: Backoff,
     links: HashMap<VmRank, PeerLink>,
     position: Position,
-    /// What of the store is still to be read.
-    unread: Option<Unread>,
+    /// The upstreams that are still to be read.
+    remaining: Option<RemainingUpstreams>,
 }
 
-/// Upstreams' entries that this VM hasn't read yet.
+/// Upstream entries that this VM hasn't read yet.
 #[derive(Debug)]
-struct Unread {
+struct RemainingUpstreams {
     /// The last key that was read.
     after: String,
-    /// When they are read though nobody here needs them.
-    due: Millis,
+    /// When they are read even if this VM doesn't need them.
+    read_by: Millis,
 }
 
-/// Follows the store for ever, by itself or through another VM: configuration, versions, upstreams, VMs and leader.
+/// Follows all changes of the store, directly or through another VM; never returns.
 pub async fn follow(
     cx: Rc<Context>,
     store: KvStore,
@@ -112,10 +112,10 @@
     let view = View::new(Rc::clone(&cx), Rc::clone(&membership), Rc::clone(&feed));
     let mut follower = Follower {
         choice: SourceChoice::new(membership.rank()),
-        backoff: Backoff::new(RETRY_FIRST, RETRY_MOST),
+        backoff: Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
         links: HashMap::new(),
         position: Position::default(),
-        unread: None,
+        remaining: None,
         view: Rc::new(view),
         cx,
         store,
@@ -123,7 +123,7 @@
         feed,
     };
     loop {
-        match follower.read_anew().await {
+        match follower.reload().await {
             Ok(()) => follower.follow().await,
             Err(e) => follower.store_failed(&e).await,
         }
@@ -131,83 +131,81 @@
 }
 
 impl Follower {
-    /// Reads the store up to the first upstreams, and how far this VM has followed from then on.
-    async fn read_anew(&mut self) -> Result<(), StoreError> {
-        let mut reply = self.store.page(EVERYTHING, None).await?;
-        while reply.more && !has_upstreams(&reply) {
+    /// Reads the store up to the first page with upstreams, and sets the position to that revision.
+    async fn reload(&mut self) -> Result<(), StoreError> {
+        let mut reply = self.store.read_page(ALL_KEYS, None).await?;
+        while reply.more && !reaches_upstreams(&reply) {
             let after = reply.kvs.last().map(|kv| kv.key.clone());
-            let page = self.store.page(EVERYTHING, after.as_deref()).await?;
+            let page = self.store.read_page(ALL_KEYS, after.as_deref()).await?;
             reply.kvs.extend(page.kvs);
             reply.more = page.more;
         }
         self.view.reset(&reply).await;
-        self.moved_to(reply.revision, Some(reply.revision));
+        self.set_position(reply.revision, Some(reply.revision));
         let last = reply.kvs.last().filter(|_| reply.more);
-        self.unread = last.map(|kv| Unread {
+        self.remaining = last.map(|kv| RemainingUpstreams {
             after: kv.key.clone(),
-            due: self.cx.clock.now() + self.membership.share_of(READ_EACH),
+            read_by: self.cx.clock.now() + self.membership.stagger_delay(READ_STAGGER_DELAY),
         });
         Ok(())
     }
 
-    /// Reads the upstreams that were left out, if this VM needs them by now.
-    async fn read_rest(&mut self) -> Result<(), StoreError> {
-        while let Some(Unread { after, due }) = &self.unread
-            && (self.needs_upstreams() || self.cx.clock.now() >= *due)
+    /// Reads the remaining upstreams if this VM needs them or their time has come.
+    async fn read_remaining(&mut self) -> Result<(), StoreError> {
+        while let Some(RemainingUpstreams { after, read_by }) = &self.remaining
+            && (self.needs_upstreams() || self.cx.clock.now() >= *read_by)
         {
-            let page = self.store.page(EVERYTHING, Some(after)).await?;
-            self.view.take_found(&page).await;
+            let page = self.store.read_page(ALL_KEYS, Some(after)).await?;
+            self.view.apply_page(&page).await;
             let last = page.kvs.last().filter(|_| page.more);
-            self.unread = last.map(|kv| Unread {
+            self.remaining = last.map(|kv| RemainingUpstreams {
                 after: kv.key.clone(),
-                due: *due,
+                read_by: *read_by,
             });
         }
         Ok(())
     }
 
-    /// Whether this VM may have to decide about all upstreams before long: it reads the store for others, or nobody leads
-    /// and it is among the first to take the lead, or nobody else has for a while.
+    /// Whether this VM may soon need all upstreams: it reads the store for others, leads, or may be elected.
     fn needs_upstreams(&self) -> bool {
         let scheduling = &self.cx.scheduling;
         let alone = scheduling.standalone_for();
         self.feed.is_reading()
             || scheduling.is_leading()
             || alone.is_some() && self.membership.is_candidate(&self.cx)
-            || alone >= Some(LEADERLESS + self.membership.share_of(READ_EACH))
+            || alone >= Some(LEADERLESS_TIMEOUT + self.membership.stagger_delay(READ_STAGGER_DELAY))
     }
 
-    /// Follows until the store no longer has what comes next.
+    /// Follows changes until the store has compacted the next one.
     async fn follow(&mut self) {
         loop {
-            let mut peers = self.membership.peers_here();
+            let mut peers = self.membership.local_peers();
             let now = self.cx.clock.now();
-            let leads = self.cx.scheduling.is_leading();
-            let source = if leads {
-                // Readers elsewhere have changes now, while those here may have followed this VM; that is worth some bytes
-                // between data centres.
-                let elsewhere = self.membership.readers_elsewhere();
-                let order = elsewhere.keys().chain(peers.keys());
+            let is_leading = self.cx.scheduling.is_leading();
+            let source = if is_leading {
+                // Local VMs may have followed this one, while readers in other data centres have the changes already.
+                let remote = self.membership.remote_readers();
+                let order = remote.keys().chain(peers.keys());
                 let source = self.choice.choose_for_scheduler(order.copied(), now);
-                peers.extend(elsewhere);
+                peers.extend(remote);
                 source
             } else {
                 Some(self.choice.choose(peers.keys().copied(), now))
             };
             self.feed.set_reading(source == Some(Source::Store));
-            if let Err(e) = self.read_rest().await {
+            if let Err(e) = self.read_remaining().await {
                 self.store_failed(&e).await;
             }
             let Some(source) = source else {
-                // Those that followed this VM until now need a moment to read the store themselves.
-                sleep(READERS_PAUSE.to_std()).await;
+                // VMs that followed this one need a moment to start reading the store themselves.
+                sleep(READER_SEARCH_DELAY.to_std()).await;
                 continue;
             };
             let step = match source {
                 Source::Store => self.watch_store().await,
-                Source::Vm(rank) => self.ask_vm(rank, &peers[&rank]).await,
+                Source::Vm(rank) => self.poll_vm(rank, &peers[&rank]).await,
             };
-            if step == Step::ReadAnew {
+            if step == Step::Reload {
                 return;
             }
         }
@@ -217,8 +215,8 @@
         let next = self.position.read_from();
         let batch = tokio::select! {
             batch = self.next_batch(next) => batch,
-            // A connection that has fallen silent is noticed there first.
-            () = self.feed.store_doubted() => {
+            // A lease renewal detects a dead connection before the watch does.
+            () = self.feed.store_failure_reported() => {
                 Err(StoreError::OutcomeUnknown("a renewal has failed".to_owned()))
             }
         };
@@ -226,12 +224,12 @@
             Ok(batch) => {
                 self.choice.store_responded();
                 self.backoff.reset();
-                self.view.note_back();
-                self.take_batch(&batch).await
+                self.view.record_store_response();
+                self.apply_batch(&batch).await
             }
             Err(e) => {
                 self.store_failed(&e).await;
-                Step::GoOn
+                Step::Continue
             }
         }
     }
@@ -240,12 +238,12 @@
         &self,
         next: u64,
     ) -> Result<WatchBatch, StoreError> {
-        let mut batches = self.store.watch(Range::key(EVERYTHING), next).await?;
+        let mut batches = self.store.watch(Range::key(ALL_KEYS), next).await?;
         let ended = || StoreError::OutcomeUnknown("the watch ended".to_owned());
         batches.next().await.unwrap_or_else(|| Err(ended()))
     }
 
-    async fn take_batch(
+    async fn apply_batch(
         &mut self,
         batch: &WatchBatch,
     ) -> Step {
@@ -253,15 +251,15 @@
             Line::new("history_lost")
                 .with("revision", self.position.minor_after)
                 .warn();
-            return Step::ReadAnew;
+            return Step::Reload;
         }
-        self.view.take_all(&batch.events).await;
-        self.moved_to(batch.revision, Some(batch.revision));
+        self.view.apply_all(&batch.events).await;
+        self.set_position(batch.revision, Some(batch.revision));
         if !batch.events.is_empty() {
-            let pause = self.cx.settings.change_ms.0 * PAUSE_PERCENT / 100;
+            let pause = self.cx.settings.change_ms.0 * BATCH_DELAY_PERCENT / 100;
             sleep(Millis(pause).to_std()).await;
         }
-        Step::GoOn
+        Step::Continue
     }
 
     async fn store_failed(
@@ -269,44 +267,50 @@
         e: &StoreError,
     ) {
         self.choice.store_failed(self.cx.clock.now());
-        self.view.note_away(e);
+        self.view.record_outage(e);
         sleep(self.backoff.next_pause().to_std()).await;
     }
 
-    async fn ask_vm(
+    async fn poll_vm(
         &mut self,
         rank: VmRank,
-        vm: &VmEntry,
+        vm: &FeedPeer,
     ) -> Step {
         let now = self.cx.clock.now();
-        let asks_minor = now.since(self.position.minor_at) >= MINOR_EVERY;
-        let minor_after = asks_minor.then_some(self.position.minor_after);
+        let includes_minor = now.since(self.position.minor_at) >= MINOR_CHANGES_INTERVAL;
+        let minor_after = includes_minor.then_some(self.position.minor_after);
         let after = self.position.after;
-        let answer = ask_peer(self.link(rank, vm.address), after, minor_after, HELD).await;
-        match answer {
-            Ok(FeedAnswer::Changes {
+        let reply = ask_peer(
+            self.link(rank, vm.address),
+            after,
+            minor_after,
+            LONG_POLL_TIMEOUT,
+        )
+        .await;
+        match reply {
+            Ok(FeedReply::Changes {
                 revision,
-                since_back,
+                since_recovery,
                 events,
             }) => {
-                self.feed.heard();
-                if let Some(since) = since_back {
-                    self.view.note_back_elsewhere(since);
+                self.feed.record_contact();
+                if let Some(since) = since_recovery {
+                    self.view.record_remote_recovery(since);
                 }
-                self.view.take_all(&events).await;
-                let minor = asks_minor.then(|| minor_position(revision, &events));
-                self.moved_to(revision, minor);
+                self.view.apply_all(&events).await;
+                let minor = includes_minor.then(|| minor_position(revision, &events));
+                self.set_position(revision, minor);
             }
-            Ok(FeedAnswer::Unknown(why)) => self.vm_failed(rank, vm, why, &why.to_string()),
+            Ok(FeedReply::Unknown(why)) => self.vm_failed(rank, vm, why, &why.to_string()),
             Err(e) => self.vm_failed(rank, vm, SourceFailure::Unreachable, &e.to_string()),
         }
-        Step::GoOn
+        Step::Continue
     }
 
     fn vm_failed(
         &mut self,
         rank: VmRank,
-        vm: &VmEntry,
+        vm: &FeedPeer,
         why: SourceFailure,
         reason: &str,
     ) {
@@ -323,7 +327,7 @@
         }
     }
 
-    fn moved_to(
+    fn set_position(
         &mut self,
         revision: u64,
         minor: Option<u64>,
@@ -340,7 +344,7 @@
         self.feed.advance(self.position.after);
     }
 
-    /// The link to a VM; another one where its address has changed.
+    /// Returns the link to a VM, replaced if its address has changed.
     fn link(
         &mut self,
         rank: VmRank,
@@ -355,11 +359,11 @@
         }
         self.links
             .entry(rank)
-            .or_insert_with(|| PeerLink::new(address, PEER_LINK))
+            .or_insert_with(|| PeerLink::new(address, PEER_LINK_OPTIONS))
     }
 }
 
-/// Up to where an answer tells of minor changes: it leaves out later ones where there are many.
+/// The revision up to which a reply has all minor changes: later ones are cut off at the limit.
 fn minor_position(
     revision: u64,
     events: &[WatchEvent],
@@ -372,8 +376,8 @@
     }
 }
 
-/// Whether a reply has come as far as the upstreams, the last of all keys that VMs follow.
-fn has_upstreams(reply: &RangeReply) -> bool {
+/// Whether a reply reaches the upstreams, the last keys in order that VMs follow.
+fn reaches_upstreams(reply: &RangeReply) -> bool {
     let last = reply.kvs.last();
     last.is_some_and(|kv| kv.key.as_str() >= entries::PREFIX)
 }
--- a/crates/entry/src/store/relay.rs
+++ b/crates/entry/src/store/lease_relay.rs
@@ -14,27 +14,27 @@
     },
 };
 
-/// How long another VM may take, its own call to the store included.
-const LINK: LinkOptions = LinkOptions {
+/// Options of the links to other VMs; the call timeout includes their own call to the store.
+const RELAY_LINK_OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(100),
     call_timeout: Millis(300),
     heartbeat: Millis(60_000),
     backoff_first: Millis(30),
     backoff_most: Millis(200),
 };
-/// VMs that are asked for one renewal, one after the other.
-const TRIED: usize = 2;
+/// VMs tried in turn for one renewal.
+const MAX_RELAY_ATTEMPTS: usize = 2;
 
-/// The way to the store through other VMs, for a VM that alone doesn't reach it.
-pub(super) struct Relay {
+/// Renews leases through other VMs while this VM can't reach the store.
+pub(super) struct LeaseRelay {
     cx: Rc<Context>,
-    /// The VM that has passed on the last renewal.
+    /// The link to the VM that forwarded the last renewal.
     link: RefCell<Option<Rc<Link<scheduler::Client>>>>,
-    /// Counts the VMs that were asked, so that each time others are.
+    /// VMs asked so far, for round-robin selection.
     asked: Cell<usize>,
 }
 
-impl Relay {
+impl LeaseRelay {
     pub(super) fn new(cx: Rc<Context>) -> Self {
         Self {
             cx,
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Has a lease renewed by another VM; none where it has ended.
+    /// Renews a lease through another VM; returns none if it has expired.
     pub(super) async fn renew(
         &self,
         id: LeaseId,
     ) -> Result<Option<Lease>, StoreError> {
-        for _ in 0..TRIED {
-            let Some(link) = self.known().or_else(|| self.next()) else {
+        for _ in 0..MAX_RELAY_ATTEMPTS {
+            let Some(link) = self.last_link().or_else(|| self.next_link()) else {
                 break;
             };
             match call_renew(&link, id).await {
@@ -67,15 +67,15 @@
             }
         }
         Err(StoreError::Unreachable(
-            "no VM has passed on the renewal".to_owned(),
+            "no other VM could forward the renewal".to_owned(),
         ))
     }
 
-    fn known(&self) -> Option<Rc<Link<scheduler::Client>>> {
+    fn last_link(&self) -> Option<Rc<Link<scheduler::Client>>> {
         self.link.borrow().clone()
     }
 
-    fn next(&self) -> Option<Rc<Link<scheduler::Client>>> {
+    fn next_link(&self) -> Option<Rc<Link<scheduler::Client>>> {
         let me = self.cx.scheduling.me();
         let vms = self.cx.scheduling.vms();
         let others: Vec<SocketAddr> = vms
@@ -85,7 +85,7 @@
             .collect();
         let asked = self.asked.replace(self.asked.get() + 1);
         let address = *others.get(asked.checked_rem(others.len())?)?;
-        Some(Rc::new(Link::new(address, LINK)))
+        Some(Rc::new(Link::new(address, RELAY_LINK_OPTIONS)))
     }
 }
 
@@ -93,7 +93,7 @@
     link: &Link<scheduler::Client>,
     id: LeaseId,
 ) -> Result<Option<Lease>, StoreError> {
-    let answer = link
+    let reply = link
         .call(Millis::ZERO, |client| async move {
             let mut req = client.renew_request();
             req.get().set_lease(id.0);
@@ -102,11 +102,11 @@
             Ok((res.get_state()?, Millis(res.get_ttl_ms().into())))
         })
         .await;
-    match answer {
+    match reply {
         Ok((RenewalState::Renewed, ttl)) => Ok(Some(Lease { id, ttl })),
         Ok((RenewalState::Ended, _)) => Ok(None),
         Ok((RenewalState::Unknown, _)) => Err(StoreError::OutcomeUnknown(
-            "the store didn't answer the other VM".to_owned(),
+            "the store didn't respond to the forwarding VM".to_owned(),
         )),
         Err(e) => Err(StoreError::OutcomeUnknown(e.to_string())),
     }
--- a/crates/entry/src/store/member_lease.rs
+++ b/crates/entry/src/store/member_lease.rs
@@ -1,4 +1,4 @@
-//! This VM's entry in the store, and its lease.
+//! Registration of this VM in the store, bound to a lease.
 
 use {
     super::{KvStore, Membership, membership::VM_PREFIX},
@@ -11,27 +11,26 @@
     tokio::time::sleep,
 };
 
-/// How long a VM's lease lasts. Its entry only tells where it listens; who relies on a VM that is gone notices by its
-/// silence. Renewals of eighty VMs twice in a lease of 1.6 s were a third of what the store was asked.
-const LEASE: Millis = Millis(6_000);
-/// How often it is renewed: two may be lost.
-const RENEW_EVERY: Millis = Millis(1_800);
-/// The pause after a failed call, and after more of them.
-const RETRY_FIRST: Millis = Millis(200);
-const RETRY_MOST: Millis = Millis(800);
+/// Time to live of a VM's lease. Long to limit store load: failed VMs are detected by their silence, not by this.
+const VM_LEASE_TTL: Millis = Millis(6_000);
+/// How often the lease is renewed; two renewals may fail before it expires.
+const RENEW_INTERVAL: Millis = Millis(1_800);
+/// Bounds of the backoff after failed calls.
+const MIN_RETRY_DELAY: Millis = Millis(200);
+const MAX_RETRY_DELAY: Millis = Millis(800);
 
-/// Keeps this VM's entry in the store, for ever.
-pub async fn keep_membership(
+/// Keeps this VM registered in the store; never returns.
+pub async fn keep_registered(
     cx: Rc<Context>,
     store: KvStore,
     membership: Rc<Membership>,
 ) {
-    let mut backoff = Backoff::new(RETRY_FIRST, RETRY_MOST);
+    let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     loop {
-        match enter(&cx, &store, &membership).await {
+        match register(&cx, &store, &membership).await {
             Ok(lease) => {
                 backoff.reset();
-                stay(&store, &membership, lease).await;
+                renew_until_expired(&store, &membership, lease).await;
             }
             Err(e) => {
                 Line::new("lease_failed").with("reason", e).warn();
@@ -41,29 +40,29 @@
     }
 }
 
-/// Ends this VM's leases, and with them its entry and its lead.
+/// Revokes this VM's leases, which removes its record and ends its leadership.
 ///
 /// # Errors
 ///
-/// Whatever the store says; the leases then end by themselves.
-pub async fn leave(
+/// Any error of the store; the leases then expire by themselves.
+pub async fn deregister(
     store: &KvStore,
     membership: &Membership,
 ) -> Result<(), StoreError> {
-    // The lead first: another VM waits for it.
-    let leases = [membership.lead_lease.take(), membership.lease.take()];
+    // The leader's lease first, so that another VM can be elected.
+    let leases = [membership.leader_lease.take(), membership.lease.take()];
     for lease in leases.into_iter().flatten() {
         store.revoke(lease.id).await?;
     }
     Ok(())
 }
 
-async fn enter(
+async fn register(
     cx: &Context,
     store: &KvStore,
     membership: &Membership,
 ) -> Result<Lease, StoreError> {
-    let ttl = LEASE.max(cx.settings.least_lease_ms);
+    let ttl = VM_LEASE_TTL.max(cx.settings.least_lease_ms);
     let lease = store.grant(ttl).await?;
     membership.lease.set(Some(lease));
     let me = membership.me();
@@ -80,14 +79,14 @@
     Ok(lease)
 }
 
-/// Renews the lease until it has ended.
-async fn stay(
+/// Renews the lease until it has expired.
+async fn renew_until_expired(
     store: &KvStore,
     membership: &Membership,
     lease: Lease,
 ) {
     loop {
-        sleep(RENEW_EVERY.to_std()).await;
+        sleep(RENEW_INTERVAL.to_std()).await;
         match store.keep_alive(lease.id).await {
             Ok(Some(_)) => {}
             Ok(None) => {
--- a/crates/entry/src/store/membership.rs
+++ b/crates/entry/src/store/membership.rs
@@ -1,5 +1,5 @@
 use {
-    super::{VmEntry, VmRecord},
+    super::{FeedPeer, VmRecord},
     crate::{clock::Clock, context::Context, scheduling::Leader},
     jasmine_core::{clock::Millis, feed::VmRank, ids::Fence, scheduler::RateShare},
     jasmine_store::store::{KeyValue, Lease, LeaseId},
@@ -14,61 +14,62 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Each VM's entry under its name, on a lease. Written by that VM.
+/// Prefix of the VM records, one per VM and bound to its lease. Written by that VM.
 pub const VM_PREFIX: &str = "jasmine/vm/";
-/// The VM that schedules, on a lease of its own. Created by whoever is elected; the revision is its fencing token.
+/// Key of the current leader, bound to the leader's lease. Its modification revision is the fencing token.
 pub const LEADER_KEY: &str = "jasmine/scheduler";
 
-/// The VM that scheduled last, under its name; outlives its lease, and is written with each election.
-pub const LAST_KEY: &str = "jasmine/last-scheduler";
+/// Key of the last elected leader. Written with each election and not bound to a lease.
+pub const LAST_LEADER_KEY: &str = "jasmine/last-scheduler";
 
-/// VMs that may take the lead try one after the other, so that the first succeeds and the others don't call.
-const TURN: Millis = Millis(80);
-/// What a VM that still reaches the leader leaves it to come back by itself: its lease lapsed in an outage.
-const INCUMBENT: Millis = Millis(1_500);
-/// A VM that started less than this ago leaves the lead to others, for so long.
-const NEW: Millis = Millis(10_000);
-const NEWCOMER: Millis = Millis(600);
-/// What a VM that has just started leaves one that scheduled last, where that one isn't itself: after all have lost power
-/// it may order engines at once, while another one has to let them rest.
-const LAST_FIRST: Millis = Millis(350);
-/// At a first start all VMs enter within this time, and the one that leads is chosen among all of them.
-const GATHERING: Millis = Millis(1_000);
-/// A first start of the deployment is over after this long: rates may have been used by then.
-const FIRST_START: Millis = Millis(9_000);
+/// Delay between the candidacies of successive VMs, so that usually only the first one calls the store.
+const ELECTION_DELAY_STEP: Millis = Millis(80);
+/// Extra delay on VMs that still reach the leader, which may regain a lease that expired during a store outage.
+const INCUMBENT_DELAY: Millis = Millis(1_500);
+/// A VM that has run for less than this counts as new.
+const MAX_NEW_VM_AGE: Millis = Millis(10_000);
+/// Extra election delay on a new VM, which knows less about the state of the engines.
+const NEW_VM_DELAY: Millis = Millis(600);
+/// Extra delay after a full restart on VMs that didn't lead last: the last leader may order engines without the order
+/// gap.
+const RESTART_DELAY: Millis = Millis(350);
+/// No election before this on the first start of the deployment, so that all VMs can register first.
+const FIRST_ELECTION_DELAY: Millis = Millis(1_000);
+/// Age of a VM after which accounts' rates may have been used, also on the first start of the deployment.
+const FIRST_START_TIMEOUT: Millis = Millis(9_000);
 
-/// VMs that get ready to lead when nobody does.
-const CANDIDATES: usize = 4;
+/// VMs that load all upstreams while there is no leader, to be ready for election.
+const MAX_CANDIDATES: usize = 4;
 
-/// VMs of another data centre that are asked for changes, where this one's don't have them.
-const READERS: usize = 2;
+/// VMs per remote data centre that are asked for changes when no local VM has them.
+const MAX_READERS_PER_DATA_CENTRE: usize = 2;
 
-/// What this VM knows of the others, from the store.
+/// The VM records and election state of the store, as this VM knows them.
 #[derive(Debug)]
 pub struct Membership {
     me: VmRecord,
     clock: Clock,
     started: Millis,
-    /// Whether the store has been read since the start.
+    /// Whether the store has been read completely since the start.
     is_loaded: Cell<bool>,
-    /// Whether the store has a leader's key.
+    /// Whether the leader key exists in the store.
     has_leader: Cell<bool>,
-    /// The revision of a leader's key that an earlier run on this VM wrote.
+    /// Revision of the leader key, if an earlier run on this VM wrote it.
     predecessor: Cell<Option<u64>>,
-    absent_since: Cell<Millis>,
-    /// The VM that scheduled last, with the revision of that entry.
-    last: RefCell<Option<(String, u64)>>,
+    leaderless_since: Cell<Millis>,
+    /// The last leader's identity and the revision of [`LAST_LEADER_KEY`].
+    last_leader: RefCell<Option<(String, u64)>>,
     vms: RefCell<BTreeMap<String, VmRecord>>,
-    /// Told when the lead may have become free.
-    pub(super) changed: Notify,
-    /// The lease of this VM's entry.
+    /// Notified when there may be no leader any more.
+    pub(super) leader_gone: Notify,
+    /// The lease of this VM's record.
     pub(super) lease: Cell<Option<Lease>>,
-    /// The lease of the leader's key, while this VM leads or stands for it.
-    pub(super) lead_lease: Cell<Option<Lease>>,
+    /// The lease of the leader key, while this VM leads or campaigns.
+    pub(super) leader_lease: Cell<Option<Lease>>,
 }
 
 impl Membership {
-    /// The membership of the VM `me`.
+    /// Creates the membership of the VM `me`, with no other VM known.
     pub fn new(me: VmRecord) -> Self {
         Self {
             me,
@@ -77,22 +78,22 @@
             is_loaded: Cell::new(false),
             has_leader: Cell::new(false),
             predecessor: Cell::new(None),
-            absent_since: Cell::new(Millis::ZERO),
-            last: RefCell::default(),
+            leaderless_since: Cell::new(Millis::ZERO),
+            last_leader: RefCell::default(),
             vms: RefCell::default(),
-            changed: Notify::new(),
+            leader_gone: Notify::new(),
             lease: Cell::new(None),
-            lead_lease: Cell::new(None),
+            leader_lease: Cell::new(None),
         }
     }
 
-    /// The store has been read: what it didn't hold doesn't exist.
+    /// Marks the store as read completely: keys that weren't found don't exist.
     pub(super) fn set_loaded(&self) {
         self.is_loaded.set(true);
-        self.changed.notify_one();
+        self.leader_gone.notify_one();
     }
 
-    /// Takes a VM's entry; [`Self::publish_vms`] puts it into use.
+    /// Stores a VM's record; [`Self::publish_vms`] passes it to the scheduler.
     pub(super) fn set_vm(
         &self,
         kv: &KeyValue,
@@ -101,11 +102,11 @@
             Ok(record) => {
                 self.vms.borrow_mut().insert(record.vm.clone(), record);
             }
-            Err(e) => unreadable(kv, &e),
+            Err(e) => log_unreadable(kv, &e),
         }
     }
 
-    /// Tells whoever decides which VMs there are.
+    /// Passes the known VMs to the scheduler.
     pub(super) fn publish_vms(
         &self,
         cx: &Context,
@@ -113,7 +114,7 @@
         cx.scheduling.set_vms(self.addresses());
     }
 
-    /// Forgets a VM whose entry is gone.
+    /// Removes a VM whose record was deleted.
     pub(super) fn remove_vm(
         &self,
         cx: &Context,
@@ -123,7 +124,7 @@
         self.publish_vms(cx);
     }
 
-    /// Keeps those VMs only that the store was seen to hold.
+    /// Removes all VMs but those in `names`.
     pub(super) fn retain_vms(
         &self,
         cx: &Context,
@@ -135,7 +136,7 @@
         self.publish_vms(cx);
     }
 
-    /// Takes the leader's key.
+    /// Applies a value of the leader key.
     pub(super) fn set_leader(
         &self,
         cx: &Context,
@@ -143,28 +144,28 @@
     ) {
         let record = match serde_json::from_slice::<VmRecord>(&kv.value) {
             Ok(record) => record,
-            Err(e) => return unreadable(kv, &e),
+            Err(e) => return log_unreadable(kv, &e),
         };
         self.has_leader.set(true);
-        // Its port was free for this run, so the run that wrote it is over: nobody has to wait for its lease.
-        let is_predecessor = record.machine() == self.me.machine() && record != self.me;
+        // This run could bind the port, so the earlier run has ended and its lease need not expire first.
+        let is_predecessor = record.host_identity() == self.me.host_identity() && record != self.me;
         self.predecessor
             .set(is_predecessor.then_some(kv.mod_revision));
         if is_predecessor {
-            self.changed.notify_one();
+            self.leader_gone.notify_one();
             return;
         }
         let fence = Fence(kv.mod_revision);
-        // An old value of the key can still be on its way when another VM has said that it leads.
+        // A newer leader's announcement may arrive before older values of the key.
         let is_newest = cx
             .scheduling
             .leader()
             .is_none_or(|known| known.fence <= fence);
         let is_mine = is_newest && record == self.me && !cx.scheduling.is_leading();
-        let lease = self.lead_lease.get().map(|lease| lease.id);
+        let lease = self.leader_lease.get().map(|lease| lease.id);
         if is_mine && lease == Some(LeaseId(kv.lease)) {
-            // The answer to the call that wrote it was lost.
-            return self.take_lead(cx, fence, false);
+            // The transaction that wrote it succeeded, but its response was lost.
+            return self.assume_leadership(cx, fence, false);
         }
         cx.scheduling.observe_leader(Leader {
             vm: record.vm,
@@ -174,59 +175,60 @@
         });
     }
 
-    /// Takes the entry of the VM that scheduled last.
-    pub(super) fn set_last(
+    /// Applies a value of [`LAST_LEADER_KEY`].
+    pub(super) fn set_last_leader(
         &self,
         kv: &KeyValue,
     ) {
-        let machine = String::from_utf8_lossy(&kv.value).into_owned();
+        let host_identity = String::from_utf8_lossy(&kv.value).into_owned();
         let is_newer = self
-            .last
+            .last_leader
             .borrow()
             .as_ref()
             .is_none_or(|&(_, revision)| revision < kv.mod_revision);
         if is_newer {
-            self.last.replace(Some((machine, kv.mod_revision)));
+            self.last_leader
+                .replace(Some((host_identity, kv.mod_revision)));
         }
     }
 
-    /// The revision of that entry, where it says that an earlier run on this VM scheduled last.
-    pub(super) fn last_was_me(&self) -> Option<u64> {
-        let last = self.last.borrow();
-        let (machine, revision) = last.as_ref()?;
-        (*machine == self.me.machine()).then_some(*revision)
+    /// Returns the revision of [`LAST_LEADER_KEY`] if an earlier run on this VM was the last leader.
+    pub(super) fn own_last_leader_revision(&self) -> Option<u64> {
+        let last = self.last_leader.borrow();
+        let (host_identity, revision) = last.as_ref()?;
+        (*host_identity == self.me.host_identity()).then_some(*revision)
     }
 
-    /// The leader's key is gone.
+    /// Records that the leader key doesn't exist.
     pub(super) fn remove_leader(&self) {
         self.predecessor.set(None);
-        // Counted from when this VM first looked: all that start together would try to lead at once.
-        let is_first_look = self.absent_since.get() == Millis::ZERO;
+        // Counted from this VM's first read, so that VMs that start together don't all campaign at once.
+        let is_first_look = self.leaderless_since.get() == Millis::ZERO;
         if self.has_leader.replace(false) || is_first_look {
-            self.absent_since.set(self.clock.now());
-            self.changed.notify_one();
+            self.leaderless_since.set(self.clock.now());
+            self.leader_gone.notify_one();
         }
     }
 
-    /// This VM leads from now on. `claims_last` says that the election proved that an earlier run on it led last.
-    pub(super) fn take_lead(
+    /// Makes this VM the leader. `was_last_leader` is set if the election proved that an earlier run on it led last.
+    pub(super) fn assume_leadership(
         &self,
         cx: &Context,
         fence: Fence,
-        claims_last: bool,
+        was_last_leader: bool,
     ) {
         self.has_leader.set(true);
-        let continues_own = self.predecessor.take().is_some() || claims_last;
+        let continues_previous_run = self.predecessor.take().is_some() || was_last_leader;
         let age = self.clock.now().since(self.started);
-        // Where another VM has led already, it has let requests through and given orders.
-        let is_first = cx.scheduling.leader().is_none() && self.last.borrow().is_none();
-        let share = if cx.settings.first_start && age < FIRST_START && is_first {
+        // An earlier leader may have used up rates and ordered engines.
+        let is_first = cx.scheduling.leader().is_none() && self.last_leader.borrow().is_none();
+        let share = if cx.settings.first_start && age < FIRST_START_TIMEOUT && is_first {
             RateShare::Fresh
         } else {
             RateShare::TakenOver
         };
         cx.scheduling.become_leader(fence, share);
-        if continues_own {
+        if continues_previous_run {
             cx.scheduling.local_scheduler.skip_order_gap();
         }
     }
@@ -236,43 +238,44 @@
         &self.me
     }
 
-    /// This VM's place in the order that all agree on.
+    /// This VM's rank, the same on all VMs.
     pub fn rank(&self) -> VmRank {
         self.me.rank()
     }
 
-    /// The other VMs of this data centre, in that order.
-    pub(super) fn peers_here(&self) -> BTreeMap<VmRank, VmEntry> {
+    /// The other VMs of this data centre, by rank.
+    pub(super) fn local_peers(&self) -> BTreeMap<VmRank, FeedPeer> {
         let vms = self.vms.borrow();
-        let is_here = |vm: &&VmRecord| vm.data_centre == self.me.data_centre && vm.vm != self.me.vm;
-        let entry = |vm: &VmRecord| VmEntry {
+        let is_local =
+            |vm: &&VmRecord| vm.data_centre == self.me.data_centre && vm.vm != self.me.vm;
+        let entry = |vm: &VmRecord| FeedPeer {
             name: vm.vm.clone(),
             address: vm.peers,
         };
         vms.values()
-            .filter(is_here)
+            .filter(is_local)
             .map(|vm| (vm.rank(), entry(vm)))
             .collect()
     }
 
-    /// The VMs of other data centres that read the store for the others there, or would be next to do so.
-    pub(super) fn readers_elsewhere(&self) -> BTreeMap<VmRank, VmEntry> {
+    /// The VMs of other data centres that read the store for their data centre, or are next in rank.
+    pub(super) fn remote_readers(&self) -> BTreeMap<VmRank, FeedPeer> {
         let vms = self.vms.borrow();
-        let mut by_place: BTreeMap<&str, BTreeMap<VmRank, VmEntry>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<&str, BTreeMap<VmRank, FeedPeer>> = BTreeMap::new();
         for vm in vms
             .values()
             .filter(|vm| vm.data_centre != self.me.data_centre)
         {
-            let entry = VmEntry {
+            let entry = FeedPeer {
                 name: vm.vm.clone(),
                 address: vm.peers,
             };
-            let place = by_place.entry(&vm.data_centre).or_default();
-            place.insert(vm.rank(), entry);
+            let vms_there = by_data_centre.entry(&vm.data_centre).or_default();
+            vms_there.insert(vm.rank(), entry);
         }
-        let readers = by_place
+        let readers = by_data_centre
             .into_values()
-            .flat_map(|place| place.into_iter().take(READERS));
+            .flat_map(|vms_there| vms_there.into_iter().take(MAX_READERS_PER_DATA_CENTRE));
         readers.collect()
     }
 
@@ -283,9 +286,10 @@
             .collect()
     }
 
-    /// How many VMs may take the lead before this one: those with more processor, as scheduling for 140 engines and 850
-    /// requests a second takes a quarter of a core, and among equals each time another one first.
-    pub(super) fn before_me(
+    /// Counts the VMs that come before this one in an election.
+    ///
+    /// VMs with more processor come first; ties are broken by a hash that changes with each election.
+    pub(super) fn candidates_before_me(
         &self,
         cx: &Context,
     ) -> usize {
@@ -304,18 +308,18 @@
             .count()
     }
 
-    /// Whether this VM is among the first to take a free lead, or led before it started.
+    /// Whether this VM is among the first candidates, or led before it restarted.
     pub(super) fn is_candidate(
         &self,
         cx: &Context,
     ) -> bool {
-        self.last_was_me().is_some()
+        self.own_last_leader_revision().is_some()
             || self.predecessor.get().is_some()
-            || self.before_me(cx) < CANDIDATES
+            || self.candidates_before_me(cx) < MAX_CANDIDATES
     }
 
-    /// This VM's turn where each VM does something `each` after the other, in an order of chance.
-    pub(super) fn share_of(
+    /// This VM's delay if all VMs act one after the other, `each` apart, in hash order.
+    pub(super) fn stagger_delay(
         &self,
         each: Millis,
     ) -> Millis {
@@ -323,68 +327,78 @@
         Millis(xxh3_64(self.me.vm.as_bytes()) % (vms * each.0))
     }
 
-    /// How long this VM waits before it tries to take a lead that is free.
-    pub(super) fn turn(
+    /// How long this VM waits before it campaigns when there is no leader.
+    pub(super) fn election_delay(
         &self,
         cx: &Context,
     ) -> Millis {
         let leader = cx.scheduling.leader();
         let is_leaving = leader.as_ref().is_some_and(|leader| leader.is_leaving);
-        let incumbent = if cx.scheduling.is_following() && !is_leaving {
-            INCUMBENT
+        let incumbent_delay = if cx.scheduling.is_following() && !is_leaving {
+            INCUMBENT_DELAY
         } else {
             Millis::ZERO
         };
-        // One that has just started knows less of what engines have at hand.
-        let is_new = self.clock.now().since(self.started) < NEW && !self.vms.borrow().is_empty();
-        let newcomer = if is_new && leader.is_some() {
-            NEWCOMER
+        let is_new =
+            self.clock.now().since(self.started) < MAX_NEW_VM_AGE && !self.vms.borrow().is_empty();
+        let new_vm_delay = if is_new && leader.is_some() {
+            NEW_VM_DELAY
         } else {
             Millis::ZERO
         };
         let is_restart = is_new && leader.is_none();
-        match (self.last_was_me().is_some(), self.last.borrow().is_some()) {
+        match (
+            self.own_last_leader_revision().is_some(),
+            self.last_leader.borrow().is_some(),
+        ) {
             (true, _) if is_new => Millis::ZERO,
-            (false, true) if is_restart => Millis(self.before_me(cx) as u64 * TURN.0) + LAST_FIRST,
-            _ => Millis(self.before_me(cx) as u64 * TURN.0) + incumbent + newcomer,
+            (false, true) if is_restart => {
+                Millis(self.candidates_before_me(cx) as u64 * ELECTION_DELAY_STEP.0) + RESTART_DELAY
+            }
+            _ => {
+                Millis(self.candidates_before_me(cx) as u64 * ELECTION_DELAY_STEP.0)
+                    + incumbent_delay
+                    + new_vm_delay
+            }
         }
     }
 
-    /// Whether this VM has just started among others, none of which led before it as far as it knows.
-    pub(super) fn knows_no_leader(
+    /// Whether this VM is new, wasn't the last leader and knows no leader.
+    pub(super) fn is_new_without_leader(
         &self,
         cx: &Context,
     ) -> bool {
-        let is_new = self.clock.now().since(self.started) < NEW;
-        let led_last = self.predecessor.get().is_some() || self.last_was_me().is_some();
+        let is_new = self.clock.now().since(self.started) < MAX_NEW_VM_AGE;
+        let led_last =
+            self.predecessor.get().is_some() || self.own_last_leader_revision().is_some();
         is_new && !led_last && cx.scheduling.leader().is_none()
     }
 
-    /// Whether the store has the key of a leader on another VM, or of this run.
+    /// Whether the store has a leader key that wasn't written by an earlier run on this VM.
     pub(super) fn has_other_leader(&self) -> bool {
         self.has_leader.get() && self.predecessor.get().is_none()
     }
 
-    /// The revision of a leader's key that an earlier run on this VM wrote.
+    /// Revision of the leader key, if an earlier run on this VM wrote it.
     pub(super) const fn predecessor(&self) -> Option<u64> {
         self.predecessor.get()
     }
 
-    /// Whether this VM may take the lead now.
-    pub(super) fn may_stand(
+    /// Whether this VM may campaign now.
+    pub(super) fn can_campaign(
         &self,
         cx: &Context,
     ) -> bool {
         let now = self.clock.now();
-        let waited = now.since(self.absent_since.get());
-        let is_early = cx.settings.first_start && now.since(self.started) < GATHERING;
-        let is_free = !self.has_leader.get() && !is_early && waited >= self.turn(cx);
+        let waited = now.since(self.leaderless_since.get());
+        let is_early = cx.settings.first_start && now.since(self.started) < FIRST_ELECTION_DELAY;
+        let is_free = !self.has_leader.get() && !is_early && waited >= self.election_delay(cx);
         let is_own = self.predecessor.get().is_some() || cx.scheduling.is_leading();
         self.is_loaded.get() && (is_free || (is_own && !self.has_other_leader()))
     }
 }
 
-fn unreadable(
+fn log_unreadable(
     kv: &KeyValue,
     e: &serde_json::Error,
 ) {
--- a/crates/entry/src/upstream/call.rs
+++ b/crates/entry/src/upstream/call.rs
@@ -6,44 +6,44 @@
     tokio::time::timeout,
 };
 
-/// The largest answer taken, in bytes: a page of the store has a megabyte, in base64.
-const MAX_ANSWER: usize = 8 << 20;
-/// How long a connection for calls may have been idle.
-const IDLE: Millis = Millis(3_000);
+/// The largest response accepted, in bytes; holds a page of the store in base64.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Longest idle time of a reused connection.
+const IDLE_TIMEOUT: Millis = Millis(3_000);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum CallError {
-    /// No connection came about: nothing was sent.
-    #[display("not reached")]
+    /// Connecting failed; nothing was sent.
+    #[display("can't connect")]
     Unsent,
-    /// It went out and no answer came: it may have been done, or may be done later.
-    #[display("no answer")]
+    /// The request was sent but not answered; it may have been executed or may be later.
+    #[display("request sent, no valid response")]
     Unanswered,
 }
 
-/// A small call with a JSON body.
+/// An HTTP call with an optional JSON body.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpCall<'a> {
-    /// Where to.
+    /// The server's address.
     pub address: SocketAddr,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Further header lines, each with its end.
+    /// Further header lines, each with CRLF.
     pub headers: &'a str,
-    /// Its body; empty for none.
+    /// The body; empty for none.
     pub body: &'a [u8],
-    /// How long all of it may take.
+    /// Timeout of the whole call.
     pub limit: Millis,
-    /// Whether it must not use a connection that was used before.
+    /// Whether to open a new connection instead of reusing an idle one.
     pub fresh: bool,
 }
 
 impl HttpCall<'_> {
-    /// Makes the call and returns status and body.
+    /// Makes the call and returns the status and body.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         let result = timeout(self.limit.to_std(), self.attempt(pool)).await;
         let result = result.unwrap_or(Err(CallError::Unanswered));
         if matches!(result, Err(CallError::Unanswered)) {
-            pool.forget(self.address);
+            pool.close_idle(self.address);
         }
         result
     }
@@ -67,7 +67,7 @@
         let reused = if self.fresh {
             None
         } else {
-            pool.reuse(self.address, IDLE)
+            pool.reuse(self.address, IDLE_TIMEOUT)
         };
         let mut connection = match reused {
             Some(connection) => connection,
@@ -76,21 +76,25 @@
                 .await
                 .map_err(|_e| CallError::Unsent)?,
         };
-        let answer = self.exchange(&mut connection).await;
-        let (head, body) = answer.map_err(|_e| CallError::Unanswered)?;
-        pool.keep(self.address, connection, &head);
+        let response = self.exchange(&mut connection).await;
+        let (head, body) = response.map_err(|_e| CallError::Unanswered)?;
+        pool.release(self.address, connection, &head);
         Ok((head.status, body))
     }
 
     async fn exchange(
         &self,
         connection: &mut Connection,
-    ) -> Result<(crate::http1::AnswerHead, Bytes), ExchangeError> {
+    ) -> Result<(crate::http1::ResponseHead, Bytes), ExchangeError> {
         let request = self.encode();
-        let begun = connection.begin(&request, self.method, |_| true).await?;
-        let body = connection.whole_body(&begun.head, MAX_ANSWER).await?;
-        if begun.sent_all {
-            Ok((begun.head, body))
+        let response_start = connection
+            .send_request(&request, self.method, |_| true)
+            .await?;
+        let body = connection
+            .read_whole_body(&response_start.head, MAX_RESPONSE_BYTES)
+            .await?;
+        if response_start.is_request_sent {
+            Ok((response_start.head, body))
         } else {
             Err(ExchangeError::Invalid)
         }
--- a/crates/entry/src/upstream/connection.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -1,5 +1,5 @@
 use {
-    crate::http1::{AnswerHead, BodyPart, BodyReader, HttpError, parse_answer_head},
+    crate::http1::{BodyPart, BodyReader, HttpError, ResponseHead, parse_response_head},
     bytes::{Buf, Bytes, BytesMut},
     jasmine_core::clock::Millis,
     std::{io, net::SocketAddr},
@@ -10,18 +10,18 @@
 };
 
 /// Bytes read at a time.
-const READ: usize = 4 << 10;
-/// Answers to other requests that are passed over while one's own is waited for.
-const MAX_STRAY: u32 = 2;
+const READ_BYTES: usize = 4 << 10;
+/// Most responses to other requests that are skipped before the matching one.
+const MAX_STRAY_RESPONSES: u32 = 2;
 
-/// Why an exchange has no usable answer; whether the request ran is not known.
+/// Why an exchange failed; the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum ExchangeError {
     /// The connection ended or was reset.
     #[display("connection lost")]
     Lost,
-    /// What arrived is no answer to this request.
+    /// The response is invalid, too large or for another request.
     #[display("not an answer to this request")]
     Invalid,
 }
@@ -38,38 +38,37 @@
 }
 
 impl From<io::Error> for ExchangeError {
-    /// What kind of end it was makes no difference: the request may have run.
     fn from(_: io::Error) -> Self {
         Self::Lost
     }
 }
 
-/// The head of an answer.
+/// The head of a response, and how much of the request was sent before it.
 #[derive(Clone, Debug)]
-pub struct Begun {
-    /// The head.
-    pub head: AnswerHead,
-    /// Whether the whole request had been sent before it.
-    pub sent_all: bool,
+pub struct ResponseStart {
+    /// Status and headers.
+    pub head: ResponseHead,
+    /// Whether the whole request had been sent.
+    pub is_request_sent: bool,
 }
 
-/// One connection, used for one exchange at a time.
+/// A connection to a server, used for one exchange at a time.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buf: BytesMut,
-    /// Since when it is idle.
+    /// When it became idle.
     pub(super) idle_since: Millis,
-    /// For how long it may be idle and still be used.
-    pub(super) idle_limit: Millis,
+    /// How long it may stay idle and still be reused.
+    pub(super) idle_timeout: Millis,
 }
 
 impl Connection {
-    /// Connects.
+    /// Opens a TCP connection.
     ///
     /// # Errors
     ///
-    /// Whatever the system says; nothing was sent.
+    /// Any I/O error; nothing was sent.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -77,54 +76,58 @@
             stream,
             buf: BytesMut::new(),
             idle_since: Millis::ZERO,
-            idle_limit: Millis::ZERO,
+            idle_timeout: Millis::ZERO,
         })
     }
 
-    /// Whether nothing has arrived that nobody asked for, the end of the connection included.
+    /// Whether the connection is open and has no unread data.
     ///
-    /// A second answer that comes after a whole one belongs to nobody; on a connection that is used again
-    /// it would be taken for the next request's.
-    pub fn is_quiet(&self) -> bool {
+    /// On a reused connection, a surplus response would be taken for the next request's.
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0_u8; 1];
         let pending = self.stream.try_read(&mut probe);
         self.buf.is_empty() && matches!(pending, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response, which `is_match` accepts.
     ///
-    /// Both go on at the same time: an upstream may answer before it has read a long body, and would never
-    /// read on if its answer were not taken.
+    /// Sends and reads at the same time: an upstream may answer before it has read a long body, and stop reading until
+    /// its response is read.
     ///
     /// # Errors
     ///
     /// [`ExchangeError`].
-    pub async fn begin<F>(
+    pub async fn send_request<F>(
         &mut self,
         request: &[u8],
         method: &str,
-        is_own: F,
-    ) -> Result<Begun, ExchangeError>
+        is_match: F,
+    ) -> Result<ResponseStart, ExchangeError>
     where
-        F: Fn(&AnswerHead) -> bool,
+        F: Fn(&ResponseHead) -> bool,
     {
         let mut sent = 0;
         let mut stray = 0;
         loop {
-            while let Some((head, len)) = parse_answer_head(&self.buf, method)? {
+            while let Some((head, len)) = parse_response_head(&self.buf, method)? {
                 self.buf.advance(len);
-                let sent_all = sent == request.len();
+                let is_request_sent = sent == request.len();
                 match head.status {
                     100..=199 => {}
-                    _ if is_own(&head) => return Ok(Begun { head, sent_all }),
-                    _ if stray >= MAX_STRAY => return Err(ExchangeError::Invalid),
+                    _ if is_match(&head) => {
+                        return Ok(ResponseStart {
+                            head,
+                            is_request_sent,
+                        });
+                    }
+                    _ if stray >= MAX_STRAY_RESPONSES => return Err(ExchangeError::Invalid),
                     _ => {
                         stray += 1;
-                        self.pass_over(&head).await?;
+                        self.discard_body(&head).await?;
                     }
                 }
             }
-            self.buf.reserve(READ);
+            self.buf.reserve(READ_BYTES);
             let (mut rx, mut tx) = self.stream.split();
             tokio::select! {
                 written = tx.write(&request[sent..]), if sent < request.len() => {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Reads on in a body; none at its end.
+    /// Reads the next part of a body; none at its end.
     ///
     /// # Errors
     ///
@@ -154,9 +157,9 @@
                 BodyPart::End => return Ok(None),
                 BodyPart::NeedMore => {}
             }
-            self.buf.reserve(READ);
+            self.buf.reserve(READ_BYTES);
             if self.stream.read_buf(&mut self.buf).await? == 0 {
-                reader.at_close()?;
+                reader.check_close()?;
                 return Ok(None);
             }
         }
@@ -167,9 +170,9 @@
     /// # Errors
     ///
     /// [`ExchangeError`].
-    pub async fn whole_body(
+    pub async fn read_whole_body(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
         max: usize,
     ) -> Result<Bytes, ExchangeError> {
         let mut reader = BodyReader::new(head.framing);
@@ -186,9 +189,9 @@
         Ok(whole.freeze())
     }
 
-    async fn pass_over(
+    async fn discard_body(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> Result<(), ExchangeError> {
         let mut reader = BodyReader::new(head.framing);
         while self.body(&mut reader).await?.is_some() {}
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -1,23 +1,23 @@
 use {
     super::Connection,
-    crate::{clock::Clock, http1::AnswerHead},
+    crate::{clock::Clock, http1::ResponseHead},
     jasmine_core::clock::Millis,
     std::{cell::RefCell, collections::HashMap, io, net::SocketAddr, time::Duration},
     tokio::time::timeout,
 };
 
-/// How long connecting may take: upstreams stand a few milliseconds away, and one lost packet is sent again
-/// after a fifth of a second.
+/// Timeout of connecting; allows for one retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long an idle connection is kept whose upstream names no time.
-const IDLE_LIMIT: Millis = Millis(4_000);
-/// The part of the time that an upstream names for which a connection is kept, in percent: a request that
-/// crosses its close may or may not have run.
-const KEPT_PERCENT: u64 = 60;
-/// Idle connections kept to one address.
-const MAX_IDLE: usize = 16;
+/// Idle timeout of connections whose upstream sends no `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(4_000);
+/// Idle timeout in percent of the upstream's `Keep-Alive` timeout.
+///
+/// The margin avoids requests that cross the upstream's close, whose outcome would be unknown.
+const KEEP_ALIVE_PERCENT: u64 = 60;
+/// Most idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 16;
 
-/// Idle connections, by address.
+/// A pool of idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     clock: Clock,
@@ -25,30 +25,29 @@
 }
 
 impl Pool {
-    /// A connection that was used before and is still good, if there is one that has been idle for at most
-    /// `longest`.
+    /// Takes a usable connection that has been idle for at most `max_idle`, if there is one.
     pub fn reuse(
         &self,
         address: SocketAddr,
-        longest: Millis,
+        max_idle: Millis,
     ) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
             let age = now.since(connection.idle_since);
-            if age <= connection.idle_limit.min(longest) && connection.is_quiet() {
+            if age <= connection.idle_timeout.min(max_idle) && connection.is_reusable() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Connects anew.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
-    /// Whatever the system says, or that it took too long; nothing was sent.
+    /// Any I/O error or a timeout; nothing was sent.
     pub async fn open(
         &self,
         address: SocketAddr,
@@ -58,38 +57,38 @@
             .unwrap_or_else(|_elapsed| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Keeps a connection after a whole exchange, if its upstream does.
-    pub fn keep(
+    /// Returns a connection to the pool after a complete exchange, unless the upstream closes it.
+    pub fn release(
         &self,
         address: SocketAddr,
         mut connection: Connection,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) {
-        if !head.keeps_connection || !connection.is_quiet() {
+        if !head.keeps_connection || !connection.is_reusable() {
             return;
         }
         connection.idle_since = self.clock.now();
-        connection.idle_limit = named_limit(head).unwrap_or(IDLE_LIMIT);
+        connection.idle_timeout = keep_alive_timeout(head).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
-        if connections.len() < MAX_IDLE {
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
             connections.push(connection);
         }
     }
 
-    /// Closes what has been idle for too long.
-    pub fn sweep(&self) {
+    /// Closes connections that have exceeded their idle timeout.
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connections| {
             connections
-                .retain(|connection| now.since(connection.idle_since) <= connection.idle_limit);
+                .retain(|connection| now.since(connection.idle_since) <= connection.idle_timeout);
             !connections.is_empty()
         });
     }
 
-    /// Closes all idle connections to an address: when one has gone silent, others are likely to have too.
-    pub fn forget(
+    /// Closes all idle connections to an address: if one is dead, the others are likely to be too.
+    pub fn close_idle(
         &self,
         address: SocketAddr,
     ) {
@@ -97,13 +96,13 @@
     }
 }
 
-/// How long the upstream says that it keeps an idle connection, less what a request takes on its way.
-fn named_limit(head: &AnswerHead) -> Option<Millis> {
+/// The idle timeout derived from the upstream's `Keep-Alive` header.
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Millis> {
     let secs: u64 = head
         .headers
-        .words("keep-alive")
-        .find_map(|word| word.strip_prefix("timeout="))?
+        .elements("keep-alive")
+        .find_map(|element| element.strip_prefix("timeout="))?
         .parse()
         .ok()?;
-    Some(Millis(secs * 1000 * KEPT_PERCENT / 100))
+    Some(Millis(secs * 1000 * KEEP_ALIVE_PERCENT / 100))
 }
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! SIGTERM.
+//! The planned stop of a VM by SIGTERM.
 
 mod deployment;
 
@@ -11,66 +11,62 @@
 
 #[test]
 fn a_stop_breaks_nothing_off() {
-    // A VM is stopped while it works for a caller, and the balancer still sends others for a moment. Each gets its
-    // answer and is told to come back over another connection; then the process ends by itself.
+    // Guards against cutting off running requests, and those that the load balancer still sends, on a planned stop.
     let (store, upstreams) = platform(&["s-1"]);
     let mut vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Slow(Duration::from_millis(1_500)));
     let callers = vm.callers;
     let slow = Request::new("POST", "/write/").body(b"enrol");
-    let waiting = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
-    until("it runs", || upstreams[0].ran().len() == 1);
+    let running = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
+    until("the request runs", || upstreams[0].ran().len() == 1);
     vm.signal(Signal::SIGTERM);
-    until("the balancer is told", || !vm.is_ready());
+    until("the readiness probe fails", || !vm.is_ready());
     let during = vm.ask(&Request::new("GET", "/read/"));
     assert_eq!(during.status, 200);
     assert_eq!(during.header("connection").as_deref(), Some("close"));
-    let answer = waiting.join().unwrap().expect("an answer");
+    let answer = running.join().unwrap().expect("a response");
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert!(vm.ended().success());
 }
 
 #[test]
 fn what_comes_too_late_goes_elsewhere() {
-    // A caller's request comes seconds after the signal. Begun now it would be cut off by the end of the process;
-    // it is told at once that it has not run.
+    // Guards against starting a request so late that the exit of the process would cut it off.
     let (store, upstreams) = platform(&["s-1"]);
     let mut vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Slow(Duration::from_millis(4_500)));
     let callers = vm.callers;
     let slow = Request::new("POST", "/write/").body(b"enrol");
-    let waiting = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
-    until("it runs", || upstreams[0].ran().len() == 1);
+    let running = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
+    until("the request runs", || upstreams[0].ran().len() == 1);
     vm.signal(Signal::SIGTERM);
     thread::sleep(Duration::from_millis(3_300));
     let late = vm.ask(&Request::new("POST", "/write/").body(b"late"));
     assert_eq!(late.status, 503);
     assert!(late.header("retry-after").is_some());
     assert_eq!(upstreams[0].ran().len(), 1);
-    assert_eq!(waiting.join().unwrap().expect("an answer").status, 200);
+    assert_eq!(running.join().unwrap().expect("a response").status, 200);
     assert!(vm.ended().success());
 }
 
 #[test]
 fn what_waits_is_sent_elsewhere() {
-    // A request has come just before the balancer stopped sending callers, and waits for an engine that takes seconds to
-    // come. The process ends before its turn: the caller is told that it has not run, early enough to try another VM,
-    // where it would otherwise find its connection closed without a word.
+    // Guards against closing the connection of a request that still waits for an upstream without a response.
     let (store, _upstreams) = platform(&["s-1"]);
-    let mut patient = deployment::config(2);
-    for route in patient["routes"].as_array_mut().unwrap() {
+    let mut long_timeouts = deployment::config(2);
+    for route in long_timeouts["routes"].as_array_mut().unwrap() {
         route["timeout_ms"] = 15_000.into();
     }
-    store.put("op/config", &patient);
+    store.put("op/config", &long_timeouts);
     let mut vm = Vm::start(&store);
     vm.signal(Signal::SIGTERM);
     thread::sleep(Duration::from_millis(1_500));
-    let waits = Request::new("POST", "/model/")
+    let waiting_request = Request::new("POST", "/model/")
         .with("X-Deadline-Ms", "15000")
         .with("X-Model", "base/a1")
         .with("X-Token-Counts", "100,10")
         .body(b"prompt");
-    let answer = vm.send(&waits.bytes()).expect("an answer");
+    let answer = vm.send(&waiting_request.bytes()).expect("a response");
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert!(answer.text().contains("shutting_down"), "{}", answer.text());
     assert!(answer.header("retry-after").is_some());
@@ -90,16 +86,15 @@
     vm.signal(Signal::SIGTERM);
     assert!(deployment::read_answer(&mut idle).is_none());
     assert!(vm.ended().success());
-    until("it is told", || !vm.logged("stopped").is_empty());
+    until("the stop is logged", || !vm.logged("stopped").is_empty());
 }
 
 #[test]
 fn the_lead_goes_with_the_stop() {
-    // The scheduler is stopped. If the others waited for its lease to lapse, nothing new would be loaded for
-    // seconds on every planned restart.
+    // Guards against a planned restart of the leader delaying adapter loads until its lease expires.
     let (store, _upstreams) = platform(&["s-1"]);
     let first = Vm::start(&store);
-    until("one leads", || !first.logged("lead_taken").is_empty());
+    until("a VM leads", || !first.logged("lead_taken").is_empty());
     let second = Vm::start(&store);
     until("the other follows", || {
         !second.logged("leader_followed").is_empty()
--- a/crates/entry/tests/soak/mod.rs
+++ b/crates/entry/tests/soak/mod.rs
@@ -1,53 +1,52 @@
-//! Entry daemons, stand-ins and callers that go on while faults come from outside, and what must hold of it all.
+//! Soak test: runs entry daemons under load, injects faults and checks invariants.
 //!
-//! Everything that runs between processes runs through proxies that delay, cut or silence it; processes are killed, stopped,
-//! frozen and started anew by signals. A seed decides what happens when; what it does to the processes depends on the
-//! machine besides, so that a seed is a kind of day and not an exact repetition.
+//! Connections run through fault-injecting proxies; processes are killed, stopped, suspended and restarted. A seed
+//! determines the schedule of faults, but their effects depend on timing, so runs aren't exactly reproducible.
 
 mod callers;
 mod checks;
+mod cluster;
 mod fault;
-mod world;
 
 use {
     callers::Callers,
     checks::check,
+    cluster::Cluster,
     fault::plan,
     std::{
         thread,
         time::{Duration, Instant},
     },
-    world::World,
 };
 
-/// How long callers go on after the last fault is over, for what comes late.
-const SETTLE: Duration = Duration::from_millis(1_500);
-const STEP: Duration = Duration::from_millis(10);
+/// How long callers continue after the last fault, to catch late effects.
+const SETTLE_DELAY: Duration = Duration::from_millis(1_500);
+const STEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Plays one seed and returns what was broken.
-pub fn play(
+/// Runs the fault schedule of one seed and returns the violated invariants.
+pub fn run_seed(
     seed: u64,
     length: Duration,
 ) -> Vec<String> {
-    let mut world = World::start(seed);
-    let callers = Callers::start(world.addresses());
+    let mut cluster = Cluster::start(seed);
+    let callers = Callers::start(cluster.addresses());
     let began = Instant::now();
     let mut faults = plan(seed, length).into_iter().peekable();
     while began.elapsed() < length {
         while faults.peek().is_some_and(|(at, _)| *at <= began.elapsed()) {
             let (_, fault) = faults.next().unwrap();
-            world.begin(fault);
+            cluster.start_fault(fault);
         }
-        world.step();
-        thread::sleep(STEP);
+        cluster.step();
+        thread::sleep(STEP_INTERVAL);
     }
-    world.heal();
-    let mut broken = world.serves_again();
-    thread::sleep(SETTLE);
+    cluster.end_all_faults();
+    let mut violations = cluster.unserved_routes();
+    thread::sleep(SETTLE_DELAY);
     let records = callers.finish();
-    broken.extend(check(&world, &records));
-    if !broken.is_empty() {
-        world.keep_logs(seed);
+    violations.extend(check(&cluster, &records));
+    if !violations.is_empty() {
+        cluster.save_logs(seed);
     }
-    broken
+    violations
 }
