--- a/crates/store/src/etcd/call_budget.rs
+++ b/crates/store/src/etcd/call_budget.rs
@@ -3,13 +3,13 @@
     std::{cell::Cell, time::Instant},
 };
 
-/// Seconds whose calls may be made at once after a rest.
+/// Size of the bucket, in seconds of the permitted rate.
 const BURST_SECONDS: f64 = 4.0;
 
-/// Bounds the calls a second of one VM.
+/// A token bucket that limits the rate of this VM's calls to the key-value service.
 ///
-/// The platform takes a few thousand calls a second from the whole fleet. A VM that repeats in a tight
-/// loop, after an outage say, would take them from all others; here it waits instead.
+/// The service's capacity is shared by the whole fleet. The limit keeps a VM that retries in a tight
+/// loop from starving the others.
 #[derive(Debug)]
 pub(super) struct CallBudget {
     per_second: f64,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes one call and says how long it has to wait for its turn.
+    /// Reserves one call and returns how long the caller must wait before sending it.
     pub(super) fn take(&self) -> Millis {
         let now = Instant::now();
         let rested = now.duration_since(self.refilled.replace(now)).as_secs_f64();
--- a/crates/store/src/etcd/call_counts.rs
+++ b/crates/store/src/etcd/call_counts.rs
@@ -6,14 +6,14 @@
     },
 };
 
-/// Calls made and failed so far, by kind; shared with the metrics page.
+/// Counts sent and failed calls by kind; clones share the same counters.
 #[derive(Clone, Debug, Default)]
 pub struct CallCounts {
     cells: Arc<[[AtomicU64; 2]; CallKind::ALL.len()]>,
     waiting: Arc<AtomicU64>,
 }
 
-/// Counts one watch for as long as it is kept.
+/// Counts a watch as open until dropped.
 #[derive(Debug)]
 pub(super) struct OpenWatch {
     waiting: Arc<AtomicU64>,
@@ -26,7 +26,7 @@
 }
 
 impl CallCounts {
-    /// Calls of this kind that were sent.
+    /// The number of calls of this kind that were sent.
     pub fn made(
         &self,
         kind: CallKind,
@@ -34,7 +34,7 @@
         self.cells[kind as usize][0].load(Ordering::Relaxed)
     }
 
-    /// Calls of this kind that ended without a usable answer.
+    /// The number of calls of this kind that ended without a usable response.
     pub fn failed(
         &self,
         kind: CallKind,
@@ -42,7 +42,7 @@
         self.cells[kind as usize][1].load(Ordering::Relaxed)
     }
 
-    /// Watches that wait now; the platform counts each as a call.
+    /// The number of open watches.
     pub fn watches(&self) -> u64 {
         self.waiting.load(Ordering::Relaxed)
     }
--- a/crates/store/src/etcd/call_kind.rs
+++ b/crates/store/src/etcd/call_kind.rs
@@ -1,23 +1,23 @@
-/// The calls that the platform counts.
+/// The kinds of calls to the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(derive_more::Display)]
 pub enum CallKind {
-    /// A read of a range.
+    /// Reads a range of keys.
     #[display("range")]
     Range,
-    /// A transaction.
+    /// Executes a transaction.
     #[display("txn")]
     Txn,
-    /// A lease granted.
+    /// Grants a lease.
     #[display("grant")]
     Grant,
-    /// A lease renewed.
+    /// Renews a lease.
     #[display("keep_alive")]
     KeepAlive,
-    /// A lease ended.
+    /// Revokes a lease.
     #[display("revoke")]
     Revoke,
-    /// A watch opened.
+    /// Opens a watch.
     #[display("watch")]
     Watch,
 }
@@ -33,7 +33,7 @@
         Self::Watch,
     ];
 
-    /// The path of the call.
+    /// The URL path of the call.
     pub(super) const fn path(self) -> &'static str {
         match self {
             Self::Range => "/v3/kv/range",
--- a/crates/store/src/etcd/etcd_store.rs
+++ b/crates/store/src/etcd/etcd_store.rs
@@ -30,22 +30,22 @@
     tokio::time::timeout,
 };
 
-/// The largest answer taken from the service, in bytes; it holds values of up to a megabyte.
+/// Maximum size of a response body.
 const MAX_ANSWER: usize = 32 * 1024 * 1024;
 
-/// The longest line of a watch, in bytes.
+/// Maximum length of one line of a watch stream.
 const MAX_WATCH_LINE: usize = 16 * 1024 * 1024;
 
-/// Idle connections are dropped after this long, so that few of them are dead unnoticed.
+/// Closes idle connections early, so that few pooled connections are silently dead.
 const IDLE_CONNECTION: Duration = Duration::from_secs(8);
 
-/// Connections to the service that this VM holds at most.
+/// Maximum number of connections of this VM to the service.
 const MAX_CONNECTIONS: usize = 32;
 
-/// Bytes of a refusal that go into the error.
+/// Maximum length of a response body that is copied into an error message.
 const MAX_MESSAGE: usize = 200;
 
-/// The key-value service over HTTP.
+/// A client of the key-value service over HTTP.
 pub struct EtcdStore {
     options: EtcdOptions,
     client: RefCell<Client>,
@@ -56,7 +56,7 @@
 }
 
 impl EtcdStore {
-    /// A client of the service; connects when first used.
+    /// Creates a client that connects on first use.
     pub fn new(options: EtcdOptions) -> Self {
         Self {
             client: RefCell::new(new_client(&options)),
@@ -68,12 +68,12 @@
         }
     }
 
-    /// The counts of this client's calls.
+    /// Returns the counters of this client's calls.
     pub fn counts(&self) -> CallCounts {
         self.counts.clone()
     }
 
-    /// Whether the service answers.
+    /// Returns the shared connectivity state of this client.
     pub fn reach(&self) -> Reach {
         self.reach.clone()
     }
@@ -116,7 +116,7 @@
             .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))?;
         match status.as_u16() {
             200 => Ok(body.to_vec()),
-            // A server error may come after the write was handed on inside the service.
+            // The service may have forwarded the write internally before it failed.
             status @ 500.. => Err(StoreError::OutcomeUnknown(format!(
                 "status {status}: {}",
                 short(&body)
@@ -152,10 +152,10 @@
             })
     }
 
-    /// Drops all pooled connections and turns to the next endpoint.
+    /// Drops all pooled connections and switches to the next endpoint.
     ///
-    /// Something between the two ends may have lost track of every open connection while new ones
-    /// work. A call then times out, and so would each later one that the pool gives such a connection.
+    /// A middlebox may have lost the state of all open connections, while new ones work. Without this,
+    /// every later call on such a pooled connection would time out as well.
     fn after_failure(
         &self,
         e: &StoreError,
@@ -234,7 +234,9 @@
             let body = self.call(CallKind::Grant, json!({ "TTL": secs })).await?;
             let answer = parse::<LeaseAnswer>(&body)?;
             match answer.id.0 {
-                0 => Err(StoreError::OutcomeUnknown("lease without a number".into())),
+                0 => Err(StoreError::OutcomeUnknown(
+                    "lease response has no lease id".into(),
+                )),
                 id => Ok(Lease {
                     id: LeaseId(id),
                     ttl: Millis::from_secs(answer.ttl.0),
@@ -282,7 +284,7 @@
         .timeout(options.timeout.to_std())
         .conn_keep_alive(IDLE_CONNECTION)
         .limit(MAX_CONNECTIONS);
-    // The call's own timeout covers the whole answer; this one would cut watches.
+    // `call` has its own timeout; the client's timeout would also end watches.
     Client::builder()
         .connector(connector)
         .disable_timeout()
@@ -307,7 +309,9 @@
                 Some(Err(e)) => return Err(StoreError::OutcomeUnknown(e.to_string())),
                 Some(Ok(chunk)) if buf.push(&chunk) => {}
                 Some(Ok(_)) => {
-                    return Err(StoreError::OutcomeUnknown("watch line is too long".into()));
+                    return Err(StoreError::OutcomeUnknown(
+                        "watch line exceeds the maximum length".into(),
+                    ));
                 }
             }
         }
--- a/crates/store/src/etcd/json.rs
+++ b/crates/store/src/etcd/json.rs
@@ -1,4 +1,4 @@
-//! The etcd v3 JSON messages: keys and values in base64, 64-bit numbers as strings, zeros left out.
+//! JSON messages of etcd v3: base64 keys and values, 64-bit numbers as strings, zeros omitted.
 
 use {
     crate::store::{
@@ -9,7 +9,7 @@
     serde_json::{Value, json},
 };
 
-/// A 64-bit number as a string or, from lenient servers, as a number.
+/// A 64-bit number, encoded as a JSON string or, by some servers, as a JSON number.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Int64(pub(super) u64);
 
@@ -82,7 +82,7 @@
     pub(super) ttl: Int64,
 }
 
-/// The stream's envelope; `keepalive` and `watch` both use it.
+/// The envelope of streamed responses, used by `keepalive` and `watch`.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(super) struct StreamAnswer<T> {
@@ -108,7 +108,7 @@
     events: Vec<Event>,
 }
 
-/// A range as a request or as part of one.
+/// Encodes a range as a request body or as part of a transaction.
 pub(super) fn encode_range(range: &Range) -> Value {
     let mut body = json!({ "key": base64_of(&range.start) });
     if let Some(end) = &range.end {
@@ -120,7 +120,7 @@
     body
 }
 
-/// The body of a transaction.
+/// Encodes the request body of a transaction.
 pub fn encode_txn(txn: &Txn) -> Value {
     json!({
         "compare": txn.compare.iter().map(encode_compare).collect::<Vec<_>>(),
@@ -129,7 +129,7 @@
     })
 }
 
-/// The body that opens a watch.
+/// Encodes the request body that opens a watch.
 pub(super) fn encode_watch(
     range: &Range,
     from_revision: u64,
@@ -140,11 +140,11 @@
     json!({ "create_request": create })
 }
 
-/// One line of a watch.
+/// Decodes one line of a watch stream.
 ///
 /// # Errors
 ///
-/// [`StoreError::OutcomeUnknown`] where the line isn't a watch message.
+/// [`StoreError::OutcomeUnknown`] if the line isn't a valid watch message.
 pub fn decode_watch(line: &[u8]) -> Result<WatchBatch, StoreError> {
     let answer = parse::<StreamAnswer<WatchAnswer>>(line)?.result;
     let events = answer
@@ -189,7 +189,7 @@
     T: for<'de> Deserialize<'de>,
 {
     serde_json::from_slice(body)
-        .map_err(|e| StoreError::OutcomeUnknown(format!("answer is not understood: {e}")))
+        .map_err(|e| StoreError::OutcomeUnknown(format!("invalid response: {e}")))
 }
 
 fn encode_compare(compare: &Compare) -> Value {
@@ -237,7 +237,7 @@
 
 fn decode_kv(kv: &Kv) -> Result<KeyValue, StoreError> {
     let key = String::from_utf8(bytes_of(&kv.key)?)
-        .map_err(|e| StoreError::OutcomeUnknown(format!("key is not text: {e}")))?;
+        .map_err(|e| StoreError::OutcomeUnknown(format!("key is not valid UTF-8: {e}")))?;
     Ok(KeyValue {
         key,
         value: bytes_of(&kv.value)?,
@@ -254,5 +254,5 @@
 fn bytes_of(text: &str) -> Result<Vec<u8>, StoreError> {
     BASE64_STANDARD
         .decode(text)
-        .map_err(|e| StoreError::OutcomeUnknown(format!("not base64: {e}")))
+        .map_err(|e| StoreError::OutcomeUnknown(format!("invalid base64: {e}")))
 }
--- a/crates/store/src/etcd/json_lines.rs
+++ b/crates/store/src/etcd/json_lines.rs
@@ -1,4 +1,4 @@
-/// Splits a stream of bytes into lines of JSON, with a bound on the length of a line.
+/// Splits a byte stream into lines of bounded length.
 #[derive(Debug)]
 pub struct JsonLines {
     buf: Vec<u8>,
@@ -6,7 +6,7 @@
 }
 
 impl JsonLines {
-    /// A splitter for lines of up to `limit` bytes.
+    /// Creates a splitter for lines of up to `limit` bytes.
     pub const fn new(limit: usize) -> Self {
         Self {
             buf: Vec::new(),
@@ -14,7 +14,7 @@
         }
     }
 
-    /// Adds what has arrived; false when the line in progress is over the limit.
+    /// Appends received bytes; returns false if the incomplete line exceeds the limit.
     pub fn push(
         &mut self,
         chunk: &[u8],
@@ -23,7 +23,7 @@
         self.buf.len() <= self.limit || self.buf.contains(&b'\n')
     }
 
-    /// The next whole line that isn't empty.
+    /// Removes and returns the next complete line that isn't blank.
     pub fn next_line(&mut self) -> Option<Vec<u8>> {
         loop {
             let end = self.buf.iter().position(|&byte| byte == b'\n')?;
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! The key-value service over the etcd v3 JSON form.
+//! A client of the key-value service over the JSON gateway of etcd v3.
 
 mod call_budget;
 mod call_counts;
--- a/crates/store/src/etcd/options.rs
+++ b/crates/store/src/etcd/options.rs
@@ -1,24 +1,24 @@
 use jasmine_core::clock::Millis;
 
-/// How a VM uses the key-value service.
+/// Options of the key-value service's client.
 #[derive(Clone, Debug)]
 pub struct EtcdOptions {
-    /// Base addresses such as `http://10.0.0.5:2379`; the next one is tried after a failure.
+    /// Base URLs, such as `http://10.0.0.5:2379`; a failure switches to the next one.
     pub endpoints: Vec<String>,
-    /// How long a call may take.
+    /// Timeout of one call.
     pub timeout: Millis,
-    /// Calls a second that this VM makes at most, averaged over a few seconds.
+    /// Maximum calls per second of this VM, with bursts of a few seconds.
     pub calls_per_second: u32,
 }
 
 impl EtcdOptions {
-    /// The time that a call gets unless the settings say otherwise.
+    /// Default timeout of one call.
     pub const TIMEOUT: Millis = Millis(2000);
 
-    /// Calls a second of one VM unless the settings say otherwise.
+    /// Default maximum of calls per second of one VM.
     pub const CALLS_PER_SECOND: u32 = 50;
 
-    /// The usual options for these endpoints.
+    /// Default options for these endpoints.
     pub fn new(endpoints: Vec<String>) -> Self {
         Self {
             endpoints,
--- a/crates/store/src/etcd/reach.rs
+++ b/crates/store/src/etcd/reach.rs
@@ -3,7 +3,7 @@
     std::{cell::Cell, rc::Rc, time::Instant},
 };
 
-/// Whether the service has answered lately; shared with whoever made the client.
+/// Tracks whether the service has answered recently; clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct Reach {
     times: Rc<Times>,
@@ -16,7 +16,7 @@
 }
 
 impl Reach {
-    /// Whether a call was answered within `window` and none has failed since.
+    /// Whether a call succeeded within `window` and none has failed since.
     pub fn is_up(
         &self,
         window: Millis,
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,11 +1,11 @@
-//! What a failed HTTP call says about the work.
+//! Classification of failed HTTP calls.
 
 use {awc::error::ConnectError, std::io::ErrorKind};
 
-/// Whether nothing of the request has left this process.
+/// Whether the error guarantees that nothing of the request was sent.
 ///
-/// The client also reports as a failure to connect that the other side closed the connection without
-/// an answer. Its work may be done by then: a lost reply, not a call that never came.
+/// The HTTP client also reports a [`ConnectError`] when the server closes the connection without a
+/// response. The server may have executed that request.
 pub fn is_unsent(e: &ConnectError) -> bool {
     match e {
         ConnectError::Resolver(_)
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of the platform: its key-value service with leases and watches, and its list of VMs.
+//! Clients of the platform's key-value service, with leases and watches, and of its VM list.
 
 pub mod etcd;
 pub mod http;
--- a/crates/store/src/store/compare.rs
+++ b/crates/store/src/store/compare.rs
@@ -5,8 +5,8 @@
     Absent(String),
     /// The key exists.
     Exists(String),
-    /// The key was last written at this revision of the store.
+    /// The key was last modified at this store revision.
     ModRevision(String, u64),
-    /// The key holds exactly this.
+    /// The key has this value.
     Value(String, Vec<u8>),
 }
--- a/crates/store/src/store/error.rs
+++ b/crates/store/src/store/error.rs
@@ -1,28 +1,28 @@
-/// Why a call to the key-value service has no usable answer.
+/// Why a call to the key-value service failed.
 ///
-/// For a write the difference decides what the caller may say: after [`Self::Unreachable`] and
-/// [`Self::Refused`] nothing was written, after [`Self::OutcomeUnknown`] only reading back tells.
+/// After [`Self::Unreachable`] and [`Self::Refused`] a write has not been applied. After
+/// [`Self::OutcomeUnknown`] the caller must read the key to find out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum StoreError {
-    /// No connection came about, so nothing was sent.
-    #[display("store not reached: {_0}")]
+    /// Connecting failed, so nothing was sent.
+    #[display("store unreachable: {_0}")]
     Unreachable(#[error(not(source))] String),
-    /// The service answered that it did not do it.
-    #[display("store refused: status {status}: {message}")]
+    /// The service rejected the call without executing it.
+    #[display("store rejected the call with status {status}: {message}")]
     Refused {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// What the service said, cut to a short length.
+        /// The response body, truncated.
         message: String,
     },
-    /// The call went out and no clear answer came back: it may or may not have taken effect.
-    #[display("store's answer is missing: {_0}")]
+    /// The call was sent but has no usable response, so it may or may not have taken effect.
+    #[display("outcome of the store call unknown: {_0}")]
     OutcomeUnknown(#[error(not(source))] String),
 }
 
 impl StoreError {
-    /// Whether a write that ended so certainly did not take effect.
+    /// Whether a write that failed with this error has certainly not been applied.
     pub const fn is_not_done(&self) -> bool {
         !matches!(self, Self::OutcomeUnknown(_))
     }
--- a/crates/store/src/store/lease.rs
+++ b/crates/store/src/store/lease.rs
@@ -1,15 +1,15 @@
 use jasmine_core::clock::Millis;
 
-/// The number of a lease.
+/// The id of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(derive_more::Display)]
 pub struct LeaseId(pub u64);
 
-/// A lease as granted or kept alive.
+/// A lease that was granted or renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its number.
+    /// Its id.
     pub id: LeaseId,
-    /// How long it holds, counted from before the call was sent.
+    /// Time to live; callers must count it from before the call was sent.
     pub ttl: Millis,
 }
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The key-value service as the daemons see it: a trait at the process's edge, and its types.
+//! The client interface of the key-value service, and its types.
 
 mod compare;
 mod error;
--- a/crates/store/src/store/range.rs
+++ b/crates/store/src/store/range.rs
@@ -1,18 +1,18 @@
 use super::KeyValue;
 
-/// The keys from `start` up to, not including, `end`; one key where there is no `end`.
+/// The keys from `start` (inclusive) to `end` (exclusive), or one key if `end` is `None`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// The first key.
+    /// The first key of the range.
     pub start: String,
-    /// The key after the last.
+    /// The exclusive upper bound; `None` selects only `start`.
     pub end: Option<String>,
-    /// At most this many keys, zero for all.
+    /// Maximum number of keys returned; zero for no limit.
     pub limit: u32,
 }
 
 impl Range {
-    /// One key.
+    /// Selects one key.
     pub fn key(key: impl Into<String>) -> Self {
         Self {
             start: key.into(),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// All keys from `start` up to `end`.
+    /// Selects all keys from `start` (inclusive) to `end` (exclusive).
     pub fn between(
         start: impl Into<String>,
         end: impl Into<String>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// All keys that begin with `prefix`, which ends in an ASCII character.
+    /// Selects all keys that begin with `prefix`, which must end in an ASCII character.
     pub fn prefix(prefix: impl Into<String>) -> Self {
         let start = prefix.into();
         let mut end = start.clone();
@@ -42,7 +42,7 @@
         Self::between(start, end)
     }
 
-    /// The same range, cut after `limit` keys.
+    /// Limits the number of keys returned.
     pub fn limit(
         mut self,
         limit: u32,
@@ -52,13 +52,13 @@
     }
 }
 
-/// What a range held at one revision of the store.
+/// The keys of a range at one store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RangeReply {
-    /// The store's revision.
+    /// The store revision of the read.
     pub revision: u64,
-    /// The keys found, in order.
+    /// The keys found, in key order.
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit cut some off.
+    /// Whether more keys exist beyond the limit.
     pub more: bool,
 }
--- a/crates/store/src/store/store_trait.rs
+++ b/crates/store/src/store/store_trait.rs
@@ -7,10 +7,10 @@
 /// The future of a call to the key-value service.
 pub type StoreFuture<'a, T> = LocalBoxFuture<'a, Result<T, StoreError>>;
 
-/// The platform's key-value service.
+/// The interface of the platform's key-value service.
 ///
-/// Each call ends within its timeout. None is repeated here: whether a repeat is harmless only the
-/// caller knows.
+/// Each call has a timeout. Calls are never retried here, because only the caller knows whether a retry
+/// is safe.
 pub trait Store {
     /// Reads keys at one revision.
     fn range(
@@ -18,31 +18,31 @@
         range: Range,
     ) -> StoreFuture<'_, RangeReply>;
 
-    /// Does a transaction.
+    /// Executes a transaction.
     fn txn(
         &self,
         txn: Txn,
     ) -> StoreFuture<'_, TxnReply>;
 
-    /// Takes a lease of `ttl`.
+    /// Grants a lease with the time to live `ttl`.
     fn grant(
         &self,
         ttl: Millis,
     ) -> StoreFuture<'_, Lease>;
 
-    /// Renews a lease; `None` when it has ended.
+    /// Renews a lease; `None` if it has expired or was revoked.
     fn keep_alive(
         &self,
         id: LeaseId,
     ) -> StoreFuture<'_, Option<Lease>>;
 
-    /// Ends a lease and deletes what hangs on it.
+    /// Revokes a lease and deletes the keys attached to it.
     fn revoke(
         &self,
         id: LeaseId,
     ) -> StoreFuture<'_, ()>;
 
-    /// Follows the changes in a range from `from_revision` on.
+    /// Watches the changes in a range, starting at `from_revision`.
     fn watch(
         &self,
         range: Range,
--- a/crates/store/src/store/txn.rs
+++ b/crates/store/src/store/txn.rs
@@ -5,11 +5,11 @@
 pub enum Op {
     /// Writes a key.
     Put {
-        /// The key.
+        /// The key to write.
         key: String,
-        /// The value.
+        /// The new value.
         value: Vec<u8>,
-        /// The lease it hangs on.
+        /// The lease to attach the key to.
         lease: Option<LeaseId>,
     },
     /// Deletes keys.
@@ -19,7 +19,7 @@
 }
 
 impl Op {
-    /// Writes a key that stays until it is deleted.
+    /// Writes a key without a lease.
     pub fn put(
         key: impl Into<String>,
         value: impl Into<Vec<u8>>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Writes a key that goes with its lease.
+    /// Writes a key that is deleted when its lease ends.
     pub fn put_leased(
         key: impl Into<String>,
         value: impl Into<Vec<u8>>,
@@ -45,24 +45,24 @@
     }
 }
 
-/// A transaction: when all conditions hold the first list is done, else the second.
+/// An atomic transaction that executes one of two lists of operations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// The conditions.
+    /// The conditions that select the list.
     pub compare: Vec<Compare>,
-    /// Done when all hold.
+    /// Executed if all conditions hold.
     pub success: Vec<Op>,
-    /// Done otherwise.
+    /// Executed otherwise.
     pub failure: Vec<Op>,
 }
 
-/// What a transaction did.
+/// The result of a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TxnReply {
     /// Whether all conditions held.
     pub succeeded: bool,
-    /// The store's revision afterwards.
+    /// The store revision after the transaction.
     pub revision: u64,
-    /// What each operation read, empty for writes.
+    /// The keys that each operation read; empty for writes.
     pub reads: Vec<Vec<KeyValue>>,
 }
--- a/crates/store/src/store/watch.rs
+++ b/crates/store/src/store/watch.rs
@@ -8,20 +8,20 @@
 pub enum WatchEvent {
     /// A key was written.
     Put(KeyValue),
-    /// A key was deleted or its lease ended; only the key and the revision are set.
+    /// A key was deleted or its lease expired; only the key and the revision are set.
     Delete(KeyValue),
 }
 
-/// What one message of a watch carries.
+/// One message of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchBatch {
-    /// The store's revision.
+    /// The store revision of the message.
     pub revision: u64,
-    /// Changes in order; none in the first message and in progress messages.
+    /// Changes in order; empty in the first message and in progress notifications.
     pub events: Vec<WatchEvent>,
-    /// The watch can't go on: history before this revision is gone, so the range must be read anew.
+    /// Set if history before this revision is compacted: the range must be read again.
     pub compacted: Option<u64>,
 }
 
-/// The messages of a watch, ending with an error or with the connection.
+/// The messages of a watch; ends with an error or when the connection closes.
 pub type WatchStream = LocalBoxStream<'static, Result<WatchBatch, StoreError>>;
--- a/crates/store/src/vms/listed_vm.rs
+++ b/crates/store/src/vms/listed_vm.rs
@@ -3,25 +3,25 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What the platform says of a VM.
+/// The state of a VM in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It is about to be taken away.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One row of the list.
+/// One entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ListedVm {
-    /// The VM.
+    /// The id of the VM.
     pub vm: VmId,
-    /// Its address.
+    /// The address of the VM.
     pub address: String,
-    /// Its state.
+    /// The state of the VM.
     pub state: ListedState,
 }
--- a/crates/store/src/vms/mod.rs
+++ b/crates/store/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind what is.
+//! The platform's list of VMs, which is eventually consistent.
 
 mod listed_vm;
 mod vm_list;
--- a/crates/store/src/vms/vm_list.rs
+++ b/crates/store/src/vms/vm_list.rs
@@ -3,13 +3,13 @@
     tokio::time::timeout,
 };
 
-/// The largest list taken, in bytes.
+/// Maximum size of the response body.
 const MAX_LIST: usize = 4 * 1024 * 1024;
 
-/// Why the list could not be read.
+/// Why the VM list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
-#[display("list of VMs not read: {_0}")]
+#[display("failed to read the VM list: {_0}")]
 pub struct VmListError(#[error(not(source))] pub String);
 
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     vms: Vec<ListedVm>,
 }
 
-/// A client of the list of VMs.
+/// A client of the platform's VM list.
 #[derive(Debug)]
 pub struct VmList {
     url: String,
@@ -26,7 +26,7 @@
 }
 
 impl VmList {
-    /// A client of the list under `base`, such as `http://10.0.0.5:2380`.
+    /// Creates a client for the base URL `base`, such as `http://10.0.0.5:2380`.
     pub fn new(
         base: &str,
         timeout: Millis,
@@ -37,11 +37,11 @@
         }
     }
 
-    /// The list as the platform has it now, over a fresh connection.
+    /// Reads the current list over a new connection.
     ///
     /// # Errors
     ///
-    /// [`VmListError`] where the platform can't be reached or its answer isn't a list.
+    /// [`VmListError`] if the platform can't be reached or its response isn't a valid list.
     pub async fn read(&self) -> Result<Vec<ListedVm>, VmListError> {
         let client = Client::builder().disable_timeout().finish();
         let read = async {
--- a/crates/store/tests/any_bytes.rs
+++ b/crates/store/tests/any_bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever the platform answers is understood or refused.
+//! Fuzz tests: the decoder of watch streams must not panic on any input.
 
 use {
     bolero::check,
@@ -14,7 +14,7 @@
     });
 }
 
-/// Pieces of any size give the same lines as the whole, and a line without an end is refused.
+/// Lines must not depend on the chunk size, and an unterminated line over the limit is rejected.
 #[test]
 fn lines_in_pieces() {
     check!()
--- a/crates/store/tests/lost_reply.rs
+++ b/crates/store/tests/lost_reply.rs
@@ -1,4 +1,4 @@
-//! What a call without an answer says.
+//! Failed calls must report whether the write may have been applied.
 
 use {
     futures::StreamExt,
@@ -31,8 +31,7 @@
     }
 }
 
-/// The store writes and its reply is lost. Taken for a refusal, the write would be made again, or an
-/// operator told that nothing happened.
+/// Guards against reporting a write as rejected when only its response was lost.
 #[actix_web::test]
 async fn outcome_unknown() {
     let platform = platform::start(anywhere()).unwrap();
@@ -54,11 +53,10 @@
     assert!(!store.txn(create("a")).await.unwrap().succeeded);
 }
 
-/// Nobody listens where the store should be. Such a call has certainly done nothing, and whoever made
-/// it may say so.
+/// Guards against reporting an unknown outcome when the connection was refused.
 #[actix_web::test]
 async fn not_done() {
-    // Stays taken while the test runs, or the platform of another test could get the port.
+    // Keeps the port bound, so that no other test can listen on it.
     let nobody = tokio::net::TcpSocket::new_v4().unwrap();
     nobody.bind(anywhere()).unwrap();
     let address = nobody.local_addr().unwrap();
--- a/crates/store/tests/silent_connections.rs
+++ b/crates/store/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to the store that have gone silent for good.
+//! Pooled connections to the store that silently stopped working.
 
 use {
     futures::future::join_all,
@@ -18,9 +18,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-/// Something between a VM and the store loses track of all open connections; new ones work. Each call
-/// that is given such a connection waits in vain, and with many of them open a VM would lose its lease
-/// before it has tried the last one.
+/// Guards against one timeout per dead pooled connection, during which a VM would lose its lease.
 #[actix_web::test]
 async fn one_timeout() {
     let platform = platform::start(anywhere()).unwrap();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a daemon tells about itself: log lines and metrics.
+//! Logging and metrics of the daemons.
 //!
-//! A log line is one event as `key=value` pairs. Neither lines nor metrics ever hold a caller's key
-//! or a prompt: they are built from names and numbers of the configuration only.
+//! A log line is one event as `key=value` pairs. Log lines and metrics must not contain API keys or
+//! prompts; they are built only from names and numbers of the configuration.
 
 pub mod log;
 pub mod metrics;
--- a/crates/telemetry/src/log/bounded_writer.rs
+++ b/crates/telemetry/src/log/bounded_writer.rs
@@ -10,11 +10,11 @@
     },
 };
 
-/// Bytes that may wait to be written: some seconds of a busy VM.
+/// Maximum number of buffered bytes; a few seconds of logs of a busy VM.
 const CAPACITY: usize = 256 << 10;
-/// Beyond this many waiting bytes ordinary lines are dropped, so that what matters still finds room.
+/// Maximum number of buffered bytes for lines below `warn`; the rest is reserved for warnings and errors.
 const ORDINARY: usize = 128 << 10;
-/// Lines are gathered for this long: a write for each would cost more than the line.
+/// Delay between writes, which batches lines into fewer system calls.
 const GATHER: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
@@ -36,10 +36,10 @@
     }
 }
 
-/// Writes lines to a sink from a thread of its own.
+/// Writes log lines to a sink from a dedicated thread.
 ///
-/// A reader that doesn't read would otherwise stop the daemon at its next line, and its callers would wait with it.
-/// Here lines that find no room are dropped, ordinary ones first, and a line says how many.
+/// Logging never blocks the daemon, even if the reader of the sink stalls. Lines that don't fit into the
+/// buffer are dropped, those below `warn` first, and a `log_dropped` line reports their number.
 #[derive(Debug)]
 pub struct BoundedWriter {
     shared: Arc<Shared>,
@@ -47,7 +47,7 @@
 }
 
 impl BoundedWriter {
-    /// A writer to `sink`.
+    /// Starts a thread that writes to `sink`.
     pub fn new<W>(sink: W) -> Self
     where
         W: Write + Send + 'static,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes a whole line if there is room for it.
+    /// Appends a whole line to the buffer, or drops it if the buffer is full.
     pub fn take(
         &self,
         level: Level,
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    /// Writes what waits and ends the thread.
+    /// Writes the buffered lines and joins the thread.
     fn shutdown(&self) {
         self.shared.lock().is_closed = true;
         self.shared.has_some.notify_one();
@@ -109,7 +109,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .take();
         if let Some(thread) = thread {
-            // A thread that has panicked has nothing left to write.
+            // After a panic of the thread nothing more can be written.
             drop(thread.join());
         }
     }
@@ -137,7 +137,7 @@
             let line = Line::new("log_dropped").with("lines", dropped);
             bytes.extend_from_slice(format!("level=warn {}\n", line.as_str()).as_bytes());
         }
-        // Nobody is left to tell that nobody reads.
+        // A write error can't be reported, because this is the log itself.
         let _broken = sink.write_all(&bytes).and_then(|()| sink.flush());
         if is_closed {
             return;
--- a/crates/telemetry/src/log/line.rs
+++ b/crates/telemetry/src/log/line.rs
@@ -1,6 +1,6 @@
 use std::fmt::{Display, Write};
 
-/// One event on its way into the log.
+/// Builds the log line of one event.
 ///
 /// # Examples
 ///
@@ -16,7 +16,7 @@
 }
 
 impl Line {
-    /// A line for the event called `event`.
+    /// Creates a line for the event called `event`.
     pub fn new(event: &str) -> Self {
         Self {
             text: String::from("event="),
@@ -24,7 +24,7 @@
         .value(event)
     }
 
-    /// Adds a pair; the value is quoted where a space or a control character would split the line.
+    /// Adds a pair; the value is quoted if it contains whitespace, control characters, `"` or `=`.
     #[must_use]
     pub fn with<V>(
         mut self,
@@ -40,27 +40,27 @@
         self.value(&value.to_string())
     }
 
-    /// The line as it is written.
+    /// Returns the text of the line.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// Logs it as something an operator should look at.
+    /// Logs the line at level `error`: an operator should look at it.
     pub fn error(self) {
         log::error!("{}", self.text);
     }
 
-    /// Logs it as something that may need a look if it goes on.
+    /// Logs the line at level `warn`: an operator should look at it if it persists.
     pub fn warn(self) {
         log::warn!("{}", self.text);
     }
 
-    /// Logs it as part of ordinary work.
+    /// Logs the line at level `info`: normal operation.
     pub fn info(self) {
         log::info!("{}", self.text);
     }
 
-    /// Logs it for whoever looks for a fault.
+    /// Logs the line at level `debug`: for troubleshooting.
     pub fn debug(self) {
         log::debug!("{}", self.text);
     }
@@ -73,7 +73,7 @@
         if !value.is_empty() && value.chars().all(plain) {
             self.text.push_str(value);
         } else {
-            // Debug escapes quotes and line ends, so that a value can't forge a second line.
+            // `Debug` escapes quotes and line breaks, so that a value can't inject a log line.
             let _infallible = write!(self.text, "{value:?}");
         }
         self
--- a/crates/telemetry/src/log/mod.rs
+++ b/crates/telemetry/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! Log lines: one event, one line, `key=value` pairs.
+//! Structured logging: one line of `key=value` pairs per event.
 
 mod bounded_writer;
 mod line;
--- a/crates/telemetry/src/log/output.rs
+++ b/crates/telemetry/src/log/output.rs
@@ -5,17 +5,17 @@
     std::io::Write,
 };
 
-/// The target of the lines that [`super::Line`] writes.
+/// The log target of the lines that [`super::Line`] writes.
 const OWN_TARGET: &str = "jasmine_telemetry";
 
-/// Where log lines go.
+/// The destination of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogOutput {
     /// Standard error.
     Stderr,
     /// Standard output.
     Stdout,
-    /// Standard output from a thread of its own, which drops lines rather than wait for a reader.
+    /// Standard output through [`BoundedWriter`], which drops lines instead of blocking.
     BoundedStdout,
 }
 
@@ -25,20 +25,20 @@
 pub enum LogError {
     /// The level is not one of `off`, `error`, `warn`, `info`, `debug`, `trace`, or a logger
     /// is already running.
-    #[display("the log can't be started: {_0}")]
+    #[display("failed to start logging: {_0}")]
     Logger(FlexiLoggerError),
 }
 
-/// Starts logging at `level`; it goes on for as long as the handle is kept.
+/// Starts logging at `level`; dropping the handle stops it.
 ///
 /// # Errors
 ///
-/// [`LogError::Logger`] when the level is unknown or a logger is already running.
+/// [`LogError::Logger`] if the level is unknown or a logger is already running.
 pub fn start(
     level: &str,
     output: LogOutput,
 ) -> Result<LoggerHandle, LogError> {
-    // Libraries tell of their ordinary work too; only what they warn of is wanted.
+    // Libraries log only warnings and errors.
     let spec = LogSpecification::parse(format!("warn, {OWN_TARGET}={level}"))?;
     let logger = Logger::with(spec).format(format_line);
     let logger = match output {
@@ -51,7 +51,7 @@
     Ok(logger.start()?)
 }
 
-/// Puts time and level before the pairs; lines of libraries are wrapped as an event of their own.
+/// Prepends time and level; messages of libraries are wrapped in an event `library`.
 pub(super) fn format_line(
     w: &mut dyn Write,
     now: &mut DeferredNow,
--- a/crates/telemetry/src/metrics/mod.rs
+++ b/crates/telemetry/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, read as a Prometheus page.
+//! OpenTelemetry metrics, exported in the Prometheus text format.
 
 mod page;
 mod refusals;
--- a/crates/telemetry/src/metrics/page.rs
+++ b/crates/telemetry/src/metrics/page.rs
@@ -4,15 +4,15 @@
     prometheus::{Encoder, Registry, TextEncoder},
 };
 
-/// Why metrics can't be gathered.
+/// Why metrics can't be set up or exported.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum MetricsError {
     /// The exporter could not be set up.
-    #[display("metrics can't be set up: {_0}")]
+    #[display("failed to set up metrics: {_0}")]
     Setup(OTelSdkError),
-    /// The page could not be written.
-    #[display("the metrics page can't be written: {_0}")]
+    /// The metrics could not be encoded.
+    #[display("failed to encode the metrics page: {_0}")]
     Page(prometheus::Error),
 }
 
@@ -24,11 +24,11 @@
 }
 
 impl Metrics {
-    /// Sets up an empty set of metrics.
+    /// Creates an empty registry with its exporter.
     ///
     /// # Errors
     ///
-    /// [`MetricsError::Setup`] when the exporter can't be registered.
+    /// [`MetricsError::Setup`] if the exporter can't be registered.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -38,16 +38,16 @@
         Ok(Self { provider, registry })
     }
 
-    /// What instruments are made from.
+    /// The meter that creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("jasminespan")
     }
 
-    /// The page that Prometheus reads, in its text format.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// [`MetricsError::Page`] when a metric can't be written as text.
+    /// [`MetricsError::Page`] if a metric can't be encoded.
     pub fn page(&self) -> Result<String, MetricsError> {
         let mut buf = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buf)?;
--- a/crates/telemetry/src/metrics/refusals.rs
+++ b/crates/telemetry/src/metrics/refusals.rs
@@ -6,14 +6,14 @@
     },
 };
 
-/// Counts refusals by their kind.
+/// Counts requests and edits answered with an error, by kind.
 #[derive(Clone, Debug)]
 pub struct Refusals {
     counter: Counter<u64>,
 }
 
 impl Refusals {
-    /// The counter `jasmine_refusals_total`.
+    /// Creates the counter `jasmine_refusals_total`.
     pub fn new(meter: &Meter) -> Self {
         Self {
             counter: meter
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Counts one; `account` is empty where the caller isn't known.
+    /// Counts one error response; `account` is empty if the caller is unknown.
     pub fn count(
         &self,
         kind: ErrorKind,
--- a/crates/telemetry/src/metrics/requests.rs
+++ b/crates/telemetry/src/metrics/requests.rs
@@ -7,22 +7,22 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Bounds of the histograms of time, in seconds: from a tenth of a millisecond to a minute.
+/// Bucket bounds of the time histograms, in seconds.
 const SECONDS: [f64; 18] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     5.0, 10.0, 30.0, 60.0,
 ];
-/// Bounds of the histogram of batch sizes, in requests.
+/// Bucket bounds of the batch size histogram, in requests.
 const REQUESTS: [f64; 9] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0];
 
-/// What every figure of a request is told apart by: its client account and priority class.
+/// The labels of request metrics: client account and priority class.
 #[derive(Clone, Debug)]
 pub struct Labels {
     pairs: [KeyValue; 2],
 }
 
 impl Labels {
-    /// Labels of the requests of `account` in the priority class `class`.
+    /// Creates the labels for requests of `account` in the priority class `class`.
     pub fn new(
         account: Arc<str>,
         class: &'static str,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The histograms of requests, each for every client account and priority class.
+/// Counters and histograms of requests, by client account and priority class.
 #[derive(Clone, Debug)]
 pub struct RequestMetrics {
     requests: Counter<u64>,
@@ -49,7 +49,7 @@
 }
 
 impl RequestMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new(meter: &Meter) -> Self {
         let histogram = |name: &'static str, text: &'static str, bounds: &[f64]| {
             meter
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Counts a request that was admitted.
+    /// Counts an admitted request.
     pub fn admitted(
         &self,
         labels: &Labels,
@@ -103,7 +103,7 @@
         self.requests.add(1, &labels.pairs);
     }
 
-    /// Counts what a request cost in the end.
+    /// Counts the tokens charged for a request after settlement.
     pub fn settled(
         &self,
         labels: &Labels,
@@ -121,7 +121,7 @@
         self.queue_wait.record(wait.as_secs_f64(), &labels.pairs);
     }
 
-    /// Records the time to the first part of the answer.
+    /// Records the time from arrival to the first part of the response.
     pub fn first_token(
         &self,
         labels: &Labels,
@@ -130,7 +130,7 @@
         self.first_token.record(wait.as_secs_f64(), &labels.pairs);
     }
 
-    /// Records the time between two parts.
+    /// Records the time between two parts of a streamed response.
     pub fn token_gap(
         &self,
         labels: &Labels,
@@ -139,7 +139,7 @@
         self.token_gap.record(gap.as_secs_f64(), &labels.pairs);
     }
 
-    /// Records how long a request waited for a load; requests that didn't wait are not recorded.
+    /// Records how long a request waited for an adapter load; call only for requests that waited.
     pub fn load_stall(
         &self,
         labels: &Labels,
@@ -148,7 +148,7 @@
         self.load_stall.record(stall.as_secs_f64(), &labels.pairs);
     }
 
-    /// Records the batch that a request joined.
+    /// Records the number of requests running on the engine, including this one.
     pub fn batch(
         &self,
         labels: &Labels,
--- a/crates/telemetry/tests/bounded_writer.rs
+++ b/crates/telemetry/tests/bounded_writer.rs
@@ -1,4 +1,4 @@
-//! A log whose reader doesn't read.
+//! Logging to a sink whose reader has stalled.
 
 use {
     flexi_logger::writers::LogWriter,
@@ -17,7 +17,7 @@
     bytes: Vec<u8>,
 }
 
-/// A sink that takes nothing until it is opened.
+/// A sink that blocks until it is opened.
 #[derive(Clone, Default)]
 struct Gate {
     state: Arc<Mutex<State>>,
@@ -55,8 +55,8 @@
 
 #[test]
 fn a_reader_that_sleeps_blocks_nobody() {
-    // Whoever collects the log stops reading. The daemon goes on without waiting, keeps what matters longest, and
-    // says how much is missing once the reader is back.
+    // Guards against a stalled log reader blocking the daemon, and against losing warnings or the number of
+    // dropped lines.
     let gate = Gate::default();
     let writer = BoundedWriter::new(gate.clone());
     let began = Instant::now();
@@ -77,7 +77,7 @@
     let told = text.lines().find(|line| line.contains("event=log_dropped"));
     let dropped: usize = told
         .and_then(|line| line.split("lines=").nth(1))
-        .expect("the loss is told")
+        .expect("the number of dropped lines is logged")
         .parse()
         .unwrap();
     let written = text
--- a/crates/telemetry/tests/metrics_page.rs
+++ b/crates/telemetry/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The Prometheus page and the log line.
+//! The metrics page must have all names and labels, and a log event must stay on one line.
 
 use {
     jasmine_core::{clock::Millis, error::ErrorKind},
--- a/crates/wire/src/convert/instance.rs
+++ b/crates/wire/src/convert/instance.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// Reads an instance.
+/// Decodes an instance.
 pub fn read_instance(reader: instance::Reader<'_>) -> Instance {
     Instance {
         upstream: UpstreamId(reader.get_upstream()),
@@ -18,12 +18,12 @@
     }
 }
 
-/// Reads a list of instances.
+/// Decodes a list of instances.
 pub fn read_instances(list: capnp::struct_list::Reader<'_, instance::Owned>) -> Vec<Instance> {
     list.iter().map(read_instance).collect()
 }
 
-/// Writes an instance.
+/// Encodes an instance.
 pub fn write_instance(
     mut builder: instance::Builder<'_>,
     instance: &Instance,
@@ -34,7 +34,7 @@
     builder.set_fence(instance.fence.0);
 }
 
-/// Writes instances into a list that was made for as many.
+/// Encodes instances into a list that was allocated with their number.
 pub fn write_instances(
     mut list: capnp::struct_list::Builder<'_, instance::Owned>,
     instances: &[Instance],
--- a/crates/wire/src/convert/mod.rs
+++ b/crates/wire/src/convert/mod.rs
@@ -1,4 +1,4 @@
-//! Between the messages and the types of the decisions.
+//! Conversion between Cap'n Proto messages and the types of `jasmine_core`.
 
 mod instance;
 mod peer;
--- a/crates/wire/src/convert/peer.rs
+++ b/crates/wire/src/convert/peer.rs
@@ -3,11 +3,11 @@
     jasmine_core::ids::{Holder, Incarnation, Role, VmId},
 };
 
-/// Reads which run of which daemon a message comes from.
+/// Decodes the sender of a message: VM, role and incarnation.
 ///
 /// # Errors
 ///
-/// Where the role is one that this version doesn't know.
+/// If the role is unknown to this version.
 pub fn read_peer(reader: peer::Reader<'_>) -> Result<Holder, capnp::Error> {
     let role = match reader.get_role()? {
         wire::Role::Gateway => Role::Gateway,
@@ -20,7 +20,7 @@
     })
 }
 
-/// Writes which run of which daemon a message comes from.
+/// Encodes the sender of a message: VM, role and incarnation.
 pub fn write_peer(
     mut builder: peer::Builder<'_>,
     holder: Holder,
--- a/crates/wire/src/convert/right.rs
+++ b/crates/wire/src/convert/right.rs
@@ -3,7 +3,7 @@
     jasmine_core::{ids::AccountId, rights::Right},
 };
 
-/// Reads a right.
+/// Decodes a client account's share of its rate limit.
 pub fn read_right(reader: right::Reader<'_>) -> Right {
     Right {
         account: AccountId(reader.get_account()),
@@ -13,12 +13,12 @@
     }
 }
 
-/// Reads a list of rights.
+/// Decodes a list of rate limit shares.
 pub fn read_rights(list: capnp::struct_list::Reader<'_, right::Owned>) -> Vec<Right> {
     list.iter().map(read_right).collect()
 }
 
-/// Writes a right.
+/// Encodes a client account's share of its rate limit.
 pub fn write_right(
     mut builder: right::Builder<'_>,
     right: &Right,
@@ -29,7 +29,7 @@
     builder.set_tokens(right.tokens);
 }
 
-/// Writes rights into a list that was made for as many.
+/// Encodes rate limit shares into a list that was allocated with their number.
 pub fn write_rights(
     mut list: capnp::struct_list::Builder<'_, right::Owned>,
     rights: &[Right],
--- a/crates/wire/src/convert/take.rs
+++ b/crates/wire/src/convert/take.rs
@@ -7,11 +7,11 @@
     },
 };
 
-/// Reads a request for rights.
+/// Decodes a request to transfer a rate limit share.
 ///
 /// # Errors
 ///
-/// Where the message is damaged.
+/// If the message is malformed.
 pub fn read_take(params: take_rights_params::Reader<'_>) -> Result<TakeRequest, capnp::Error> {
     Ok(TakeRequest {
         from: read_peer(params.get_from()?)?,
@@ -23,7 +23,7 @@
     })
 }
 
-/// Writes a request for rights.
+/// Encodes a request to transfer a rate limit share.
 pub fn write_take(
     mut params: take_rights_params::Builder<'_>,
     request: &TakeRequest,
@@ -36,11 +36,11 @@
     params.set_demand(request.demand);
 }
 
-/// Reads what was given.
+/// Decodes the response to a transfer request.
 ///
 /// # Errors
 ///
-/// Where the message is damaged.
+/// If the message is malformed.
 pub fn read_given(results: take_rights_results::Reader<'_>) -> Result<TakeResponse, capnp::Error> {
     Ok(TakeResponse {
         epoch: Epoch(results.get_epoch()),
@@ -49,7 +49,7 @@
     })
 }
 
-/// Writes what is given.
+/// Encodes the response to a transfer request.
 pub fn write_given(
     mut results: take_rights_results::Builder<'_>,
     given: &TakeResponse,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between the daemons, and the connections that carry them.
+//! RPC messages between the daemons, and the connections that carry them.
 //!
-//! `schema/jasmine.capnp` and `schema/scheduler.capnp` are the sources of what stands in `generated/`;
-//! CONTRIBUTING.md has the command that makes it anew.
+//! The code in `generated/` is generated from `schema/jasmine.capnp` and `schema/scheduler.capnp`;
+//! CONTRIBUTING.md has the command that regenerates it.
 
 #[rustfmt::skip]
 #[allow(missing_docs, warnings, clippy::all, clippy::pedantic, reason = "generated code")]
--- a/crates/wire/src/link/backoff.rs
+++ b/crates/wire/src/link/backoff.rs
@@ -1,8 +1,8 @@
 use {jasmine_core::clock::Millis, rand::Rng};
 
-/// Growing pauses between attempts, spread at random.
+/// Exponential backoff with jitter.
 ///
-/// After an outage everybody would come back in the same instant; the spread keeps them apart.
+/// The jitter keeps clients from reconnecting all at once after an outage.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Millis,
@@ -11,7 +11,7 @@
 }
 
 impl Backoff {
-    /// Pauses from `first` doubling up to `most`.
+    /// Creates a backoff whose delay doubles from `first` up to `most`.
     pub const fn new(
         first: Millis,
         most: Millis,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Begins anew after a success.
+    /// Resets the delay after a success.
     pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a failure and gives the pause that follows: half to whole of the doubled one.
+    /// Counts a failure and returns the delay before the next attempt: 50 to 100 % of the doubled one.
     pub fn next_pause(&mut self) -> Millis {
         let doubled = self.first.0 << self.failures.min(16);
         self.failures = self.failures.saturating_add(1);
--- a/crates/wire/src/link/idle_reader.rs
+++ b/crates/wire/src/link/idle_reader.rs
@@ -11,10 +11,10 @@
     },
 };
 
-/// A reader that fails when nothing has arrived for a while.
+/// A reader that fails with `TimedOut` when no data has arrived for `limit`.
 ///
-/// A caller that vanished without a word leaves its connection open for good on this side. Such
-/// connections would pile up until no more descriptors are left.
+/// A peer that disappears without closing its connection leaves it half-open. Such connections would
+/// accumulate until the process runs out of file descriptors.
 #[derive(Debug)]
 pub(super) struct IdleReader<R> {
     inner: R,
--- a/crates/wire/src/link/link_error.rs
+++ b/crates/wire/src/link/link_error.rs
@@ -1,26 +1,26 @@
-/// Why a call to another daemon has no answer.
+/// Why a call to another daemon failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum LinkError {
-    /// No connection came about, so the other daemon has seen nothing of the call.
-    #[display("not reached: {_0}")]
+    /// Connecting failed, so the call was not sent.
+    #[display("unreachable: {_0}")]
     Unreachable(#[error(not(source))] String),
-    /// The connection failed lately and the next attempt is not yet due.
-    #[display("not reached: waiting before the next attempt")]
+    /// Connecting failed recently and the backoff has not elapsed, so the call was not sent.
+    #[display("unreachable: waiting before the next connection attempt")]
     BackingOff,
-    /// The call went out and no answer came in time, or the heartbeats stopped.
-    #[display("no answer in time")]
+    /// The call or a heartbeat was sent and its response did not arrive in time.
+    #[display("timed out waiting for a response")]
     TimedOut,
-    /// The connection broke while the call was out.
+    /// The connection was lost during the call.
     #[display("connection lost: {_0}")]
     Lost(#[error(not(source))] String),
-    /// The other daemon answered with an error.
-    #[display("refused: {_0}")]
+    /// The other daemon returned an error.
+    #[display("call failed: {_0}")]
     Failed(#[error(not(source))] String),
 }
 
 impl LinkError {
-    /// Whether the other daemon has certainly not begun the call.
+    /// Whether the other daemon has certainly not received the call.
     pub const fn is_not_begun(&self) -> bool {
         matches!(self, Self::Unreachable(_) | Self::BackingOff)
     }
--- a/crates/wire/src/link/link_options.rs
+++ b/crates/wire/src/link/link_options.rs
@@ -1,17 +1,17 @@
 use jasmine_core::clock::Millis;
 
-/// The times of a connection to another daemon.
+/// Timeouts and delays of a connection to another daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkOptions {
-    /// How long connecting may take.
+    /// Timeout of connecting.
     pub connect_timeout: Millis,
-    /// How long an answer may take beyond the time that the call itself asks to wait.
+    /// Timeout of a response, in addition to the time that a long-polling call asks the server to wait.
     pub call_timeout: Millis,
-    /// How often a connection is tried for life while a call waits on it.
+    /// Interval of pings on a connection with a pending call.
     pub heartbeat: Millis,
-    /// The first pause after a failed attempt to connect.
+    /// Delay after the first failed attempt to connect.
     pub backoff_first: Millis,
-    /// The longest pause.
+    /// Maximum delay between attempts to connect.
     pub backoff_most: Millis,
 }
 
--- a/crates/wire/src/link/mod.rs
+++ b/crates/wire/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons: connect with timeout, heartbeat, reconnect with backoff, and serving.
+//! RPC connections between daemons: timeouts, heartbeats, reconnection with backoff, and the server side.
 
 mod backoff;
 mod idle_reader;
--- a/crates/wire/src/link/peer_link.rs
+++ b/crates/wire/src/link/peer_link.rs
@@ -18,11 +18,10 @@
     tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt},
 };
 
-/// The way to one other daemon: connects when first used and again after a failure.
+/// An RPC client of another daemon that connects on first use and reconnects after a failure.
 ///
-/// Open connections can go silent for good while new ones work. Nothing then arrives, not even an
-/// error, and a caller would wait for ever; so each call has its timeout, a call that waits long is
-/// accompanied by heartbeats, and either running out replaces the connection.
+/// An open connection can silently stop working while new ones work. Each call therefore has a timeout,
+/// heartbeats run during long-polling calls, and a timeout of either closes the connection.
 pub struct Link<C> {
     address: SocketAddr,
     options: LinkOptions,
@@ -56,7 +55,7 @@
 }
 
 impl<C> Link<C> {
-    /// A link to the daemon that listens at `address`.
+    /// Creates a link to the daemon that listens at `address`.
     pub const fn new(
         address: SocketAddr,
         options: LinkOptions,
@@ -70,12 +69,12 @@
         }
     }
 
-    /// The other daemon's address.
+    /// The address of the other daemon.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives the connection up; the next call opens another.
+    /// Drops the connection; the next call opens a new one.
     pub fn disconnect(&self) {
         self.open.replace(None);
     }
@@ -85,12 +84,11 @@
 where
     C: FromClientHook + Ping + 'static,
 {
-    /// Calls the other daemon; `wait` is how long the call itself asks the other side to wait.
+    /// Calls the other daemon; `wait` is how long a long-polling call asks the server to wait.
     ///
     /// # Errors
     ///
-    /// [`LinkError`]; only where it [is not begun](LinkError::is_not_begun) has the other daemon
-    /// certainly seen nothing of the call.
+    /// [`LinkError`]; unless [`LinkError::is_not_begun`], the other daemon may have executed the call.
     pub async fn call<T, F, Fut>(
         &self,
         wait: Millis,
@@ -115,7 +113,7 @@
         result
     }
 
-    /// Ends when a heartbeat is not answered.
+    /// Completes when a heartbeat fails.
     async fn until_silent(
         &self,
         client: C,
@@ -143,7 +141,7 @@
             .map_err(|e| self.failed(&e.to_string()))?
             .and_then(|stream| stream.set_nodelay(true).map(|()| stream))
             .map_err(|e| self.failed(&e.to_string()))?;
-        // Another call may have connected in the meantime; one connection is enough.
+        // Another call may have connected in the meantime; use its connection.
         if let Some(client) = self.open_client() {
             return Ok(client);
         }
--- a/crates/wire/src/link/ping.rs
+++ b/crates/wire/src/link/ping.rs
@@ -6,9 +6,9 @@
     futures::future::LocalBoxFuture,
 };
 
-/// A remote daemon that can be asked for a sign of life.
+/// An RPC client that supports heartbeats.
 pub trait Ping: Clone {
-    /// A cheap call that waits for nothing.
+    /// Makes a cheap call that the server answers immediately.
     fn ping(&self) -> LocalBoxFuture<'static, Result<(), capnp::Error>>;
 }
 
--- a/crates/wire/src/link/serve.rs
+++ b/crates/wire/src/link/serve.rs
@@ -11,18 +11,18 @@
     tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt},
 };
 
-/// Connections served at a time; the caller of one more sees its connection closed.
+/// Maximum number of open connections; further ones are closed on accept.
 const MAX_CONNECTIONS: usize = 2048;
 
-/// A connection on which nothing has arrived for this long is closed.
+/// Closes connections on which nothing has arrived for this long.
 const IDLE_LIMIT: Millis = Millis(60_000);
 
-/// The pause after a failed accept, which comes from a lack of descriptors.
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Millis = Millis(50);
 
-/// Serves `bootstrap` to everybody who connects, until the future is dropped.
+/// Serves `bootstrap` on every accepted connection until the future is dropped.
 ///
-/// Has to run inside a local task set, as the runtime of actix is.
+/// Must run inside a [`tokio::task::LocalSet`], such as the actix runtime.
 pub async fn serve(
     listener: TcpListener,
     bootstrap: Client,
@@ -59,7 +59,7 @@
         Side::Server,
         capnp::message::ReaderOptions::default(),
     );
-    // Its error says only that the connection ended, which each caller notices by itself.
+    // The error only says that the connection ended; the caller detects that itself.
     RpcSystem::new(Box::new(network), Some(bootstrap))
         .await
         .unwrap_or_default();
--- a/crates/wire/tests/silent_link.rs
+++ b/crates/wire/tests/silent_link.rs
@@ -1,4 +1,4 @@
-//! Links between daemons whose connections fail.
+//! Connections between daemons that fail or silently stop working.
 
 use {
     jasmine_core::clock::Millis,
@@ -64,8 +64,7 @@
     .await
 }
 
-/// The connection between two daemons goes silent for good while new ones work. Without a new one
-/// the two would never hear of each other again.
+/// Guards against calls that keep using a connection that silently stopped working.
 #[actix_web::test]
 async fn replaced() {
     let (proxy, link) = proxied().await;
@@ -75,8 +74,7 @@
     assert_eq!(status(&link).await, Ok(7));
 }
 
-/// The same while a question waits for something to happen, which may take long. Only heartbeats tell
-/// that from a dead connection.
+/// Guards against a long-polling call that waits on a dead connection until its own timeout.
 #[actix_web::test]
 async fn noticed_while_waiting() {
     let (proxy, link) = proxied().await;
@@ -93,13 +91,13 @@
     let took = start.elapsed();
     assert!(
         took > Duration::from_millis(600),
-        "heartbeats keep a live one: {took:?}"
+        "closed although heartbeats succeeded: {took:?}"
     );
     assert!(took < Duration::from_secs(3), "{took:?}");
     assert_eq!(status(&link).await, Ok(7));
 }
 
-/// Nobody listens. The caller learns at once that nothing was begun, and repeats are held back.
+/// Guards against reporting an unknown outcome, or skipping the backoff, when the connection is refused.
 #[actix_web::test]
 async fn refused() {
     let (proxy, link) = proxied().await;
