--- a/crates/store/src/etcd/json.rs
+++ b/crates/store/src/etcd/json.rs
@@ -1,4 +1,4 @@
-//! The etcd v3 JSON messages: keys and values in base64, 64-bit numbers as strings, zeros left out.
+//! JSON messages of etcd v3: base64 keys and values, 64-bit numbers as strings, zeros omitted.
 
 use {
     crate::store::{
@@ -9,7 +9,7 @@
     serde_json::{Value, json},
 };
 
-/// A 64-bit number as a string or, from lenient servers, as a number.
+/// A 64-bit number, encoded as a JSON string or, by some servers, as a JSON number.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Int64(pub(super) u64);
 
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct RangeAnswer {
+pub(super) struct RangeResponse {
     header: Header,
     kvs: Vec<Kv>,
     more: bool,
@@ -60,13 +60,13 @@
 #[derive(Deserialize)]
 #[serde(default)]
 struct ResponseOp {
-    response_range: RangeAnswer,
+    response_range: RangeResponse,
 }
 
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct TxnAnswer {
+pub(super) struct TxnResponse {
     header: Header,
     succeeded: bool,
     responses: Vec<ResponseOp>,
@@ -75,17 +75,17 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct LeaseAnswer {
+pub(super) struct LeaseResponse {
     #[serde(rename = "ID")]
     pub(super) id: Int64,
     #[serde(rename = "TTL")]
     pub(super) ttl: Int64,
 }
 
-/// The stream's envelope; `keepalive` and `watch` both use it.
+/// The envelope of streamed responses, used by `keepalive` and `watch`.
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(super) struct StreamAnswer<T> {
+pub(super) struct StreamResponse<T> {
     pub(super) result: T,
 }
 
@@ -101,18 +101,18 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-struct WatchAnswer {
+struct WatchResponse {
     header: Header,
     canceled: bool,
     compact_revision: Int64,
     events: Vec<Event>,
 }
 
-/// A range as a request or as part of one.
+/// Encodes a range as a request body or as part of a transaction.
 pub(super) fn encode_range(range: &Range) -> Value {
-    let mut body = json!({ "key": base64_of(&range.start) });
+    let mut body = json!({ "key": encode_base64(&range.start) });
     if let Some(end) = &range.end {
-        body["range_end"] = base64_of(end).into();
+        body["range_end"] = encode_base64(end).into();
     }
     if range.limit > 0 {
         body["limit"] = range.limit.to_string().into();
@@ -120,7 +120,7 @@
     body
 }
 
-/// The body of a transaction.
+/// Encodes the request body of a transaction.
 pub fn encode_txn(txn: &Txn) -> Value {
     json!({
         "compare": txn.compare.iter().map(encode_compare).collect::<Vec<_>>(),
@@ -129,7 +129,7 @@
     })
 }
 
-/// The body that opens a watch.
+/// Encodes the request body that opens a watch.
 pub(super) fn encode_watch(
     range: &Range,
     from_revision: u64,
@@ -140,46 +140,50 @@
     json!({ "create_request": create })
 }
 
-/// One line of a watch.
+/// Decodes one line of a watch stream.
 ///
 /// # Errors
 ///
-/// [`StoreError::OutcomeUnknown`] where the line isn't a watch message.
+/// [`StoreError::OutcomeUnknown`] if the line isn't a valid watch message.
 pub fn decode_watch(line: &[u8]) -> Result<WatchBatch, StoreError> {
-    let answer = parse::<StreamAnswer<WatchAnswer>>(line)?.result;
-    let events = answer
+    let response = parse::<StreamResponse<WatchResponse>>(line)?.result;
+    let events = response
         .events
         .iter()
         .map(decode_event)
         .collect::<Result<_, _>>()?;
-    let compacted = match (answer.canceled, answer.compact_revision.0) {
+    let compacted = match (response.canceled, response.compact_revision.0) {
         (false, 0) => None,
         (_, revision) => Some(revision),
     };
     Ok(WatchBatch {
-        revision: answer.header.revision.0,
+        revision: response.header.revision.0,
         events,
         compacted,
     })
 }
 
-pub(super) fn decode_range(answer: &RangeAnswer) -> Result<RangeReply, StoreError> {
+pub(super) fn decode_range(response: &RangeResponse) -> Result<RangeReply, StoreError> {
     Ok(RangeReply {
-        revision: answer.header.revision.0,
-        kvs: answer.kvs.iter().map(decode_kv).collect::<Result<_, _>>()?,
-        more: answer.more,
+        revision: response.header.revision.0,
+        kvs: response
+            .kvs
+            .iter()
+            .map(decode_kv)
+            .collect::<Result<_, _>>()?,
+        more: response.more,
     })
 }
 
-pub(super) fn decode_txn(answer: &TxnAnswer) -> Result<TxnReply, StoreError> {
-    let reads = answer
+pub(super) fn decode_txn(response: &TxnResponse) -> Result<TxnReply, StoreError> {
+    let reads = response
         .responses
         .iter()
-        .map(|response| decode_range(&response.response_range).map(|reply| reply.kvs))
+        .map(|op_response| decode_range(&op_response.response_range).map(|reply| reply.kvs))
         .collect::<Result<_, _>>()?;
     Ok(TxnReply {
-        succeeded: answer.succeeded,
-        revision: answer.header.revision.0,
+        succeeded: response.succeeded,
+        revision: response.header.revision.0,
         reads,
     })
 }
@@ -189,23 +193,23 @@
     T: for<'de> Deserialize<'de>,
 {
     serde_json::from_slice(body)
-        .map_err(|e| StoreError::OutcomeUnknown(format!("answer is not understood: {e}")))
+        .map_err(|e| StoreError::OutcomeUnknown(format!("invalid response: {e}")))
 }
 
 fn encode_compare(compare: &Compare) -> Value {
     match compare {
         Compare::Absent(key) => json!({
-            "key": base64_of(key), "target": "CREATE", "result": "EQUAL", "create_revision": "0",
+            "key": encode_base64(key), "target": "CREATE", "result": "EQUAL", "create_revision": "0",
         }),
         Compare::Exists(key) => json!({
-            "key": base64_of(key), "target": "CREATE", "result": "GREATER", "create_revision": "0",
+            "key": encode_base64(key), "target": "CREATE", "result": "GREATER", "create_revision": "0",
         }),
         Compare::ModRevision(key, revision) => json!({
-            "key": base64_of(key), "target": "MOD", "result": "EQUAL",
+            "key": encode_base64(key), "target": "MOD", "result": "EQUAL",
             "mod_revision": revision.to_string(),
         }),
         Compare::Value(key, value) => json!({
-            "key": base64_of(key), "target": "VALUE", "result": "EQUAL", "value": base64_of(value),
+            "key": encode_base64(key), "target": "VALUE", "result": "EQUAL", "value": encode_base64(value),
         }),
     }
 }
@@ -213,7 +217,7 @@
 fn encode_op(op: &Op) -> Value {
     match op {
         Op::Put { key, value, lease } => {
-            let mut put = json!({ "key": base64_of(key), "value": base64_of(value) });
+            let mut put = json!({ "key": encode_base64(key), "value": encode_base64(value) });
             if let Some(lease) = lease {
                 put["lease"] = (lease.0 as i64).to_string().into();
             }
@@ -236,23 +240,23 @@
 }
 
 fn decode_kv(kv: &Kv) -> Result<KeyValue, StoreError> {
-    let key = String::from_utf8(bytes_of(&kv.key)?)
-        .map_err(|e| StoreError::OutcomeUnknown(format!("key is not text: {e}")))?;
+    let key = String::from_utf8(decode_base64(&kv.key)?)
+        .map_err(|e| StoreError::OutcomeUnknown(format!("key is not valid UTF-8: {e}")))?;
     Ok(KeyValue {
         key,
-        value: bytes_of(&kv.value)?,
+        value: decode_base64(&kv.value)?,
         create_revision: kv.create_revision.0,
         mod_revision: kv.mod_revision.0,
         lease: kv.lease.0,
     })
 }
 
-fn base64_of(bytes: impl AsRef<[u8]>) -> String {
+fn encode_base64(bytes: impl AsRef<[u8]>) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-fn bytes_of(text: &str) -> Result<Vec<u8>, StoreError> {
+fn decode_base64(text: &str) -> Result<Vec<u8>, StoreError> {
     BASE64_STANDARD
         .decode(text)
-        .map_err(|e| StoreError::OutcomeUnknown(format!("not base64: {e}")))
+        .map_err(|e| StoreError::OutcomeUnknown(format!("invalid base64: {e}")))
 }
--- a/crates/store/tests/lost_reply.rs
+++ b/crates/store/tests/lost_reply.rs
@@ -1,4 +1,4 @@
-//! What a call without an answer says.
+//! Failed calls must report whether the write may have been applied.
 
 use {
     futures::StreamExt,
@@ -12,7 +12,7 @@
     std::net::SocketAddr,
 };
 
-fn anywhere() -> SocketAddr {
+fn loopback() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -31,11 +31,10 @@
     }
 }
 
-/// The store writes and its reply is lost. Taken for a refusal, the write would be made again, or an
-/// operator told that nothing happened.
+/// Guards against reporting a write as rejected when only its response was lost.
 #[actix_web::test]
 async fn outcome_unknown() {
-    let platform = platform::start(anywhere()).unwrap();
+    let platform = platform::start(loopback()).unwrap();
     let store = store_of(&platform);
     post_json(
         platform.address(),
@@ -54,14 +53,13 @@
     assert!(!store.txn(create("a")).await.unwrap().succeeded);
 }
 
-/// Nobody listens where the store should be. Such a call has certainly done nothing, and whoever made
-/// it may say so.
+/// Guards against reporting an unknown outcome when the connection was refused.
 #[actix_web::test]
 async fn not_done() {
-    // Stays taken while the test runs, or the platform of another test could get the port.
-    let nobody = tokio::net::TcpSocket::new_v4().unwrap();
-    nobody.bind(anywhere()).unwrap();
-    let address = nobody.local_addr().unwrap();
+    // Keeps the port bound, so that no other test can listen on it.
+    let bound_socket = tokio::net::TcpSocket::new_v4().unwrap();
+    bound_socket.bind(loopback()).unwrap();
+    let address = bound_socket.local_addr().unwrap();
     let store = EtcdStore::new(EtcdOptions::new(vec![format!("http://{address}")]));
     let e = store.txn(create("a")).await.unwrap_err();
     assert!(e.is_not_done(), "{e:?}");
@@ -69,7 +67,7 @@
 
 #[actix_web::test]
 async fn lease_and_watch() {
-    let platform = platform::start(anywhere()).unwrap();
+    let platform = platform::start(loopback()).unwrap();
     let store = store_of(&platform);
     let lease = store.grant(Millis(5000)).await.unwrap();
     let put = Txn {
--- a/crates/telemetry/src/log/line.rs
+++ b/crates/telemetry/src/log/line.rs
@@ -1,6 +1,6 @@
 use std::fmt::{Display, Write};
 
-/// One event on its way into the log.
+/// Builds the log line of one event.
 ///
 /// # Examples
 ///
@@ -16,15 +16,15 @@
 }
 
 impl Line {
-    /// A line for the event called `event`.
+    /// Creates a line for the event called `event`.
     pub fn new(event: &str) -> Self {
         Self {
             text: String::from("event="),
         }
-        .value(event)
+        .push_value(event)
     }
 
-    /// Adds a pair; the value is quoted where a space or a control character would split the line.
+    /// Adds a pair; the value is quoted if it contains whitespace, control characters, `"` or `=`.
     #[must_use]
     pub fn with<V>(
         mut self,
@@ -37,43 +37,43 @@
         self.text.push(' ');
         self.text.push_str(key);
         self.text.push('=');
-        self.value(&value.to_string())
+        self.push_value(&value.to_string())
     }
 
-    /// The line as it is written.
+    /// Returns the text of the line.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// Logs it as something an operator should look at.
+    /// Logs the line at level `error`: an operator should look at it.
     pub fn error(self) {
         log::error!("{}", self.text);
     }
 
-    /// Logs it as something that may need a look if it goes on.
+    /// Logs the line at level `warn`: an operator should look at it if it persists.
     pub fn warn(self) {
         log::warn!("{}", self.text);
     }
 
-    /// Logs it as part of ordinary work.
+    /// Logs the line at level `info`: normal operation.
     pub fn info(self) {
         log::info!("{}", self.text);
     }
 
-    /// Logs it for whoever looks for a fault.
+    /// Logs the line at level `debug`: for troubleshooting.
     pub fn debug(self) {
         log::debug!("{}", self.text);
     }
 
-    fn value(
+    fn push_value(
         mut self,
         value: &str,
     ) -> Self {
-        let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
-        if !value.is_empty() && value.chars().all(plain) {
+        let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
+        if !value.is_empty() && value.chars().all(is_plain) {
             self.text.push_str(value);
         } else {
-            // Debug escapes quotes and line ends, so that a value can't forge a second line.
+            // `Debug` escapes quotes and line breaks, so that a value can't inject a log line.
             let _infallible = write!(self.text, "{value:?}");
         }
         self
