--- a/crates/conf/tests/settings_docs.rs
+++ b/crates/conf/tests/settings_docs.rs
@@ -1,11 +1,11 @@
-//! The tables of errors and of the tree's settings in the docs are those of the code.
+//! Checks that the tables of errors and tree settings in the docs match the code.
 
 use {
-    jasmine_conf::tree::{NodeKind, Setting, Standing, Value},
+    jasmine_conf::tree::{NodeKind, Setting, SettingScope, Value},
     jasmine_core::error::{ErrorKind, RetryAfter},
 };
 
-/// The part of a page between its marker and the end marker.
+/// The part of a page between a marker and the end marker.
 fn between<'d>(
     docs: &'d str,
     marker: &str,
@@ -32,7 +32,7 @@
     }
 }
 
-/// One line of a table.
+/// Formats one table row.
 fn line(cells: &[String]) -> String {
     format!("| {} |\n", cells.join(" | "))
 }
@@ -43,10 +43,10 @@
             .to_owned();
     for setting in Setting::ALL {
         let rule = setting.rule();
-        let reach = match rule.standing {
-            Standing::Inherited => "inherited",
-            Standing::Own => "own",
-            Standing::Fixed => "fixed",
+        let reach = match rule.scope {
+            SettingScope::Inherited => "inherited",
+            SettingScope::Own => "own",
+            SettingScope::Fixed => "fixed",
         };
         let cells = [
             format!("`{setting}`"),
--- a/crates/conf/tests/settings_files.rs
+++ b/crates/conf/tests/settings_files.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is read, what is refused and how it is told, and that the docs say the same.
+//! Parsing and validation of settings files, and comparison with the docs.
 
 use {
     jasmine_conf::settings::{
@@ -123,20 +123,22 @@
             "key `stop.grace_ms`: 40000 is not allowed: 0 to 30000",
         ),
     ];
-    for (told, expected) in rows {
-        assert!(told.contains(expected), "{told}\nlacks: {expected}");
+    for (message, expected) in rows {
+        assert!(message.contains(expected), "{message}\nlacks: {expected}");
     }
 }
 
 #[test]
 fn a_file_that_is_no_json_is_told_with_its_line() {
-    let told = parse_settings::<GatewaySettings>("vm.json", "{\n  \"vm\": 1,,\n}").unwrap_err();
+    let message = parse_settings::<GatewaySettings>("vm.json", "{\n  \"vm\": 1,,\n}").unwrap_err();
     assert!(
-        told.to_string().contains("vm.json: not JSON: ") && told.to_string().contains("line 2")
+        message.to_string().contains("vm.json: not JSON: ")
+            && message.to_string().contains("line 2")
     );
-    let told = check_settings::<GatewaySettings>(Path::new("/nowhere/vm.json")).unwrap_err();
+    let message = check_settings::<GatewaySettings>(Path::new("/nowhere/vm.json")).unwrap_err();
     assert!(
-        told.to_string()
+        message
+            .to_string()
             .starts_with("settings file /nowhere/vm.json: ")
     );
 }
@@ -145,8 +147,8 @@
 fn check_settings_says_that_a_file_is_in_order() {
     let file = std::env::temp_dir().join(format!("jasmine-settings-{}.json", std::process::id()));
     fs::write(&file, controller().to_string()).unwrap();
-    let told = check_settings::<ControllerSettings>(&file).unwrap();
-    assert!(told.ends_with(": in order"));
+    let message = check_settings::<ControllerSettings>(&file).unwrap();
+    assert!(message.ends_with(": in order"));
     fs::remove_file(&file).unwrap();
 }
 
@@ -160,7 +162,7 @@
     });
 }
 
-/// One row of a table of the docs.
+/// A row of a settings table in the docs.
 struct Row {
     key: String,
     default: String,
@@ -187,7 +189,7 @@
         .collect()
 }
 
-/// All keys with their values, levels joined by dots.
+/// Collects all keys with their values; levels are joined by dots.
 fn flatten(
     json: &Value,
     prefix: &str,
@@ -233,7 +235,7 @@
     }
 }
 
-/// Both ends of a documented range are accepted, the numbers beyond are refused with that range.
+/// Asserts that both ends of a documented range are accepted and values beyond are refused.
 fn compare_range<S>(
     given: &Value,
     row: &Row,
@@ -244,21 +246,21 @@
         return;
     };
     let (least, most): (u64, u64) = (least.parse().unwrap(), most.parse().unwrap());
-    let told = |n: u64| {
+    let message = |n: u64| {
         let mut given = given.clone();
-        // The grace period's upper end is the deadline, so a low deadline needs a low grace period.
+        // The grace period may not exceed the deadline.
         if row.key == "stop.deadline_ms" {
             put(&mut given, "stop.grace_ms", json!(0));
         }
         refusal::<S>(given, &row.key, json!(n))
     };
-    assert_eq!(told(least), "accepted", "{}", row.key);
-    assert_eq!(told(most), "accepted", "{}", row.key);
+    assert_eq!(message(least), "accepted", "{}", row.key);
+    assert_eq!(message(most), "accepted", "{}", row.key);
     for beyond in [least.checked_sub(1), Some(most + 1)].into_iter().flatten() {
-        let told = told(beyond);
+        let message = message(beyond);
         assert!(
-            told.ends_with(&format!("{beyond} is not allowed: {}", row.allowed)),
-            "{told}"
+            message.ends_with(&format!("{beyond} is not allowed: {}", row.allowed)),
+            "{message}"
         );
     }
 }
@@ -290,7 +292,7 @@
             "unknown field `peer`",
         ),
     ];
-    for (told, expected) in rows {
-        assert!(told.contains(expected), "{told}\nlacks: {expected}");
+    for (message, expected) in rows {
+        assert!(message.contains(expected), "{message}\nlacks: {expected}");
     }
 }
--- a/crates/conf/tests/small_edits/mod.rs
+++ b/crates/conf/tests/small_edits/mod.rs
@@ -1,4 +1,4 @@
-//! Generated edits that are about few things, so that they meet.
+//! Generated edits of a few nodes, so that they often conflict.
 
 use {
     bolero::TypeGenerator,
@@ -9,7 +9,7 @@
     std::collections::BTreeMap,
 };
 
-/// Paths that generated ops are about: few, so that they meet.
+/// Paths of generated ops: few, so that ops often conflict.
 pub const PATHS: [&str; 24] = [
     "/",
     "/accounts",
@@ -39,7 +39,7 @@
 
 const VALUES: usize = 14;
 
-/// An op in few bits.
+/// A compact encoding of an op.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 pub struct SmallOp {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What a node of this kind needs to be accepted now and then.
+    /// Required settings of a node of this kind, so that some generated edits are accepted.
     fn settings(
         self,
         kind: NodeKind,
@@ -106,7 +106,7 @@
         Settings::from(rows.into_iter().collect::<BTreeMap<_, _>>())
     }
 
-    /// The kind that fits the path, or now and then another.
+    /// The kind that fits the path, or occasionally another one.
     pub fn kind(self) -> NodeKind {
         match (self.kind % 8, PATHS[usize::from(self.path) % PATHS.len()]) {
             (0, _) => NodeKind::ALL[usize::from(self.kind / 8) % NodeKind::ALL.len()],
@@ -146,7 +146,7 @@
     }
 }
 
-/// Ops of one edit, one to three.
+/// An edit with one to three ops.
 #[derive(Clone, Debug)]
 #[derive(TypeGenerator)]
 pub struct SmallEdit {
@@ -177,8 +177,8 @@
     }
 }
 
-/// A tree with something in every collection, so that short sequences reach far.
-pub fn furnished() -> Tree {
+/// A tree with nodes in every collection, so that short edit sequences cover many cases.
+pub fn populated_tree() -> Tree {
     let tree = Tree::default();
     let paths = [
         "/models/m",
--- a/crates/conf/tests/store_layout.rs
+++ b/crates/conf/tests/store_layout.rs
@@ -1,4 +1,4 @@
-//! The tree in the store: what is written, read back, and settled after a lost reply.
+//! Storing and loading the tree, and the outcome of writes whose reply was lost.
 
 use {
     jasmine_conf::{
@@ -7,7 +7,7 @@
             Settled, Write, edit_key, load, plan, settle,
         },
         tree::{
-            Edit, EditId, EditLog, EditOp, LOG_OPS, Node, NodeKind, Path, Proposal, Setting,
+            Edit, EditId, EditLog, EditOp, MAX_LOG_OPS, Node, NodeKind, Path, Proposal, Setting,
             Settings, Tree, Value,
         },
     },
@@ -15,7 +15,7 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// A key-value service as far as the layout needs one.
+/// An in-memory key-value store.
 #[derive(Default)]
 struct Store {
     rows: BTreeMap<String, String>,
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    /// The records that a loader reads.
+    /// The edit records needed to load the tree.
     fn edits_from(
         &self,
         head: &Head,
@@ -74,7 +74,7 @@
     }
 }
 
-/// A tree with its log and store, as one controller has them.
+/// The tree, edit log and store of one controller.
 #[derive(Default)]
 struct Editor {
     tree: Tree,
@@ -183,7 +183,7 @@
         let loaded = editor.store.load().unwrap();
         assert_eq!(loaded.tree, editor.tree);
         assert_eq!(loaded.tree.resolve(), editor.tree.resolve());
-        // The log begins with the bulk edit, or with what shards still lack: a tail of the whole one.
+        // The loaded log starts at the bulk edit or at the first edit missing from a shard.
         let tail: Vec<_> = loaded.log.newest_first().collect();
         let head = Head::read(editor.store.get(HEAD_KEY)).unwrap();
         assert_eq!(loaded.log.oldest_base().next(), head.edits_from());
@@ -193,7 +193,7 @@
                 .eq(editor.log.newest_first().take(tail.len()))
         );
     }
-    // Small edits that follow write the shards that the bulk edits left lagging.
+    // Later small edits rewrite the shards that the bulk edits left stale.
     for i in 0..70 {
         editor.edit(vec![set(
             "/accounts",
@@ -208,8 +208,8 @@
 
 #[test]
 fn a_moved_adapter_is_read_back_where_it_went() {
-    // The shard of the old place lags behind the shard of the new one: replaying the deletion must
-    // not take the name of the new place away, or callers get "no such adapter" after a restart.
+    // Guards against losing the name of a moved adapter on load: the shard of its old path is older
+    // than that of its new path, so the deletion is replayed after the adapter was created.
     let mut editor = with_model();
     editor.edit(vec![create("/adapters/team", NodeKind::Group, &[])]);
     for i in 0..40 {
@@ -237,8 +237,7 @@
 
 #[test]
 fn a_lost_reply_is_settled_without_doubling() {
-    // The write takes effect and its reply is lost. Sent again as it stands it must do nothing, and
-    // the operator must be told that it is accepted, not that it failed.
+    // Guards against applying an edit twice, or reporting it as failed, after the reply was lost.
     let mut editor = with_model();
     let proposal = editor.propose(vec![create("/accounts/farm", NodeKind::Account, &[])]);
     let write = editor.plan(&proposal);
@@ -258,7 +257,7 @@
 
 #[test]
 fn an_overtaken_write_is_told_from_an_accepted_one() {
-    // Two controllers write at once; the reply that says which one won is lost.
+    // Guards against reporting success when a concurrent write won and the reply was lost.
     let mut editor = with_model();
     let late = editor.propose(vec![create("/accounts/farm", NodeKind::Account, &[])]);
     let late_write = editor.plan(&late);
@@ -271,8 +270,8 @@
 
 #[test]
 fn a_version_number_is_never_used_again() {
-    // An engine names what it has loaded by adapter number and version: a new version 1 with other
-    // weights would be answered by the old one still loaded.
+    // Guards against an engine serving old weights: it identifies loaded weights by adapter number and
+    // version, so a reused version number would match them.
     let mut editor = with_model();
     editor.edit(adapters(0..1));
     editor.edit(vec![EditOp::Delete {
@@ -302,15 +301,14 @@
     editor.store.rows.remove(&edit_key(Revision(2)));
     assert!(matches!(
         editor.store.load(),
-        Err(LayoutError::Gap { revision }) if revision == Revision(2)
+        Err(LayoutError::MissingRecord { revision }) if revision == Revision(2)
     ));
     assert_eq!(head.revision, Revision(2));
 }
 
 #[test]
 fn a_morning_of_bulk_edits_is_not_kept_whole() {
-    // Somebody loads the adapters of a new season, thousands at a time; the log of newest edits would
-    // take more memory than the tree, and a VM started then would read all of them from the store.
+    // Guards against unbounded memory of the edit log and slow loads after many bulk edits.
     let mut editor = with_model();
     for bulk in 0..12 {
         editor.edit(adapters(bulk * 1_500..(bulk + 1) * 1_500));
@@ -320,7 +318,7 @@
         .newest_first()
         .map(|edit| edit.edit.ops.len())
         .sum();
-    assert!((3_000..=LOG_OPS).contains(&kept), "{kept}");
+    assert!((3_000..=MAX_LOG_OPS).contains(&kept), "{kept}");
     assert_eq!(editor.log.newest(), editor.tree.revision());
     for i in 0..3 {
         editor.edit(vec![set(
--- a/crates/conf/tests/tree_edits.rs
+++ b/crates/conf/tests/tree_edits.rs
@@ -1,4 +1,4 @@
-//! Edits of the tree: what is accepted, what is refused, and that nothing of a refused one stays.
+//! Edits of the tree: which are accepted and which are refused with which error.
 
 use {
     jasmine_conf::{
@@ -88,8 +88,8 @@
     let proposal = tree.propose(&edit(&tree, ops), &log, 5).unwrap();
     let mut other = tree.clone();
     let mut fleet = other.resolve();
-    let touched = other.apply(&proposal.accepted).unwrap();
-    other.refresh(&mut fleet, &touched);
+    let changes = other.apply(&proposal.accepted).unwrap();
+    other.refresh(&mut fleet, &changes);
     assert_eq!(other, proposal.tree);
     assert_eq!(fleet, proposal.tree.resolve());
     assert!(matches!(
@@ -151,8 +151,7 @@
 
 #[test]
 fn a_withdrawn_key_stays_withdrawn() {
-    // Somebody lost a phone, the key was withdrawn, and a later edit sets it back by mistake: whoever
-    // found the phone could enrol devices again.
+    // Guards against an edit that makes a withdrawn key valid again: the key may have leaked.
     let tree = small_fleet();
     let key = "/accounts/clinics/san-juan/phones";
     let set = |on| format!(r#"[{{"op":"set","path":"{key}","setting":"withdrawn","value":{on}}}]"#);
@@ -166,7 +165,7 @@
     for ops in [set(false), unset] {
         assert!(matches!(
             refusal(&tree, &ops),
-            EditError::Fixed {
+            EditError::Immutable {
                 setting: Setting::Withdrawn,
                 ..
             }
