--- a/crates/conf/src/settings/controller_settings.rs
+++ b/crates/conf/src/settings/controller_settings.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        Advertise, Checked, ControllerListen, InvalidSetting, LogSettings, OperatorsSettings,
-        PlatformSettings, Stop, range::check_range,
+        Advertise, ControllerListen, InvalidSetting, LogSettings, OperatorsSettings,
+        PlatformSettings, Stop, Validate, range::check_range,
     },
     jasmine_core::{clock::Millis, ids::VmId},
     serde::{Deserialize, Serialize},
@@ -43,11 +43,11 @@
     DEFAULT_LEASE_DURATION
 }
 
-impl Checked for ControllerSettings {
-    fn check(&self) -> Result<(), InvalidSetting> {
+impl Validate for ControllerSettings {
+    fn validate(&self) -> Result<(), InvalidSetting> {
         check_range("lease_ms", self.lease_ms.0, &(1_000..=600_000))?;
-        self.platform.check()?;
-        self.operators.check()?;
-        self.stop.check()
+        self.platform.validate()?;
+        self.operators.validate()?;
+        self.stop.validate()
     }
 }
--- a/crates/conf/src/settings/entry_settings.rs
+++ b/crates/conf/src/settings/entry_settings.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Checked, EntryListen, InvalidSetting, LogSettings, RetryBudgetSettings, VmSize,
+        EntryListen, InvalidSetting, LogSettings, RetryBudgetSettings, Validate, VmResources,
         range::check_range,
     },
     jasmine_core::clock::Millis,
@@ -45,7 +45,7 @@
     pub change_ms: Millis,
     /// The resources of the VM.
     #[serde(default)]
-    pub size: VmSize,
+    pub size: VmResources,
     /// The retry budget of each service.
     #[serde(default)]
     pub repeats: RetryBudgetSettings,
@@ -77,12 +77,12 @@
     }
 }
 
-impl Checked for EntrySettings {
-    fn check(&self) -> Result<(), InvalidSetting> {
+impl Validate for EntrySettings {
+    fn validate(&self) -> Result<(), InvalidSetting> {
         check_range("least_lease_ms", self.least_lease_ms.0, &(100..=600_000))?;
         check_range("change_ms", self.change_ms.0, &(500..=600_000))?;
         check_range("stop_s", self.stop_s, &(1..=3_600))?;
-        self.size.check()?;
-        self.repeats.check()
+        self.size.validate()?;
+        self.repeats.validate()
     }
 }
--- a/crates/conf/src/settings/gateway_settings.rs
+++ b/crates/conf/src/settings/gateway_settings.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Advertise, Checked, GatewayListen, InvalidSetting, Limits, LogSettings, Stop,
+        Advertise, GatewayListen, InvalidSetting, Limits, LogSettings, Stop, Validate,
         range::check_range,
     },
     jasmine_core::{clock::Millis, ids::VmId},
@@ -45,14 +45,14 @@
     DEFAULT_CONFIG_STALE_TIMEOUT
 }
 
-impl Checked for GatewaySettings {
-    fn check(&self) -> Result<(), InvalidSetting> {
+impl Validate for GatewaySettings {
+    fn validate(&self) -> Result<(), InvalidSetting> {
         check_range(
             "config_stale_ms",
             self.config_stale_ms.0,
             &(1_000..=3_600_000),
         )?;
-        self.limits.check()?;
-        self.stop.check()
+        self.limits.validate()?;
+        self.stop.validate()
     }
 }
--- a/crates/conf/src/settings/limits.rs
+++ b/crates/conf/src/settings/limits.rs
@@ -35,7 +35,7 @@
 
 impl Limits {
     /// Checks that all values are in range.
-    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
+    pub(super) fn validate(&self) -> Result<(), InvalidSetting> {
         let rows = [
             (
                 "limits.max_body_bytes",
--- a/crates/conf/src/settings/mod.rs
+++ b/crates/conf/src/settings/mod.rs
@@ -16,7 +16,7 @@
 mod retry_budget_settings;
 mod settings_error;
 mod stop;
-mod vm_size;
+mod vm_resources;
 
 pub use {
     controller_settings::ControllerSettings,
@@ -27,9 +27,9 @@
     log_settings::{LogLevel, LogSettings},
     operators_settings::{OperatorsSettings, TokenDigest},
     platform_settings::PlatformSettings,
-    read::{Checked, check_settings, parse_settings, read_settings},
+    read::{Validate, check_settings, parse_settings, read_settings},
     retry_budget_settings::RetryBudgetSettings,
     settings_error::{InvalidSetting, SettingsError},
     stop::Stop,
-    vm_size::VmSize,
+    vm_resources::VmResources,
 };
--- a/crates/conf/src/settings/operators_settings.rs
+++ b/crates/conf/src/settings/operators_settings.rs
@@ -58,7 +58,7 @@
     }
 
     /// Checks that all digests are well-formed.
-    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
+    pub(super) fn validate(&self) -> Result<(), InvalidSetting> {
         let malformed = self
             .token_digests
             .iter()
--- a/crates/conf/src/settings/platform_settings.rs
+++ b/crates/conf/src/settings/platform_settings.rs
@@ -30,7 +30,7 @@
 
 impl PlatformSettings {
     /// Checks that all values are in range and all URLs are valid.
-    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
+    pub(super) fn validate(&self) -> Result<(), InvalidSetting> {
         if self.kv.is_empty() {
             return Err(InvalidSetting {
                 key: "platform.kv".to_owned(),
--- a/crates/conf/src/settings/read.rs
+++ b/crates/conf/src/settings/read.rs
@@ -5,13 +5,13 @@
 };
 
 /// Settings that are validated after parsing.
-pub trait Checked {
+pub trait Validate {
     /// Validates constraints beyond the types of the values.
     ///
     /// # Errors
     ///
     /// The first [`InvalidSetting`] found.
-    fn check(&self) -> Result<(), InvalidSetting>;
+    fn validate(&self) -> Result<(), InvalidSetting>;
 }
 
 /// Reads and validates a settings file.
@@ -21,7 +21,7 @@
 /// [`SettingsError`] if the file cannot be read, is not JSON or contains invalid settings.
 pub fn read_settings<S>(file: &Path) -> Result<S, SettingsError>
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     let name = file.display().to_string();
     match std::fs::read_to_string(file) {
@@ -40,7 +40,7 @@
     text: &str,
 ) -> Result<S, SettingsError>
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     let refused = |problem| SettingsError::Invalid {
         file: file.to_owned(),
@@ -53,7 +53,7 @@
         })?;
     let settings: S =
         serde_path_to_error::deserialize(&json).map_err(|e| refused(decode_error(&json, &e)))?;
-    settings.check().map_err(refused)?;
+    settings.validate().map_err(refused)?;
     Ok(settings)
 }
 
@@ -64,7 +64,7 @@
 /// As [`read_settings`].
 pub fn check_settings<S>(file: &Path) -> Result<String, SettingsError>
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     read_settings::<S>(file).map(|_| format!("settings file {}: in order", file.display()))
 }
--- a/crates/conf/src/settings/retry_budget_settings.rs
+++ b/crates/conf/src/settings/retry_budget_settings.rs
@@ -28,7 +28,7 @@
 
 impl RetryBudgetSettings {
     /// Checks that all values are in range.
-    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
+    pub(super) fn validate(&self) -> Result<(), InvalidSetting> {
         check_float_ranges(&[
             ("repeats.ratio", self.ratio, 0.0, 10.0),
             ("repeats.slack", self.slack, 0.0, 1e6),
--- a/crates/conf/src/settings/stop.rs
+++ b/crates/conf/src/settings/stop.rs
@@ -26,7 +26,7 @@
 
 impl Stop {
     /// Checks that all values are in range.
-    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
+    pub(super) fn validate(&self) -> Result<(), InvalidSetting> {
         check_range("stop.deadline_ms", self.deadline_ms.0, &(1..=3_600_000))?;
         check_range("stop.grace_ms", self.grace_ms.0, &(0..=self.deadline_ms.0))
     }
--- a/crates/conf/src/settings/vm_size.rs
+++ b/crates/conf/src/settings/vm_resources.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct VmSize {
+pub struct VmResources {
     /// CPU share, in cores.
     pub processor: f64,
     /// Network bandwidth, in megabits per second.
     pub network_mbps: f64,
 }
 
-impl Default for VmSize {
+impl Default for VmResources {
     /// One core and one gigabit per second.
     fn default() -> Self {
         Self {
@@ -29,9 +29,9 @@
     }
 }
 
-impl VmSize {
+impl VmResources {
     /// Checks that all values are in range.
-    pub(super) fn check(self) -> Result<(), InvalidSetting> {
+    pub(super) fn validate(self) -> Result<(), InvalidSetting> {
         check_float_ranges(&[
             ("size.processor", self.processor, 0.001, 1_024.0),
             ("size.network_mbps", self.network_mbps, 0.001, 1e6),
--- a/crates/conf/src/start/command.rs
+++ b/crates/conf/src/start/command.rs
@@ -1,5 +1,5 @@
 use {
-    super::Start,
+    super::StartAction,
     clap::{Arg, ArgAction, ArgMatches, Command, value_parser},
     std::path::PathBuf,
 };
@@ -32,19 +32,19 @@
         .after_help(example)
 }
 
-/// Converts the parsed arguments into a [`Start`].
+/// Converts the parsed arguments into a [`StartAction`].
 ///
 /// # Panics
 ///
 /// Panics if `matches` does not come from [`daemon_command`], which requires the file.
-pub fn parse_start(matches: &ArgMatches) -> Start {
+pub fn parse_start(matches: &ArgMatches) -> StartAction {
     let file = matches
         .get_one::<PathBuf>("settings")
         .expect("required by the command line")
         .clone();
     if matches.get_flag("check-settings") {
-        Start::CheckSettings(file)
+        StartAction::CheckSettings(file)
     } else {
-        Start::Serve(file)
+        StartAction::Serve(file)
     }
 }
--- a/crates/conf/src/start/daemon_main.rs
+++ b/crates/conf/src/start/daemon_main.rs
@@ -1,6 +1,6 @@
 use {
-    super::{Start, parse_start},
-    crate::settings::{Checked, check_settings, read_settings},
+    super::{StartAction, parse_start},
+    crate::settings::{Validate, check_settings, read_settings},
     clap::Command,
     serde::de::DeserializeOwned,
     std::{error::Error, path::Path, process::ExitCode},
@@ -28,7 +28,7 @@
     run: Run,
 ) -> ExitCode
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
     L: Error,
     R: Error,
     StartLog: FnOnce(&S) -> Result<G, L>,
@@ -36,8 +36,8 @@
 {
     let name = command.get_name().to_owned();
     let result = match parse_start(&command.get_matches()) {
-        Start::CheckSettings(file) => check::<S>(&file),
-        Start::Serve(file) => serve(&file, start_log, run),
+        StartAction::CheckSettings(file) => check::<S>(&file),
+        StartAction::Serve(file) => serve(&file, start_log, run),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -50,7 +50,7 @@
 
 fn check<S>(file: &Path) -> Result<(), Failure>
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     let line = check_settings::<S>(file).map_err(invalid_settings)?;
     println!("{line}");
@@ -63,7 +63,7 @@
     run: Run,
 ) -> Result<(), Failure>
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
     L: Error,
     R: Error,
     StartLog: FnOnce(&S) -> Result<G, L>,
--- a/crates/conf/src/start/mod.rs
+++ b/crates/conf/src/start/mod.rs
@@ -2,10 +2,10 @@
 
 mod command;
 mod daemon_main;
-mod start_kind;
+mod start_action;
 
 pub use {
     command::{daemon_command, parse_start},
     daemon_main::daemon_main,
-    start_kind::Start,
+    start_action::StartAction,
 };
--- a/crates/conf/src/tree/commands/check.rs
+++ b/crates/conf/src/tree/commands/check.rs
@@ -27,7 +27,9 @@
             self::value(path, kind, *setting, value)
         }
         EditOp::Unset { setting, .. } => check_changeable(tree, path, *setting, None).map(|_| ()),
-        EditOp::Delete { .. } if is_built_in(path) => Err(EditError::Given { path: path.clone() }),
+        EditOp::Delete { .. } if is_built_in(path) => {
+            Err(EditError::BuiltInNode { path: path.clone() })
+        }
         EditOp::Delete { .. } if tree.node(path).is_none() => {
             Err(EditError::NoSuchNode { path: path.clone() })
         }
@@ -96,7 +98,7 @@
     kind: NodeKind,
 ) -> Result<(), EditError> {
     if is_built_in(path) {
-        return Err(EditError::Given { path: path.clone() });
+        return Err(EditError::BuiltInNode { path: path.clone() });
     }
     if tree.node(path).is_some() {
         return Err(EditError::Exists { path: path.clone() });
@@ -235,7 +237,7 @@
         });
     }
     match to {
-        None if node.settings.get(setting).is_none() => Err(EditError::NotSet {
+        None if node.settings.get(setting).is_none() => Err(EditError::SettingNotSet {
             path: path.clone(),
             setting,
         }),
--- a/crates/conf/src/tree/edit_error.rs
+++ b/crates/conf/src/tree/edit_error.rs
@@ -46,7 +46,7 @@
     },
     /// The built-in groups cannot be created or deleted.
     #[display("{path}: the first levels of the tree are given")]
-    Given {
+    BuiltInNode {
         /// The path.
         path: Path,
     },
@@ -72,7 +72,7 @@
     },
     /// The setting is not set on this node and cannot be removed.
     #[display("{path}: {setting} is not set on this level")]
-    NotSet {
+    SettingNotSet {
         /// The path.
         path: Path,
         /// The setting.
--- a/crates/conf/tests/settings_files.rs
+++ b/crates/conf/tests/settings_files.rs
@@ -2,7 +2,8 @@
 
 use {
     jasmine_conf::settings::{
-        Checked, ControllerSettings, EntrySettings, GatewaySettings, check_settings, parse_settings,
+        ControllerSettings, EntrySettings, GatewaySettings, Validate, check_settings,
+        parse_settings,
     },
     serde::{Serialize, de::DeserializeOwned},
     serde_json::{Value, json},
@@ -46,7 +47,7 @@
     value: Value,
 ) -> String
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     put(&mut json, key, value);
     match parse_settings::<S>("vm.json", &json.to_string()) {
@@ -209,7 +210,7 @@
     daemon: &str,
     given: &Value,
 ) where
-    S: DeserializeOwned + Serialize + Checked,
+    S: DeserializeOwned + Serialize + Validate,
 {
     let rows = rows_of(daemon);
     let settings: S = parse_settings("given", &given.to_string()).unwrap();
@@ -240,7 +241,7 @@
     given: &Value,
     row: &Row,
 ) where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     let Some((least, most)) = row.allowed.split_once(" to ") else {
         return;
--- a/crates/conf/tests/store_layout.rs
+++ b/crates/conf/tests/store_layout.rs
@@ -55,7 +55,7 @@
     }
 
     /// The edit records needed to load the tree.
-    fn edits_from(
+    fn edits_to_load(
         &self,
         head: &Head,
     ) -> Vec<String> {
@@ -69,7 +69,7 @@
 
     fn load(&self) -> Result<Loaded, LayoutError> {
         let head = Head::read(self.get(HEAD_KEY))?;
-        let edits = self.edits_from(&head);
+        let edits = self.edits_to_load(&head);
         load(&head, &self.under(SHARD_PREFIX), &edits)
     }
 }
@@ -288,7 +288,7 @@
     editor.edit(adapters(0..300));
     let head = Head::read(editor.store.get(HEAD_KEY)).unwrap();
     editor.edit(adapters(300..301));
-    let edits = editor.store.edits_from(&head);
+    let edits = editor.store.edits_to_load(&head);
     let loaded = load(&head, &editor.store.under(SHARD_PREFIX), &edits);
     assert!(matches!(loaded, Err(LayoutError::Moved { .. })));
 }
