--- a/crates/conf/src/settings/read.rs
+++ b/crates/conf/src/settings/read.rs
@@ -42,7 +42,7 @@
 where
     S: DeserializeOwned + Validate,
 {
-    let refused = |problem| SettingsError::Invalid {
+    let invalid = |problem| SettingsError::Invalid {
         file: file.to_owned(),
         problem,
     };
@@ -52,8 +52,8 @@
             source,
         })?;
     let settings: S =
-        serde_path_to_error::deserialize(&json).map_err(|e| refused(decode_error(&json, &e)))?;
-    settings.validate().map_err(refused)?;
+        serde_path_to_error::deserialize(&json).map_err(|e| invalid(decode_error(&json, &e)))?;
+    settings.validate().map_err(invalid)?;
     Ok(settings)
 }
 
--- a/crates/conf/src/store_layout/load.rs
+++ b/crates/conf/src/store_layout/load.rs
@@ -31,7 +31,7 @@
     let nodes = read_shards(head, shards)?
         .into_iter()
         .flat_map(|shard| shard.nodes);
-    // Shards are at different revisions: edits are replayed on all of them, starting from the most stale shard.
+    // Shards are at different revisions, so edits are replayed from the first one that any shard lacks.
     let lacks_from = head.lacks_from().unwrap_or_else(|| head.revision.next());
     let before = Revision(lacks_from.0 - 1);
     let mut tree = Tree::from_parts(before, head.next_numbers.clone(), nodes);
--- a/crates/conf/src/store_layout/plan.rs
+++ b/crates/conf/src/store_layout/plan.rs
@@ -14,8 +14,8 @@
 /// The number of edit records to keep; each further edit deletes the oldest.
 pub const MAX_HISTORY_EDITS: u64 = 20_000;
 
-/// The record size above which an edit counts as a bulk edit.
-const MIN_BULK_RECORD_BYTES: usize = 8 << 10;
+/// The maximum size of an edit record that does not count as a bulk edit.
+const MAX_SMALL_RECORD_BYTES: usize = 8 << 10;
 
 /// The maximum number of shards that one edit rewrites.
 const MAX_SHARDS_PER_EDIT: usize = 4;
@@ -66,7 +66,7 @@
     }
     let record = serde_json::to_string(accepted)
         .map_err(|source| LayoutError::malformed(EDIT_PREFIX, source))?;
-    if record.len() > MIN_BULK_RECORD_BYTES {
+    if record.len() > MAX_SMALL_RECORD_BYTES {
         head.newest_bulk = revision;
     }
     let mut puts = rewrite_shards(&mut head, after, record.len())?;
@@ -117,17 +117,17 @@
     after: &Tree,
     record_bytes: usize,
 ) -> Result<Vec<(String, String)>, LayoutError> {
-    let mut lagging: Vec<(Revision, u16)> = head
+    let mut stale_shards: Vec<(Revision, u16)> = head
         .shards
         .iter()
         .filter(|(_, state)| state.lacks_from != Revision(0))
         .map(|(&shard, state)| (state.lacks_from, shard))
         .collect();
-    lagging.sort_unstable();
+    stale_shards.sort_unstable();
     let head_bytes = head.text().len() + usize::from(SHARDS);
     let mut available_bytes = MAX_WRITE_BYTES.saturating_sub(record_bytes + head_bytes);
     let mut puts = Vec::new();
-    for (_, shard) in lagging.into_iter().take(MAX_SHARDS_PER_EDIT) {
+    for (_, shard) in stale_shards.into_iter().take(MAX_SHARDS_PER_EDIT) {
         let key = shard_key(shard);
         let value = serde_json::to_string(&Shard::of(after, shard))
             .map_err(|source| LayoutError::malformed(&key, source))?;
--- a/crates/conf/src/tree/commands/apply.rs
+++ b/crates/conf/src/tree/commands/apply.rs
@@ -1,7 +1,7 @@
 use {
     crate::tree::{
-        Accepted, EditError, EditOp, EntityChanges, Family, Node, NodeKind, Path, Removed, Setting,
-        Settings, Shape, Tree, tree_nodes::family_name,
+        Accepted, EditError, EditOp, EntityChanges, Family, Node, NodeKind, Path, RemovedEntity,
+        Setting, Settings, Shape, Tree, tree_nodes::family_name,
     },
     std::collections::BTreeSet,
 };
@@ -131,7 +131,7 @@
             match name {
                 Some((family, name)) => {
                     self.names.remove(&(family, name.clone()));
-                    changes.removed.push(Removed {
+                    changes.removed.push(RemovedEntity {
                         path,
                         family,
                         number,
--- a/crates/conf/src/tree/commands/check.rs
+++ b/crates/conf/src/tree/commands/check.rs
@@ -1,7 +1,7 @@
 //! Validation of single ops and of the tree that results from an edit.
 
 use crate::tree::{
-    EditError, EditOp, EntityChanges, Family, NodeKind, Path, Removed, Setting, SettingScope,
+    EditError, EditOp, EntityChanges, Family, NodeKind, Path, RemovedEntity, Setting, SettingScope,
     SettingSpec, Settings, Shape, Tree, Value, queries::InheritedValues, tree_nodes::COLLECTIONS,
 };
 
@@ -19,12 +19,12 @@
             check_placement(tree, path, *kind)?;
             settings
                 .iter()
-                .try_for_each(|(setting, value)| self::value(path, *kind, setting, value))?;
+                .try_for_each(|(setting, value)| self::check_value(path, *kind, setting, value))?;
             check_digest_is_free(tree, path, settings)
         }
         EditOp::Set { setting, value, .. } => {
             let kind = check_changeable(tree, path, *setting, Some(value))?;
-            self::value(path, kind, *setting, value)
+            self::check_value(path, kind, *setting, value)
         }
         EditOp::Unset { setting, .. } => check_changeable(tree, path, *setting, None).map(|_| ()),
         EditOp::Delete { .. } if is_built_in(path) => {
@@ -189,7 +189,7 @@
     }
 }
 
-fn value(
+fn check_value(
     path: &Path,
     kind: NodeKind,
     setting: Setting,
@@ -314,7 +314,7 @@
 fn is_reference_to(
     setting: Setting,
     value: &Value,
-    removed: &Removed,
+    removed: &RemovedEntity,
 ) -> bool {
     match (setting.rule().shape, value) {
         (Shape::Reference(family), Value::Text(name)) => {
--- a/crates/conf/src/tree/edit_error.rs
+++ b/crates/conf/src/tree/edit_error.rs
@@ -39,13 +39,13 @@
         path: Path,
     },
     /// A node already exists at the path.
-    #[display("{path}: exists already")]
+    #[display("{path}: already exists")]
     Exists {
         /// The path.
         path: Path,
     },
     /// The built-in groups cannot be created or deleted.
-    #[display("{path}: the first levels of the tree are given")]
+    #[display("{path}: the top-level groups are built in")]
     BuiltInNode {
         /// The path.
         path: Path,
@@ -99,7 +99,7 @@
         setting: Setting,
     },
     /// A required setting is not set on the node or a level above it.
-    #[display("{path}: {setting} is given neither here nor on a level above")]
+    #[display("{path}: {setting} is set neither here nor on a level above")]
     MissingSetting {
         /// The path.
         path: Path,
--- a/crates/conf/src/tree/entity_changes.rs
+++ b/crates/conf/src/tree/entity_changes.rs
@@ -5,7 +5,7 @@
 
 /// A deleted node of a family.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Removed {
+pub struct RemovedEntity {
     /// The path of the deleted node.
     pub path: Path,
     /// The family of the node.
@@ -22,5 +22,5 @@
     /// Paths of entities whose resolved values may have changed.
     pub paths: BTreeSet<Path>,
     /// Deleted entities.
-    pub removed: Vec<Removed>,
+    pub removed: Vec<RemovedEntity>,
 }
--- a/crates/conf/src/tree/mod.rs
+++ b/crates/conf/src/tree/mod.rs
@@ -63,7 +63,7 @@
     edit_id::EditId,
     edit_log::{EditLog, MAX_LOG_EDITS, MAX_LOG_OPS},
     edit_op::EditOp,
-    entity_changes::{EntityChanges, Removed},
+    entity_changes::{EntityChanges, RemovedEntity},
     family::Family,
     node::Node,
     node_kind::NodeKind,
--- a/crates/conf/src/tree/queries/entity.rs
+++ b/crates/conf/src/tree/queries/entity.rs
@@ -3,7 +3,7 @@
         fleet::{
             Account, Adapter, BaseModel, DataCentre, Fleet, Key, KeyDigest, Service, Upstream,
         },
-        tree::{Family, Removed},
+        tree::{Family, RemovedEntity},
     },
     jasmine_core::ids::{AccountId, AdapterId, DataCentreId, ModelId, ServiceId, UpstreamId},
 };
@@ -52,7 +52,7 @@
 
 /// Removes a deleted entity from `fleet`.
 pub(in crate::tree) fn remove_entity(
-    removed: &Removed,
+    removed: &RemovedEntity,
     fleet: &mut Fleet,
 ) {
     let number = removed.number;
--- a/crates/conf/src/tree/queries/explain.rs
+++ b/crates/conf/src/tree/queries/explain.rs
@@ -76,7 +76,7 @@
     ) -> Vec<Level> {
         let above = |path: &Path| match scope {
             SettingScope::Inherited => path.parent(),
-            SettingScope::Own | SettingScope::Fixed => None,
+            SettingScope::NodeOnly | SettingScope::Fixed => None,
         };
         std::iter::successors(Some(path.clone()), above)
             .filter_map(|path| {
--- a/crates/conf/src/tree/queries/inherited_values.rs
+++ b/crates/conf/src/tree/queries/inherited_values.rs
@@ -31,7 +31,7 @@
         }
         let inherited = match rule.scope {
             SettingScope::Inherited => self.inherited(path, setting),
-            SettingScope::Own | SettingScope::Fixed => None,
+            SettingScope::NodeOnly | SettingScope::Fixed => None,
         };
         inherited.or(rule.default.as_ref())
     }
--- a/crates/conf/src/tree/setting.rs
+++ b/crates/conf/src/tree/setting.rs
@@ -107,7 +107,7 @@
     #[expect(clippy::too_many_lines, reason = "one entry per setting")]
     fn row(self) -> SettingSpec {
         use {
-            SettingScope::{Fixed, Inherited, Own},
+            SettingScope::{Fixed, Inherited, NodeOnly},
             Shape::{
                 Accounts, Address, Choice, Digest, Flag, Method, Number, Reference, Text, UrlPath,
             },
@@ -176,7 +176,7 @@
             Self::Live => row(
                 "live",
                 Number(1, u64::from(u32::MAX)),
-                Own,
+                NodeOnly,
                 &[Adapter],
                 None,
             ),
@@ -212,13 +212,13 @@
                 &[Server],
                 None,
             ),
-            Self::Method => row("method", Method, Own, &[Call], None),
-            Self::Path => row("path", UrlPath, Own, &[Call], None),
-            Self::Idempotent => row("idempotent", Flag, Own, &[Call], None),
+            Self::Method => row("method", Method, NodeOnly, &[Call], None),
+            Self::Path => row("path", UrlPath, NodeOnly, &[Call], None),
+            Self::Idempotent => row("idempotent", Flag, NodeOnly, &[Call], None),
             Self::Cost => row("cost", Number(0, MAX_AMOUNT), Inherited, &[Call], number(1)),
             Self::Region => row("region", Text(64), Inherited, &[DataCentre], text("")),
             Self::Digest => row("digest", Digest, Fixed, &[Key], None),
-            Self::Withdrawn => row("withdrawn", Flag, Own, &[Key], flag(false)),
+            Self::Withdrawn => row("withdrawn", Flag, NodeOnly, &[Key], flag(false)),
         }
     }
 
--- a/crates/conf/src/tree/setting_scope.rs
+++ b/crates/conf/src/tree/setting_scope.rs
@@ -4,7 +4,7 @@
     /// May be set on any level above the node and overridden on lower levels.
     Inherited,
     /// May be set only on the node itself.
-    Own,
+    NodeOnly,
     /// May be set only on the node itself, when it is created.
     Fixed,
 }
--- a/crates/conf/tests/generated_edits.rs
+++ b/crates/conf/tests/generated_edits.rs
@@ -27,7 +27,7 @@
     check!().with_type::<Vec<SmallEdit>>().for_each(|edits| {
         let mut tree = populated_tree();
         let mut fleet = tree.resolve();
-        let mut given = BTreeMap::new();
+        let mut assigned = BTreeMap::new();
         for small in edits {
             let log = EditLog::new(tree.revision());
             let before = tree.clone();
@@ -43,7 +43,7 @@
             // Compares the name index, which `PartialEq` ignores, with a rebuilt one.
             let fresh = Tree::from(TreeBody::from(&tree));
             assert_eq!(format!("{tree:?}"), format!("{fresh:?}"));
-            assert_numbers_are_new(&proposal.accepted, &mut given);
+            assert_numbers_are_new(&proposal.accepted, &mut assigned);
         }
     });
 }
@@ -74,14 +74,14 @@
 /// Asserts that each number of a family is assigned only once.
 fn assert_numbers_are_new(
     accepted: &Accepted,
-    given: &mut BTreeMap<(Family, u32), Revision>,
+    assigned: &mut BTreeMap<(Family, u32), Revision>,
 ) {
     let mut numbers = accepted.numbers.iter();
     for op in &accepted.edit.ops {
         if let EditOp::Create { kind, .. } = op {
             let number = *numbers.next().unwrap();
             if let Some(family) = kind.family() {
-                let earlier = given.insert((family, number), accepted.revision);
+                let earlier = assigned.insert((family, number), accepted.revision);
                 assert_eq!(earlier, None, "{family:?} {number}");
             }
         }
--- a/crates/conf/tests/settings_docs.rs
+++ b/crates/conf/tests/settings_docs.rs
@@ -45,7 +45,7 @@
         let rule = setting.rule();
         let reach = match rule.scope {
             SettingScope::Inherited => "inherited",
-            SettingScope::Own => "own",
+            SettingScope::NodeOnly => "own",
             SettingScope::Fixed => "fixed",
         };
         let cells = [
--- a/crates/conf/tests/tree_edits.rs
+++ b/crates/conf/tests/tree_edits.rs
@@ -121,7 +121,7 @@
         ),
         (
             r#"[{"op":"create","path":"/adapters/enrolment/1","kind":"version"}]"#,
-            "/adapters/enrolment/1: exists already",
+            "/adapters/enrolment/1: already exists",
         ),
         (
             r#"[{"op":"create","path":"/adapters/base-8b","kind":"adapter"}]"#,
@@ -133,11 +133,11 @@
         ),
         (
             r#"[{"op":"unset","path":"/upstreams/gt-1","setting":"model"}]"#,
-            "/upstreams/gt-1/engine-1: model is given neither here nor on a level above",
+            "/upstreams/gt-1/engine-1: model is set neither here nor on a level above",
         ),
         (
             r#"[{"op":"delete","path":"/accounts"}]"#,
-            "/accounts: the first levels of the tree are given",
+            "/accounts: the top-level groups are built in",
         ),
     ];
     for (ops, message) in rows {
