--- a/crates/conf/tests/settings_files.rs
+++ b/crates/conf/tests/settings_files.rs
@@ -1,8 +1,9 @@
-//! Settings files: what is read, what is refused and how it is told, and that the docs say the same.
+//! Parsing and validation of settings files, and comparison with the docs.
 
 use {
     jasmine_conf::settings::{
-        Checked, ControllerSettings, EntrySettings, GatewaySettings, check_settings, parse_settings,
+        ControllerSettings, EntrySettings, GatewaySettings, Validate, check_settings,
+        parse_settings,
     },
     serde::{Serialize, de::DeserializeOwned},
     serde_json::{Value, json},
@@ -46,7 +47,7 @@
     value: Value,
 ) -> String
 where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     put(&mut json, key, value);
     match parse_settings::<S>("vm.json", &json.to_string()) {
@@ -123,20 +124,22 @@
             "key `stop.grace_ms`: 40000 is not allowed: 0 to 30000",
         ),
     ];
-    for (told, expected) in rows {
-        assert!(told.contains(expected), "{told}\nlacks: {expected}");
+    for (message, expected) in rows {
+        assert!(message.contains(expected), "{message}\nlacks: {expected}");
     }
 }
 
 #[test]
 fn a_file_that_is_no_json_is_told_with_its_line() {
-    let told = parse_settings::<GatewaySettings>("vm.json", "{\n  \"vm\": 1,,\n}").unwrap_err();
+    let message = parse_settings::<GatewaySettings>("vm.json", "{\n  \"vm\": 1,,\n}").unwrap_err();
     assert!(
-        told.to_string().contains("vm.json: not JSON: ") && told.to_string().contains("line 2")
+        message.to_string().contains("vm.json: not JSON: ")
+            && message.to_string().contains("line 2")
     );
-    let told = check_settings::<GatewaySettings>(Path::new("/nowhere/vm.json")).unwrap_err();
+    let message = check_settings::<GatewaySettings>(Path::new("/nowhere/vm.json")).unwrap_err();
     assert!(
-        told.to_string()
+        message
+            .to_string()
             .starts_with("settings file /nowhere/vm.json: ")
     );
 }
@@ -145,8 +148,8 @@
 fn check_settings_says_that_a_file_is_in_order() {
     let file = std::env::temp_dir().join(format!("jasmine-settings-{}.json", std::process::id()));
     fs::write(&file, controller().to_string()).unwrap();
-    let told = check_settings::<ControllerSettings>(&file).unwrap();
-    assert!(told.ends_with(": in order"));
+    let message = check_settings::<ControllerSettings>(&file).unwrap();
+    assert!(message.ends_with(": in order"));
     fs::remove_file(&file).unwrap();
 }
 
@@ -160,7 +163,7 @@
     });
 }
 
-/// One row of a table of the docs.
+/// A row of a settings table in the docs.
 struct Row {
     key: String,
     default: String,
@@ -187,7 +190,7 @@
         .collect()
 }
 
-/// All keys with their values, levels joined by dots.
+/// Collects all keys with their values; levels are joined by dots.
 fn flatten(
     json: &Value,
     prefix: &str,
@@ -207,7 +210,7 @@
     daemon: &str,
     given: &Value,
 ) where
-    S: DeserializeOwned + Serialize + Checked,
+    S: DeserializeOwned + Serialize + Validate,
 {
     let rows = rows_of(daemon);
     let settings: S = parse_settings("given", &given.to_string()).unwrap();
@@ -233,32 +236,32 @@
     }
 }
 
-/// Both ends of a documented range are accepted, the numbers beyond are refused with that range.
+/// Asserts that both ends of a documented range are accepted and values beyond are refused.
 fn compare_range<S>(
     given: &Value,
     row: &Row,
 ) where
-    S: DeserializeOwned + Checked,
+    S: DeserializeOwned + Validate,
 {
     let Some((least, most)) = row.allowed.split_once(" to ") else {
         return;
     };
     let (least, most): (u64, u64) = (least.parse().unwrap(), most.parse().unwrap());
-    let told = |n: u64| {
+    let message = |n: u64| {
         let mut given = given.clone();
-        // The grace period's upper end is the deadline, so a low deadline needs a low grace period.
+        // The grace period may not exceed the deadline.
         if row.key == "stop.deadline_ms" {
             put(&mut given, "stop.grace_ms", json!(0));
         }
         refusal::<S>(given, &row.key, json!(n))
     };
-    assert_eq!(told(least), "accepted", "{}", row.key);
-    assert_eq!(told(most), "accepted", "{}", row.key);
+    assert_eq!(message(least), "accepted", "{}", row.key);
+    assert_eq!(message(most), "accepted", "{}", row.key);
     for beyond in [least.checked_sub(1), Some(most + 1)].into_iter().flatten() {
-        let told = told(beyond);
+        let message = message(beyond);
         assert!(
-            told.ends_with(&format!("{beyond} is not allowed: {}", row.allowed)),
-            "{told}"
+            message.ends_with(&format!("{beyond} is not allowed: {}", row.allowed)),
+            "{message}"
         );
     }
 }
@@ -290,7 +293,7 @@
             "unknown field `peer`",
         ),
     ];
-    for (told, expected) in rows {
-        assert!(told.contains(expected), "{told}\nlacks: {expected}");
+    for (message, expected) in rows {
+        assert!(message.contains(expected), "{message}\nlacks: {expected}");
     }
 }
