--- a/crates/store/src/etcd/call_budget.rs
+++ b/crates/store/src/etcd/call_rate_limiter.rs
@@ -11,32 +11,34 @@
 /// The service's capacity is shared by the whole fleet. The limit keeps a VM that retries in a tight
 /// loop from starving the others.
 #[derive(Debug)]
-pub(super) struct CallBudget {
+pub(super) struct CallRateLimiter {
     per_second: f64,
     tokens: Cell<f64>,
-    refilled: Cell<Instant>,
+    refilled_at: Cell<Instant>,
 }
 
-impl CallBudget {
+impl CallRateLimiter {
     pub(super) fn new(calls_per_second: u32) -> Self {
         let per_second = f64::from(calls_per_second.max(1));
         Self {
             per_second,
             tokens: Cell::new(per_second * BURST_SECONDS),
-            refilled: Cell::new(Instant::now()),
+            refilled_at: Cell::new(Instant::now()),
         }
     }
 
     /// Reserves one call and returns how long the caller must wait before sending it.
-    pub(super) fn take(&self) -> Millis {
+    pub(super) fn reserve(&self) -> Millis {
         let now = Instant::now();
-        let rested = now.duration_since(self.refilled.replace(now)).as_secs_f64();
-        let most = self.per_second * BURST_SECONDS;
-        let left = (self.tokens.get() + rested * self.per_second).min(most) - 1.0;
-        self.tokens.set(left);
-        match left {
-            left if left >= 0.0 => Millis::ZERO,
-            left => Millis((-left / self.per_second * 1000.0).ceil() as u64),
+        let elapsed = now
+            .duration_since(self.refilled_at.replace(now))
+            .as_secs_f64();
+        let capacity = self.per_second * BURST_SECONDS;
+        let remaining = (self.tokens.get() + elapsed * self.per_second).min(capacity) - 1.0;
+        self.tokens.set(remaining);
+        match remaining {
+            remaining if remaining >= 0.0 => Millis::ZERO,
+            remaining => Millis((-remaining / self.per_second * 1000.0).ceil() as u64),
         }
     }
 }
--- a/crates/store/src/etcd/etcd_store.rs
+++ b/crates/store/src/etcd/etcd_store.rs
@@ -1,10 +1,10 @@
 use {
     super::{
         CallCounts, CallKind, EtcdOptions, JsonLines, Reach,
-        call_budget::CallBudget,
         call_counts::OpenWatch,
+        call_rate_limiter::CallRateLimiter,
         json::{
-            LeaseAnswer, RangeAnswer, StreamAnswer, TxnAnswer, decode_range, decode_txn,
+            LeaseResponse, RangeResponse, StreamResponse, TxnResponse, decode_range, decode_txn,
             decode_watch, encode_range, encode_txn, encode_watch, parse,
         },
     },
@@ -31,26 +31,26 @@
 };
 
 /// Maximum size of a response body.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 
 /// Maximum length of one line of a watch stream.
-const MAX_WATCH_LINE: usize = 16 * 1024 * 1024;
+const MAX_WATCH_LINE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Closes idle connections early, so that few pooled connections are silently dead.
-const IDLE_CONNECTION: Duration = Duration::from_secs(8);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Maximum number of connections of this VM to the service.
 const MAX_CONNECTIONS: usize = 32;
 
 /// Maximum length of a response body that is copied into an error message.
-const MAX_MESSAGE: usize = 200;
+const MAX_ERROR_MESSAGE_BYTES: usize = 200;
 
 /// A client of the key-value service over HTTP.
 pub struct EtcdStore {
     options: EtcdOptions,
     client: RefCell<Client>,
     endpoint: Cell<usize>,
-    budget: CallBudget,
+    rate_limiter: CallRateLimiter,
     counts: CallCounts,
     reach: Reach,
 }
@@ -61,7 +61,7 @@
         Self {
             client: RefCell::new(new_client(&options)),
             endpoint: Cell::new(0),
-            budget: CallBudget::new(options.calls_per_second),
+            rate_limiter: CallRateLimiter::new(options.calls_per_second),
             counts: CallCounts::default(),
             reach: Reach::default(),
             options,
@@ -83,7 +83,7 @@
         kind: CallKind,
         body: Value,
     ) -> Result<Vec<u8>, StoreError> {
-        let wait = self.budget.take();
+        let wait = self.rate_limiter.reserve();
         if wait > Millis::ZERO {
             tokio::time::sleep(wait.to_std()).await;
         }
@@ -91,13 +91,13 @@
         let result = timeout(self.options.timeout.to_std(), self.send(kind, body))
             .await
             .unwrap_or_else(|_| Err(StoreError::OutcomeUnknown("timeout".into())));
-        self.reach.note(!matches!(
+        self.reach.record_result(!matches!(
             result,
             Err(StoreError::Unreachable(_) | StoreError::OutcomeUnknown(_))
         ));
         if let Err(e) = &result {
             self.counts.count_failed(kind);
-            self.after_failure(e);
+            self.handle_failure(e);
         }
         result
     }
@@ -111,7 +111,7 @@
         let status = res.status();
         let body = res
             .body()
-            .limit(MAX_ANSWER)
+            .limit(MAX_RESPONSE_BYTES)
             .await
             .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))?;
         match status.as_u16() {
@@ -119,11 +119,11 @@
             // The service may have forwarded the write internally before it failed.
             status @ 500.. => Err(StoreError::OutcomeUnknown(format!(
                 "status {status}: {}",
-                short(&body)
+                truncated(&body)
             ))),
             status => Err(StoreError::Refused {
                 status,
-                message: short(&body),
+                message: truncated(&body),
             }),
         }
     }
@@ -156,7 +156,7 @@
     ///
     /// A middlebox may have lost the state of all open connections, while new ones work. Without this,
     /// every later call on such a pooled connection would time out as well.
-    fn after_failure(
+    fn handle_failure(
         &self,
         e: &StoreError,
     ) {
@@ -181,10 +181,10 @@
         .unwrap_or_else(|_| Err(StoreError::OutcomeUnknown("timeout".into())))
         .inspect_err(|e| {
             self.counts.count_failed(CallKind::Watch);
-            self.after_failure(e);
+            self.handle_failure(e);
         })?;
         match opened.status().as_u16() {
-            200 => Ok(lines(opened, self.counts.open_watch())),
+            200 => Ok(watch_stream(opened, self.counts.open_watch())),
             status => Err(StoreError::Refused {
                 status,
                 message: "watch".into(),
@@ -211,7 +211,7 @@
     ) -> StoreFuture<'_, RangeReply> {
         Box::pin(async move {
             let body = self.call(CallKind::Range, encode_range(&range)).await?;
-            decode_range(&parse::<RangeAnswer>(&body)?)
+            decode_range(&parse::<RangeResponse>(&body)?)
         })
     }
 
@@ -221,7 +221,7 @@
     ) -> StoreFuture<'_, TxnReply> {
         Box::pin(async move {
             let body = self.call(CallKind::Txn, encode_txn(&txn)).await?;
-            decode_txn(&parse::<TxnAnswer>(&body)?)
+            decode_txn(&parse::<TxnResponse>(&body)?)
         })
     }
 
@@ -232,14 +232,14 @@
         Box::pin(async move {
             let secs = ttl.0.div_ceil(1000).to_string();
             let body = self.call(CallKind::Grant, json!({ "TTL": secs })).await?;
-            let answer = parse::<LeaseAnswer>(&body)?;
-            match answer.id.0 {
+            let response = parse::<LeaseResponse>(&body)?;
+            match response.id.0 {
                 0 => Err(StoreError::OutcomeUnknown(
                     "lease response has no lease id".into(),
                 )),
                 id => Ok(Lease {
                     id: LeaseId(id),
-                    ttl: Millis::from_secs(answer.ttl.0),
+                    ttl: Millis::from_secs(response.ttl.0),
                 }),
             }
         })
@@ -252,10 +252,10 @@
         Box::pin(async move {
             let body = json!({ "ID": (id.0 as i64).to_string() });
             let body = self.call(CallKind::KeepAlive, body).await?;
-            let answer = parse::<StreamAnswer<LeaseAnswer>>(&body)?.result;
-            Ok((answer.ttl.0 > 0).then_some(Lease {
+            let response = parse::<StreamResponse<LeaseResponse>>(&body)?.result;
+            Ok((response.ttl.0 > 0).then_some(Lease {
                 id,
-                ttl: Millis::from_secs(answer.ttl.0),
+                ttl: Millis::from_secs(response.ttl.0),
             }))
         })
     }
@@ -282,7 +282,7 @@
 fn new_client(options: &EtcdOptions) -> Client {
     let connector = Connector::new()
         .timeout(options.timeout.to_std())
-        .conn_keep_alive(IDLE_CONNECTION)
+        .conn_keep_alive(IDLE_CONNECTION_TIMEOUT)
         .limit(MAX_CONNECTIONS);
     // `call` has its own timeout; the client's timeout would also end watches.
     Client::builder()
@@ -291,14 +291,14 @@
         .finish()
 }
 
-fn lines<S>(
+fn watch_stream<S>(
     res: awc::ClientResponse<S>,
     open: OpenWatch,
 ) -> WatchStream
 where
     S: futures::Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
 {
-    let state = (res, JsonLines::new(MAX_WATCH_LINE), open);
+    let state = (res, JsonLines::new(MAX_WATCH_LINE_BYTES), open);
     stream::try_unfold(state, |(mut res, mut buf, open)| async move {
         loop {
             if let Some(line) = buf.next_line() {
@@ -320,6 +320,7 @@
     .boxed_local()
 }
 
-fn short(body: &[u8]) -> String {
-    String::from_utf8_lossy(&body[..body.len().min(MAX_MESSAGE)]).replace(['\n', '\r'], " ")
+fn truncated(body: &[u8]) -> String {
+    String::from_utf8_lossy(&body[..body.len().min(MAX_ERROR_MESSAGE_BYTES)])
+        .replace(['\n', '\r'], " ")
 }
--- a/crates/store/src/etcd/json.rs
+++ b/crates/store/src/etcd/json.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct RangeAnswer {
+pub(super) struct RangeResponse {
     header: Header,
     kvs: Vec<Kv>,
     more: bool,
@@ -60,13 +60,13 @@
 #[derive(Deserialize)]
 #[serde(default)]
 struct ResponseOp {
-    response_range: RangeAnswer,
+    response_range: RangeResponse,
 }
 
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct TxnAnswer {
+pub(super) struct TxnResponse {
     header: Header,
     succeeded: bool,
     responses: Vec<ResponseOp>,
@@ -75,7 +75,7 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(super) struct LeaseAnswer {
+pub(super) struct LeaseResponse {
     #[serde(rename = "ID")]
     pub(super) id: Int64,
     #[serde(rename = "TTL")]
@@ -85,7 +85,7 @@
 /// The envelope of streamed responses, used by `keepalive` and `watch`.
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(super) struct StreamAnswer<T> {
+pub(super) struct StreamResponse<T> {
     pub(super) result: T,
 }
 
@@ -101,7 +101,7 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-struct WatchAnswer {
+struct WatchResponse {
     header: Header,
     canceled: bool,
     compact_revision: Int64,
@@ -110,9 +110,9 @@
 
 /// Encodes a range as a request body or as part of a transaction.
 pub(super) fn encode_range(range: &Range) -> Value {
-    let mut body = json!({ "key": base64_of(&range.start) });
+    let mut body = json!({ "key": encode_base64(&range.start) });
     if let Some(end) = &range.end {
-        body["range_end"] = base64_of(end).into();
+        body["range_end"] = encode_base64(end).into();
     }
     if range.limit > 0 {
         body["limit"] = range.limit.to_string().into();
@@ -146,40 +146,44 @@
 ///
 /// [`StoreError::OutcomeUnknown`] if the line isn't a valid watch message.
 pub fn decode_watch(line: &[u8]) -> Result<WatchBatch, StoreError> {
-    let answer = parse::<StreamAnswer<WatchAnswer>>(line)?.result;
-    let events = answer
+    let response = parse::<StreamResponse<WatchResponse>>(line)?.result;
+    let events = response
         .events
         .iter()
         .map(decode_event)
         .collect::<Result<_, _>>()?;
-    let compacted = match (answer.canceled, answer.compact_revision.0) {
+    let compacted = match (response.canceled, response.compact_revision.0) {
         (false, 0) => None,
         (_, revision) => Some(revision),
     };
     Ok(WatchBatch {
-        revision: answer.header.revision.0,
+        revision: response.header.revision.0,
         events,
         compacted,
     })
 }
 
-pub(super) fn decode_range(answer: &RangeAnswer) -> Result<RangeReply, StoreError> {
+pub(super) fn decode_range(response: &RangeResponse) -> Result<RangeReply, StoreError> {
     Ok(RangeReply {
-        revision: answer.header.revision.0,
-        kvs: answer.kvs.iter().map(decode_kv).collect::<Result<_, _>>()?,
-        more: answer.more,
+        revision: response.header.revision.0,
+        kvs: response
+            .kvs
+            .iter()
+            .map(decode_kv)
+            .collect::<Result<_, _>>()?,
+        more: response.more,
     })
 }
 
-pub(super) fn decode_txn(answer: &TxnAnswer) -> Result<TxnReply, StoreError> {
-    let reads = answer
+pub(super) fn decode_txn(response: &TxnResponse) -> Result<TxnReply, StoreError> {
+    let reads = response
         .responses
         .iter()
-        .map(|response| decode_range(&response.response_range).map(|reply| reply.kvs))
+        .map(|op_response| decode_range(&op_response.response_range).map(|reply| reply.kvs))
         .collect::<Result<_, _>>()?;
     Ok(TxnReply {
-        succeeded: answer.succeeded,
-        revision: answer.header.revision.0,
+        succeeded: response.succeeded,
+        revision: response.header.revision.0,
         reads,
     })
 }
@@ -195,17 +199,17 @@
 fn encode_compare(compare: &Compare) -> Value {
     match compare {
         Compare::Absent(key) => json!({
-            "key": base64_of(key), "target": "CREATE", "result": "EQUAL", "create_revision": "0",
+            "key": encode_base64(key), "target": "CREATE", "result": "EQUAL", "create_revision": "0",
         }),
         Compare::Exists(key) => json!({
-            "key": base64_of(key), "target": "CREATE", "result": "GREATER", "create_revision": "0",
+            "key": encode_base64(key), "target": "CREATE", "result": "GREATER", "create_revision": "0",
         }),
         Compare::ModRevision(key, revision) => json!({
-            "key": base64_of(key), "target": "MOD", "result": "EQUAL",
+            "key": encode_base64(key), "target": "MOD", "result": "EQUAL",
             "mod_revision": revision.to_string(),
         }),
         Compare::Value(key, value) => json!({
-            "key": base64_of(key), "target": "VALUE", "result": "EQUAL", "value": base64_of(value),
+            "key": encode_base64(key), "target": "VALUE", "result": "EQUAL", "value": encode_base64(value),
         }),
     }
 }
@@ -213,7 +217,7 @@
 fn encode_op(op: &Op) -> Value {
     match op {
         Op::Put { key, value, lease } => {
-            let mut put = json!({ "key": base64_of(key), "value": base64_of(value) });
+            let mut put = json!({ "key": encode_base64(key), "value": encode_base64(value) });
             if let Some(lease) = lease {
                 put["lease"] = (lease.0 as i64).to_string().into();
             }
@@ -236,22 +240,22 @@
 }
 
 fn decode_kv(kv: &Kv) -> Result<KeyValue, StoreError> {
-    let key = String::from_utf8(bytes_of(&kv.key)?)
+    let key = String::from_utf8(decode_base64(&kv.key)?)
         .map_err(|e| StoreError::OutcomeUnknown(format!("key is not valid UTF-8: {e}")))?;
     Ok(KeyValue {
         key,
-        value: bytes_of(&kv.value)?,
+        value: decode_base64(&kv.value)?,
         create_revision: kv.create_revision.0,
         mod_revision: kv.mod_revision.0,
         lease: kv.lease.0,
     })
 }
 
-fn base64_of(bytes: impl AsRef<[u8]>) -> String {
+fn encode_base64(bytes: impl AsRef<[u8]>) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-fn bytes_of(text: &str) -> Result<Vec<u8>, StoreError> {
+fn decode_base64(text: &str) -> Result<Vec<u8>, StoreError> {
     BASE64_STANDARD
         .decode(text)
         .map_err(|e| StoreError::OutcomeUnknown(format!("invalid base64: {e}")))
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -1,8 +1,8 @@
 //! A client of the key-value service over the JSON gateway of etcd v3.
 
-mod call_budget;
 mod call_counts;
 mod call_kind;
+mod call_rate_limiter;
 mod etcd_store;
 mod json;
 mod json_lines;
--- a/crates/store/src/etcd/options.rs
+++ b/crates/store/src/etcd/options.rs
@@ -13,17 +13,17 @@
 
 impl EtcdOptions {
     /// Default timeout of one call.
-    pub const TIMEOUT: Millis = Millis(2000);
+    pub const DEFAULT_TIMEOUT: Millis = Millis(2000);
 
     /// Default maximum of calls per second of one VM.
-    pub const CALLS_PER_SECOND: u32 = 50;
+    pub const DEFAULT_CALLS_PER_SECOND: u32 = 50;
 
     /// Default options for these endpoints.
     pub fn new(endpoints: Vec<String>) -> Self {
         Self {
             endpoints,
-            timeout: Self::TIMEOUT,
-            calls_per_second: Self::CALLS_PER_SECOND,
+            timeout: Self::DEFAULT_TIMEOUT,
+            calls_per_second: Self::DEFAULT_CALLS_PER_SECOND,
         }
     }
 }
--- a/crates/store/src/etcd/reach.rs
+++ b/crates/store/src/etcd/reach.rs
@@ -26,7 +26,7 @@
             && answered > self.times.failed.get()
     }
 
-    pub(super) fn note(
+    pub(super) fn record_result(
         &self,
         answered: bool,
     ) {
--- a/crates/store/src/vms/vm_list.rs
+++ b/crates/store/src/vms/vm_list.rs
@@ -4,7 +4,7 @@
 };
 
 /// Maximum size of the response body.
-const MAX_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why the VM list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,7 +14,7 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct Answer {
+struct Response {
     vms: Vec<ListedVm>,
 }
 
@@ -52,14 +52,14 @@
                 .map_err(|e| VmListError(e.to_string()))?;
             let body = res
                 .body()
-                .limit(MAX_LIST)
+                .limit(MAX_LIST_BYTES)
                 .await
                 .map_err(|e| VmListError(e.to_string()))?;
-            serde_json::from_slice::<Answer>(&body).map_err(|e| VmListError(e.to_string()))
+            serde_json::from_slice::<Response>(&body).map_err(|e| VmListError(e.to_string()))
         };
         timeout(self.timeout.to_std(), read)
             .await
             .map_err(|e| VmListError(e.to_string()))?
-            .map(|answer| answer.vms)
+            .map(|response| response.vms)
     }
 }
--- a/crates/store/tests/lost_reply.rs
+++ b/crates/store/tests/lost_reply.rs
@@ -12,7 +12,7 @@
     std::net::SocketAddr,
 };
 
-fn anywhere() -> SocketAddr {
+fn loopback() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -34,7 +34,7 @@
 /// Guards against reporting a write as rejected when only its response was lost.
 #[actix_web::test]
 async fn outcome_unknown() {
-    let platform = platform::start(anywhere()).unwrap();
+    let platform = platform::start(loopback()).unwrap();
     let store = store_of(&platform);
     post_json(
         platform.address(),
@@ -57,9 +57,9 @@
 #[actix_web::test]
 async fn not_done() {
     // Keeps the port bound, so that no other test can listen on it.
-    let nobody = tokio::net::TcpSocket::new_v4().unwrap();
-    nobody.bind(anywhere()).unwrap();
-    let address = nobody.local_addr().unwrap();
+    let bound_socket = tokio::net::TcpSocket::new_v4().unwrap();
+    bound_socket.bind(loopback()).unwrap();
+    let address = bound_socket.local_addr().unwrap();
     let store = EtcdStore::new(EtcdOptions::new(vec![format!("http://{address}")]));
     let e = store.txn(create("a")).await.unwrap_err();
     assert!(e.is_not_done(), "{e:?}");
@@ -67,7 +67,7 @@
 
 #[actix_web::test]
 async fn lease_and_watch() {
-    let platform = platform::start(anywhere()).unwrap();
+    let platform = platform::start(loopback()).unwrap();
     let store = store_of(&platform);
     let lease = store.grant(Millis(5000)).await.unwrap();
     let put = Txn {
--- a/crates/store/tests/silent_connections.rs
+++ b/crates/store/tests/silent_connections.rs
@@ -14,15 +14,15 @@
     std::net::SocketAddr,
 };
 
-fn anywhere() -> SocketAddr {
+fn loopback() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
 /// Guards against one timeout per dead pooled connection, during which a VM would lose its lease.
 #[actix_web::test]
 async fn one_timeout() {
-    let platform = platform::start(anywhere()).unwrap();
-    let proxy = Proxy::start(anywhere(), platform.address()).unwrap();
+    let platform = platform::start(loopback()).unwrap();
+    let proxy = Proxy::start(loopback(), platform.address()).unwrap();
     let store = EtcdStore::new(EtcdOptions {
         timeout: Millis(300),
         ..EtcdOptions::new(vec![format!("http://{}", proxy.address())])
--- a/crates/telemetry/src/log/bounded_writer.rs
+++ b/crates/telemetry/src/log/bounded_writer.rs
@@ -11,14 +11,14 @@
 };
 
 /// Maximum number of buffered bytes; a few seconds of logs of a busy VM.
-const CAPACITY: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 /// Maximum number of buffered bytes for lines below `warn`; the rest is reserved for warnings and errors.
-const ORDINARY: usize = 128 << 10;
+const MAX_BUFFERED_BYTES_BELOW_WARN: usize = 128 << 10;
 /// Delay between writes, which batches lines into fewer system calls.
-const GATHER: Duration = Duration::from_millis(50);
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     dropped: u64,
     is_closed: bool,
@@ -26,13 +26,13 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
-    has_some: Condvar,
+    buffer: Mutex<Buffer>,
+    changed: Condvar,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -53,8 +53,8 @@
         W: Write + Send + 'static,
     {
         let shared = Arc::new(Shared::default());
-        let drained = Arc::clone(&shared);
-        let thread = thread::spawn(move || drain(&drained, sink));
+        let thread_shared = Arc::clone(&shared);
+        let thread = thread::spawn(move || write_loop(&thread_shared, sink));
         Self {
             shared,
             thread: Mutex::new(Some(thread)),
@@ -62,23 +62,23 @@
     }
 
     /// Appends a whole line to the buffer, or drops it if the buffer is full.
-    pub fn take(
+    pub fn push(
         &self,
         level: Level,
         line: &[u8],
     ) {
-        let mut waiting = self.shared.lock();
-        let room = if level <= Level::Warn {
-            CAPACITY
+        let mut buffer = self.shared.lock();
+        let max_bytes = if level <= Level::Warn {
+            MAX_BUFFERED_BYTES
         } else {
-            ORDINARY
+            MAX_BUFFERED_BYTES_BELOW_WARN
         };
-        if waiting.bytes.len() + line.len() > room {
-            waiting.dropped += 1;
+        if buffer.bytes.len() + line.len() > max_bytes {
+            buffer.dropped += 1;
             return;
         }
-        waiting.bytes.extend_from_slice(line);
-        self.shared.has_some.notify_one();
+        buffer.bytes.extend_from_slice(line);
+        self.shared.changed.notify_one();
     }
 }
 
@@ -91,7 +91,7 @@
         let mut line = Vec::with_capacity(256);
         super::output::format_line(&mut line, now, record)?;
         line.push(b'\n');
-        self.take(record.level(), &line);
+        self.push(record.level(), &line);
         Ok(())
     }
 
@@ -102,7 +102,7 @@
     /// Writes the buffered lines and joins the thread.
     fn shutdown(&self) {
         self.shared.lock().is_closed = true;
-        self.shared.has_some.notify_one();
+        self.shared.changed.notify_one();
         let thread = self
             .thread
             .lock()
@@ -115,24 +115,24 @@
     }
 }
 
-fn drain<W>(
+fn write_loop<W>(
     shared: &Shared,
     mut sink: W,
 ) where
     W: Write,
 {
     loop {
-        let mut waiting = shared.lock();
-        while waiting.bytes.is_empty() && waiting.dropped == 0 && !waiting.is_closed {
-            waiting = shared
-                .has_some
-                .wait(waiting)
+        let mut buffer = shared.lock();
+        while buffer.bytes.is_empty() && buffer.dropped == 0 && !buffer.is_closed {
+            buffer = shared
+                .changed
+                .wait(buffer)
                 .unwrap_or_else(PoisonError::into_inner);
         }
-        let is_closed = waiting.is_closed;
-        let mut bytes = std::mem::take(&mut waiting.bytes);
-        let dropped = std::mem::take(&mut waiting.dropped);
-        drop(waiting);
+        let is_closed = buffer.is_closed;
+        let mut bytes = std::mem::take(&mut buffer.bytes);
+        let dropped = std::mem::take(&mut buffer.dropped);
+        drop(buffer);
         if dropped > 0 {
             let line = Line::new("log_dropped").with("lines", dropped);
             bytes.extend_from_slice(format!("level=warn {}\n", line.as_str()).as_bytes());
@@ -142,6 +142,6 @@
         if is_closed {
             return;
         }
-        thread::sleep(GATHER);
+        thread::sleep(WRITE_INTERVAL);
     }
 }
--- a/crates/telemetry/src/log/line.rs
+++ b/crates/telemetry/src/log/line.rs
@@ -21,7 +21,7 @@
         Self {
             text: String::from("event="),
         }
-        .value(event)
+        .push_value(event)
     }
 
     /// Adds a pair; the value is quoted if it contains whitespace, control characters, `"` or `=`.
@@ -37,7 +37,7 @@
         self.text.push(' ');
         self.text.push_str(key);
         self.text.push('=');
-        self.value(&value.to_string())
+        self.push_value(&value.to_string())
     }
 
     /// Returns the text of the line.
@@ -65,12 +65,12 @@
         log::debug!("{}", self.text);
     }
 
-    fn value(
+    fn push_value(
         mut self,
         value: &str,
     ) -> Self {
-        let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
-        if !value.is_empty() && value.chars().all(plain) {
+        let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
+        if !value.is_empty() && value.chars().all(is_plain) {
             self.text.push_str(value);
         } else {
             // `Debug` escapes quotes and line breaks, so that a value can't inject a log line.
--- a/crates/telemetry/src/log/output.rs
+++ b/crates/telemetry/src/log/output.rs
@@ -6,7 +6,7 @@
 };
 
 /// The log target of the lines that [`super::Line`] writes.
-const OWN_TARGET: &str = "jasmine_telemetry";
+const LOG_TARGET: &str = "jasmine_telemetry";
 
 /// The destination of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     output: LogOutput,
 ) -> Result<LoggerHandle, LogError> {
     // Libraries log only warnings and errors.
-    let spec = LogSpecification::parse(format!("warn, {OWN_TARGET}={level}"))?;
+    let spec = LogSpecification::parse(format!("warn, {LOG_TARGET}={level}"))?;
     let logger = Logger::with(spec).format(format_line);
     let logger = match output {
         LogOutput::Stderr => logger.log_to_stderr(),
--- a/crates/telemetry/src/metrics/requests.rs
+++ b/crates/telemetry/src/metrics/requests.rs
@@ -8,12 +8,12 @@
 };
 
 /// Bucket bounds of the time histograms, in seconds.
-const SECONDS: [f64; 18] = [
+const TIME_BUCKETS_SECONDS: [f64; 18] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     5.0, 10.0, 30.0, 60.0,
 ];
 /// Bucket bounds of the batch size histogram, in requests.
-const REQUESTS: [f64; 9] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0];
+const BATCH_SIZE_BUCKETS: [f64; 9] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0];
 
 /// The labels of request metrics: client account and priority class.
 #[derive(Clone, Debug)]
@@ -70,27 +70,27 @@
             queue_wait: histogram(
                 "jasmine_queue_wait_seconds",
                 "From admission to the choice of an upstream",
-                &SECONDS,
+                &TIME_BUCKETS_SECONDS,
             ),
             first_token: histogram(
                 "jasmine_first_token_seconds",
                 "From arrival to the first part of the answer",
-                &SECONDS,
+                &TIME_BUCKETS_SECONDS,
             ),
             token_gap: histogram(
                 "jasmine_token_gap_seconds",
                 "Between two parts of a streamed answer",
-                &SECONDS,
+                &TIME_BUCKETS_SECONDS,
             ),
             load_stall: histogram(
                 "jasmine_load_stall_seconds",
                 "Spent waiting for an adapter to be loaded",
-                &SECONDS,
+                &TIME_BUCKETS_SECONDS,
             ),
             batch: histogram(
                 "jasmine_batch_size",
                 "Requests running on the chosen engine, this one included",
-                &REQUESTS,
+                &BATCH_SIZE_BUCKETS,
             ),
         }
     }
--- a/crates/telemetry/tests/bounded_writer.rs
+++ b/crates/telemetry/tests/bounded_writer.rs
@@ -19,12 +19,12 @@
 
 /// A sink that blocks until it is opened.
 #[derive(Clone, Default)]
-struct Gate {
+struct BlockingSink {
     state: Arc<Mutex<State>>,
     opened: Arc<Condvar>,
 }
 
-impl Gate {
+impl BlockingSink {
     fn open(&self) {
         self.state.lock().unwrap().is_open = true;
         self.opened.notify_all();
@@ -35,7 +35,7 @@
     }
 }
 
-impl Write for Gate {
+impl Write for BlockingSink {
     fn write(
         &mut self,
         buf: &[u8],
@@ -57,25 +57,25 @@
 fn a_reader_that_sleeps_blocks_nobody() {
     // Guards against a stalled log reader blocking the daemon, and against losing warnings or the number of
     // dropped lines.
-    let gate = Gate::default();
-    let writer = BoundedWriter::new(gate.clone());
-    let began = Instant::now();
+    let sink = BlockingSink::default();
+    let writer = BoundedWriter::new(sink.clone());
+    let start = Instant::now();
     let ordinary = format!("event=request_ended {}\n", "x".repeat(200));
     for _ in 0..5_000 {
-        writer.take(Level::Info, ordinary.as_bytes());
+        writer.push(Level::Info, ordinary.as_bytes());
     }
-    writer.take(Level::Warn, b"event=store_lost reason=gone\n");
+    writer.push(Level::Warn, b"event=store_lost reason=gone\n");
     assert!(
-        began.elapsed() < Duration::from_secs(2),
+        start.elapsed() < Duration::from_secs(2),
         "{:?}",
-        began.elapsed()
+        start.elapsed()
     );
-    gate.open();
+    sink.open();
     writer.shutdown();
-    let text = gate.text();
+    let text = sink.text();
     assert!(text.contains("event=store_lost"), "kept");
-    let told = text.lines().find(|line| line.contains("event=log_dropped"));
-    let dropped: usize = told
+    let dropped_line = text.lines().find(|line| line.contains("event=log_dropped"));
+    let dropped: usize = dropped_line
         .and_then(|line| line.split("lines=").nth(1))
         .expect("the number of dropped lines is logged")
         .parse()
@@ -90,14 +90,14 @@
 
 #[test]
 fn whole_lines_come_in_order() {
-    let gate = Gate::default();
-    gate.open();
-    let writer = BoundedWriter::new(gate.clone());
+    let sink = BlockingSink::default();
+    sink.open();
+    let writer = BoundedWriter::new(sink.clone());
     for number in 0..100 {
-        writer.take(Level::Info, format!("event=n number={number}\n").as_bytes());
+        writer.push(Level::Info, format!("event=n number={number}\n").as_bytes());
     }
     writer.shutdown();
-    let text = gate.text();
+    let text = sink.text();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 100);
     for (number, line) in lines.iter().enumerate() {
--- a/crates/wire/src/convert/take.rs
+++ b/crates/wire/src/convert/take.rs
@@ -52,9 +52,9 @@
 /// Encodes the response to a transfer request.
 pub fn write_given(
     mut results: take_rights_results::Builder<'_>,
-    given: &TakeResponse,
+    response: &TakeResponse,
 ) {
-    results.set_epoch(given.epoch.0);
-    results.set_spare(given.spare);
-    write_right(results.init_right(), &given.right);
+    results.set_epoch(response.epoch.0);
+    results.set_spare(response.spare);
+    write_right(results.init_right(), &response.right);
 }
--- a/crates/wire/src/link/idle_reader.rs
+++ b/crates/wire/src/link/idle_reader.rs
@@ -11,26 +11,26 @@
     },
 };
 
-/// A reader that fails with `TimedOut` when no data has arrived for `limit`.
+/// A reader that fails with `TimedOut` when no data has arrived for `timeout`.
 ///
 /// A peer that disappears without closing its connection leaves it half-open. Such connections would
 /// accumulate until the process runs out of file descriptors.
 #[derive(Debug)]
 pub(super) struct IdleReader<R> {
     inner: R,
-    limit: Millis,
+    timeout: Millis,
     sleep: Pin<Box<Sleep>>,
 }
 
 impl<R> IdleReader<R> {
     pub(super) fn new(
         inner: R,
-        limit: Millis,
+        timeout: Millis,
     ) -> Self {
         Self {
             inner,
-            limit,
-            sleep: Box::pin(sleep(limit.to_std())),
+            timeout,
+            sleep: Box::pin(sleep(timeout.to_std())),
         }
     }
 }
@@ -45,8 +45,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if let Poll::Ready(result) = Pin::new(&mut self.inner).poll_read(cx, buf) {
-            let until = Instant::now() + self.limit.to_std();
-            self.sleep.as_mut().reset(until);
+            let deadline = Instant::now() + self.timeout.to_std();
+            self.sleep.as_mut().reset(deadline);
             return Poll::Ready(result);
         }
         ready!(self.sleep.as_mut().poll(cx));
--- a/crates/wire/src/link/peer_link.rs
+++ b/crates/wire/src/link/peer_link.rs
@@ -25,14 +25,14 @@
 pub struct Link<C> {
     address: SocketAddr,
     options: LinkOptions,
-    open: RefCell<Option<Open<C>>>,
+    open: RefCell<Option<OpenConnection<C>>>,
     backoff: RefCell<Backoff>,
-    not_before: Cell<Option<Instant>>,
+    retry_at: Cell<Option<Instant>>,
 }
 
-struct Open<C> {
+struct OpenConnection<C> {
     client: C,
-    ended: Rc<Cell<bool>>,
+    is_closed: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-impl<C> Drop for Open<C> {
+impl<C> Drop for OpenConnection<C> {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -65,7 +65,7 @@
             options,
             open: RefCell::new(None),
             backoff: RefCell::new(Backoff::new(options.backoff_first, options.backoff_most)),
-            not_before: Cell::new(None),
+            retry_at: Cell::new(None),
         }
     }
 
@@ -101,10 +101,10 @@
         let client = self.client().await?;
         let limit = wait + self.options.call_timeout;
         let call = timeout(limit.to_std(), f(client.clone()));
-        let silent = self.until_silent(client);
-        let result = match select(pin!(call), pin!(silent)).await {
+        let heartbeat_failure = self.wait_for_heartbeat_failure(client);
+        let result = match select(pin!(call), pin!(heartbeat_failure)).await {
             Either::Left((Ok(Ok(answer)), _)) => Ok(answer),
-            Either::Left((Ok(Err(e)), _)) => Err(from_rpc(&e)),
+            Either::Left((Ok(Err(e)), _)) => Err(from_capnp_error(&e)),
             Either::Left((Err(_), _)) | Either::Right(((), _)) => Err(LinkError::TimedOut),
         };
         if matches!(result, Err(LinkError::TimedOut | LinkError::Lost(_))) {
@@ -114,7 +114,7 @@
     }
 
     /// Completes when a heartbeat fails.
-    async fn until_silent(
+    async fn wait_for_heartbeat_failure(
         &self,
         client: C,
     ) {
@@ -131,33 +131,33 @@
         if let Some(client) = self.open_client() {
             return Ok(client);
         }
-        match self.not_before.get() {
+        match self.retry_at.get() {
             Some(time) if Instant::now() < time => return Err(LinkError::BackingOff),
             _ => {}
         }
         let connect = TcpStream::connect(self.address);
         let stream = timeout(self.options.connect_timeout.to_std(), connect)
             .await
-            .map_err(|e| self.failed(&e.to_string()))?
+            .map_err(|e| self.connect_failed(&e.to_string()))?
             .and_then(|stream| stream.set_nodelay(true).map(|()| stream))
-            .map_err(|e| self.failed(&e.to_string()))?;
+            .map_err(|e| self.connect_failed(&e.to_string()))?;
         // Another call may have connected in the meantime; use its connection.
         if let Some(client) = self.open_client() {
             return Ok(client);
         }
-        self.not_before.set(None);
+        self.retry_at.set(None);
         self.backoff.borrow_mut().reset();
-        Ok(self.keep(stream))
+        Ok(self.start_rpc(stream))
     }
 
     fn open_client(&self) -> Option<C> {
         let open = self.open.borrow();
         open.as_ref()
-            .filter(|open| !open.ended.get())
+            .filter(|open| !open.is_closed.get())
             .map(|open| open.client.clone())
     }
 
-    fn keep(
+    fn start_rpc(
         &self,
         stream: TcpStream,
     ) -> C {
@@ -170,32 +170,32 @@
         );
         let mut system = RpcSystem::new(Box::new(network), None);
         let client = system.bootstrap::<C>(Side::Server);
-        let ended = Rc::new(Cell::new(false));
-        let ended_too = Rc::clone(&ended);
+        let is_closed = Rc::new(Cell::new(false));
+        let task_closed = Rc::clone(&is_closed);
         let task = spawn_local(async move {
             system.await.unwrap_or_default();
-            ended_too.set(true);
+            task_closed.set(true);
         })
         .abort_handle();
-        self.open.replace(Some(Open {
+        self.open.replace(Some(OpenConnection {
             client: client.clone(),
-            ended,
+            is_closed,
             task,
         }));
         client
     }
 
-    fn failed(
+    fn connect_failed(
         &self,
         reason: &str,
     ) -> LinkError {
-        let pause = self.backoff.borrow_mut().next_pause();
-        self.not_before.set(Some(Instant::now() + pause.to_std()));
+        let delay = self.backoff.borrow_mut().next_pause();
+        self.retry_at.set(Some(Instant::now() + delay.to_std()));
         LinkError::Unreachable(reason.to_owned())
     }
 }
 
-fn from_rpc(e: &capnp::Error) -> LinkError {
+fn from_capnp_error(e: &capnp::Error) -> LinkError {
     match e.kind {
         capnp::ErrorKind::Disconnected => LinkError::Lost(e.to_string()),
         _ => LinkError::Failed(e.to_string()),
--- a/crates/wire/src/link/serve.rs
+++ b/crates/wire/src/link/serve.rs
@@ -15,10 +15,10 @@
 const MAX_CONNECTIONS: usize = 2048;
 
 /// Closes connections on which nothing has arrived for this long.
-const IDLE_LIMIT: Millis = Millis(60_000);
+const IDLE_TIMEOUT: Millis = Millis(60_000);
 
 /// Delay after a failed accept, usually caused by a lack of file descriptors.
-const ACCEPT_PAUSE: Millis = Millis(50);
+const ACCEPT_RETRY_DELAY: Millis = Millis(50);
 
 /// Serves `bootstrap` on every accepted connection until the future is dropped.
 ///
@@ -36,16 +36,16 @@
                 let client = bootstrap.clone();
                 open.set(open.get() + 1);
                 spawn_local(async move {
-                    serve_one(stream, client).await;
+                    serve_connection(stream, client).await;
                     counted.set(counted.get() - 1);
                 });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE.to_std()).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY.to_std()).await,
         }
     }
 }
 
-async fn serve_one(
+async fn serve_connection(
     stream: TcpStream,
     bootstrap: Client,
 ) {
@@ -54,7 +54,7 @@
     }
     let (reader, writer) = stream.into_split();
     let network = VatNetwork::new(
-        IdleReader::new(reader, IDLE_LIMIT).compat(),
+        IdleReader::new(reader, IDLE_TIMEOUT).compat(),
         writer.compat_write(),
         Side::Server,
         capnp::message::ReaderOptions::default(),
--- a/crates/wire/tests/silent_link.rs
+++ b/crates/wire/tests/silent_link.rs
@@ -47,9 +47,9 @@
 };
 
 async fn proxied() -> (Proxy, Link<controller::Client>) {
-    let anywhere: SocketAddr = ([127, 0, 0, 1], 0).into();
-    let listener = TcpListener::bind(anywhere).await.unwrap();
-    let proxy = Proxy::start(anywhere, listener.local_addr().unwrap()).unwrap();
+    let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
+    let listener = TcpListener::bind(loopback).await.unwrap();
+    let proxy = Proxy::start(loopback, listener.local_addr().unwrap()).unwrap();
     let server: controller::Client = capnp_rpc::new_client(Server);
     spawn_local(serve(listener, server.client));
     let link = Link::new(proxy.address(), OPTIONS);
@@ -103,8 +103,8 @@
     let (proxy, link) = proxied().await;
     let address = proxy.address();
     drop(proxy);
-    let nobody: Link<controller::Client> = Link::new(address, OPTIONS);
-    assert!(status(&nobody).await.unwrap_err().is_not_begun());
-    assert_eq!(status(&nobody).await, Err(LinkError::BackingOff));
+    let refused_link: Link<controller::Client> = Link::new(address, OPTIONS);
+    assert!(status(&refused_link).await.unwrap_err().is_not_begun());
+    assert_eq!(status(&refused_link).await, Err(LinkError::BackingOff));
     drop(link);
 }
