--- a/crates/gateway/src/daemon/run.rs
+++ b/crates/gateway/src/daemon/run.rs
@@ -25,11 +25,11 @@
 };
 
 /// How long an idle connection of a caller is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a caller may take to close a connection that is done.
-const DISCONNECT: Duration = Duration::from_secs(2);
+const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 2048;
+const ACCEPT_BACKLOG: u32 = 2048;
 
 /// Why the daemon can't run.
 #[derive(Debug)]
@@ -74,8 +74,8 @@
     let incarnation = incarnation();
     let readiness = Arc::new(Readiness::default());
     let clock = Clock::default();
-    let (published, fleet) = watch::channel(Arc::new(Fleet::default()));
-    let me = Holder {
+    let (fleet_tx, fleet) = watch::channel(Arc::new(Fleet::default()));
+    let holder = Holder {
         vm: settings.vm,
         role: Role::Gateway,
         incarnation,
@@ -83,11 +83,11 @@
     let arbiter = Arbiter::new();
     let brain = start_brain(
         &arbiter,
-        me,
+        holder,
         clock,
         settings.clone(),
         Arc::clone(&readiness),
-        published,
+        fleet_tx,
         listeners.peers,
         settings.advertise.peers.unwrap_or(peers),
     );
@@ -102,17 +102,25 @@
         requests: RequestMetrics::new(&meter),
         refusals: Refusals::new(&meter),
         metrics,
-        origin: format!("{}-{:x}", settings.vm, incarnation.0),
-        last: AtomicU64::new(0),
+        id_prefix: format!("{}-{:x}", settings.vm, incarnation.0),
+        last_request_id: AtomicU64::new(0),
     });
     let callers_server = serve_callers(&settings, listeners.callers, Arc::clone(&shared))?;
     let status_server = serve_status(listeners.status, shared)?;
     println!("event=listening callers={callers} peers={peers} status={status}");
     let handles = [callers_server.handle(), status_server.handle()];
-    let stopping = actix_rt::spawn(stop::on_signal(settings.stop, readiness, brain, handles));
-    let (served, watched) = futures::future::join(callers_server, status_server).await;
-    stopping.abort();
-    served.and(watched).map_err(DaemonError::Server)
+    let stop_task = actix_rt::spawn(stop::run_on_signal(
+        settings.stop,
+        readiness,
+        brain,
+        handles,
+    ));
+    let (callers_result, status_result) =
+        futures::future::join(callers_server, status_server).await;
+    stop_task.abort();
+    callers_result
+        .and(status_result)
+        .map_err(DaemonError::Server)
 }
 
 fn bind(settings: &GatewaySettings) -> Result<Listeners, DaemonError> {
@@ -132,8 +140,8 @@
 
 /// The time of the start: a later run on the same VM has a later one.
 fn incarnation() -> Incarnation {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    Incarnation(since.unwrap_or_default().as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    Incarnation(elapsed.unwrap_or_default().as_millis() as u64)
 }
 
 #[expect(
@@ -142,18 +150,18 @@
 )]
 fn start_brain(
     arbiter: &Arbiter,
-    me: Holder,
+    holder: Holder,
     clock: Clock,
     settings: GatewaySettings,
     readiness: Arc<Readiness>,
-    published: watch::Sender<Arc<Fleet>>,
+    fleet_tx: watch::Sender<Arc<Fleet>>,
     peers: TcpListener,
     peer_address: SocketAddr,
 ) -> Addr<Brain> {
     Brain::start_in_arbiter(&arbiter.handle(), move |_| {
-        let state = State::new(me, clock, settings.clone(), readiness, published);
-        let links = Links::new(me, peer_address);
-        let core = Rc::new(Core::new(state, links, me, &settings));
+        let state = State::new(holder, clock, settings.clone(), readiness, fleet_tx);
+        let links = Links::new(holder, peer_address);
+        let core = Rc::new(Core::new(state, links, holder, &settings));
         Brain::new(core, peers)
     })
 }
@@ -169,11 +177,11 @@
             .app_data(Worker::new(Arc::clone(&shared)))
             .configure(caller_routes)
     })
-    .backlog(BACKLOG)
+    .backlog(ACCEPT_BACKLOG)
     .max_connections(limits.max_connections as usize)
-    .keep_alive(KEEP_ALIVE)
+    .keep_alive(KEEP_ALIVE_TIMEOUT)
     .client_request_timeout(limits.request_read_ms.to_std())
-    .client_disconnect_timeout(DISCONNECT)
+    .client_disconnect_timeout(DISCONNECT_TIMEOUT)
     .disable_signals()
     .listen(listener)
     .map_err(DaemonError::Server)?;
@@ -198,4 +206,4 @@
 pub(super) type Servers = [ServerHandle; 2];
 
 /// The longest that closing the servers may take, out of what is left of the deadline.
-pub(super) const CLOSE_LIMIT: Millis = Millis(500);
+pub(super) const CLOSE_TIMEOUT: Millis = Millis(500);
--- a/crates/gateway/src/daemon/stop.rs
+++ b/crates/gateway/src/daemon/stop.rs
@@ -1,7 +1,7 @@
 //! The planned stop: readiness first, then admission, then streams, then rights.
 
 use {
-    super::run::{CLOSE_LIMIT, Servers},
+    super::run::{CLOSE_TIMEOUT, Servers},
     crate::{
         brain::{Brain, Leave},
         status::Readiness,
@@ -18,18 +18,18 @@
 };
 
 /// How often it is looked whether all requests have ended.
-const LOOK_EVERY: Millis = Millis(20);
+const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 /// How long callers may take to read that their answer is cut.
-const CUT_LIMIT: Millis = Millis(200);
+const ABORT_TIMEOUT: Millis = Millis(200);
 /// How long giving the rights back may take.
-const LEAVE_LIMIT: Millis = Millis(800);
+const RELEASE_TIMEOUT: Millis = Millis(800);
 
 /// Waits for SIGTERM or SIGINT and stops everything in order.
 ///
 /// Readiness goes first and admission a little later: balancers need a moment to notice, and what they send in
 /// it would otherwise be refused although nothing was wrong. Rights go back only when nothing is admitted any
 /// more, since they may be used elsewhere from then on.
-pub(super) async fn on_signal(
+pub(super) async fn run_on_signal(
     stop: Stop,
     readiness: Arc<Readiness>,
     brain: Addr<Brain>,
@@ -45,32 +45,37 @@
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
-        () = readiness.until_asked_to_stop() => {}
+        () = readiness.until_stop_requested() => {}
     }
-    let began = Instant::now();
-    readiness.leave_balancers();
+    let started = Instant::now();
+    readiness.start_draining();
     Line::new("stopping")
         .with("in_flight", readiness.in_flight())
         .with("deadline_ms", stop.deadline_ms)
         .info();
     sleep(stop.grace_ms.to_std()).await;
     readiness.stop_admitting();
-    let last = (CUT_LIMIT + LEAVE_LIMIT + CLOSE_LIMIT).min(Millis(stop.deadline_ms.0 / 2));
-    let streams_until = began + (stop.deadline_ms - last).to_std();
+    let reserved_time =
+        (ABORT_TIMEOUT + RELEASE_TIMEOUT + CLOSE_TIMEOUT).min(Millis(stop.deadline_ms.0 / 2));
+    let streams_until = started + (stop.deadline_ms - reserved_time).to_std();
     while readiness.in_flight() > 0 && Instant::now() < streams_until {
-        sleep(LOOK_EVERY.to_std()).await;
+        sleep(DRAIN_POLL_INTERVAL.to_std()).await;
     }
-    let left = readiness.in_flight();
-    readiness.cut_off();
-    let told_until = Instant::now() + CUT_LIMIT.min(last).to_std();
-    while readiness.in_flight() > 0 && Instant::now() < told_until {
-        sleep(LOOK_EVERY.to_std()).await;
+    let aborted_requests = readiness.in_flight();
+    readiness.abort_requests();
+    let abort_deadline = Instant::now() + ABORT_TIMEOUT.min(reserved_time).to_std();
+    while readiness.in_flight() > 0 && Instant::now() < abort_deadline {
+        sleep(DRAIN_POLL_INTERVAL.to_std()).await;
     }
-    let gave_back = timeout(LEAVE_LIMIT.min(last).to_std(), brain.send(Leave)).await;
+    let release_result = timeout(
+        RELEASE_TIMEOUT.min(reserved_time).to_std(),
+        brain.send(Leave),
+    )
+    .await;
     Line::new("stopped")
-        .with("cut", left)
-        .with("gave_back", gave_back.is_ok())
-        .with("ms", began.elapsed().as_millis())
+        .with("cut", aborted_requests)
+        .with("gave_back", release_result.is_ok())
+        .with("ms", started.elapsed().as_millis())
         .info();
     for server in servers {
         // Its answer comes when the workers have ended; the process ends by itself then.
--- a/crates/gateway/src/forward/context.rs
+++ b/crates/gateway/src/forward/context.rs
@@ -23,7 +23,7 @@
     /// Its name.
     pub name: RequestName,
     /// The process's part of the ids of attempts.
-    pub origin: String,
+    pub id_prefix: String,
     /// The key that came with it.
     pub key: CallerKey,
     /// The client account's name.
@@ -31,7 +31,7 @@
     /// The priority class.
     pub priority: &'static str,
     /// The model as the caller named it, or the service.
-    pub asked: String,
+    pub requested_name: String,
     /// When it arrived.
     pub arrived: Instant,
     /// Tells when the daemon stops.
--- a/crates/gateway/src/forward/driver.rs
+++ b/crates/gateway/src/forward/driver.rs
@@ -1,13 +1,13 @@
 use {
     super::{
-        Caller, Ending, ForwardContext, Outbound, WholeAnswer, error_body,
-        reading::Read,
-        upstream_side::{Headed, Heard, UpstreamSide},
+        BufferedAnswer, ForwardContext, ForwardResult, Outbound, ResponseSender, error_body,
+        upstream_exchange::{HeadResult, UpstreamEvent, UpstreamExchange},
+        upstream_response::StreamItem,
     },
     crate::{
         brain::{Lease, Outcome, RouteAgain, Routed},
         request::Problem,
-        sse::{Assembly, Chunk, Usage},
+        sse::{AnswerBuilder, Chunk, Usage},
         upstream::SendFailure,
     },
     actix_web::http::StatusCode,
@@ -26,12 +26,12 @@
 };
 
 /// How long a caller may take to read the end of a broken answer.
-const LAST_WORD: Duration = Duration::from_secs(5);
+const FINAL_EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What has happened.
-enum Happened {
-    Heard(Heard),
-    Known(Event),
+/// What has event.
+enum DriverEvent {
+    Upstream(UpstreamEvent),
+    Forward(Event),
 }
 
 /// Drives the forwarding of one request to its end.
@@ -39,14 +39,14 @@
     cx: ForwardContext,
     plan: ForwardPlan,
     machine: ForwardMachine,
-    upstream: UpstreamSide,
-    caller: Caller,
+    upstream: UpstreamExchange,
+    response_sender: ResponseSender,
     lease: Lease,
     chunk: Option<Chunk>,
-    assembly: Assembly,
-    whole: Option<WholeAnswer>,
+    answer_builder: AnswerBuilder,
+    service_answer: Option<BufferedAnswer>,
     usage: Option<Usage>,
-    heard: Option<Instant>,
+    last_token_at: Option<Instant>,
     sleep: Pin<Box<tokio::time::Sleep>>,
     not_loaded: bool,
 }
@@ -69,7 +69,7 @@
         cx: ForwardContext,
         plan: ForwardPlan,
         outbound: Outbound,
-        caller: Caller,
+        response_sender: ResponseSender,
         lease: Lease,
         routing: oneshot::Receiver<Result<Routed, Refusal>>,
     ) -> Self {
@@ -80,55 +80,55 @@
             cx,
             plan,
             machine,
-            upstream: UpstreamSide::new(outbound, plan.deadline, routing),
-            caller,
+            upstream: UpstreamExchange::new(outbound, plan.deadline, routing),
+            response_sender,
             lease,
             chunk: None,
-            assembly: Assembly::default(),
-            whole: None,
+            answer_builder: AnswerBuilder::default(),
+            service_answer: None,
             usage: None,
-            heard: None,
+            last_token_at: None,
             not_loaded: false,
         }
     }
 
     /// Runs until the caller has its answer or has gone.
-    pub async fn run(mut self) -> Ending {
+    pub async fn run(mut self) -> ForwardResult {
         let readiness = Arc::clone(&self.cx.readiness);
-        let mut cut_off = std::pin::pin!(readiness.until_cut_off());
+        let mut aborted = std::pin::pin!(readiness.until_aborted());
         while !self.machine.is_done() {
-            let happened = tokio::select! {
+            let event = tokio::select! {
                 biased;
-                () = &mut cut_off => Happened::Known(Event::Stopping),
-                happened = self.next() => happened,
+                () = &mut aborted => DriverEvent::Forward(Event::Stopping),
+                event = self.next() => event,
             };
-            let event = self.note(happened);
+            let event = self.record_event(event);
             let is_timer = event == Event::Timer;
             let mut actions = VecDeque::from(self.machine.handle(event, self.cx.clock.now()));
             if is_timer && actions.front() == Some(&Action::Abandon) {
-                self.cx.connections.renew();
+                self.cx.connections.discard_idle();
             }
             while let Some(action) = actions.pop_front() {
-                self.act(action).await;
+                self.perform(action).await;
             }
         }
         if self.lease.outcome == Outcome::Stopped {
             self.lease.used = (!self.machine.may_have_run()).then_some(0);
         }
-        Ending {
-            answer: self.whole,
+        ForwardResult {
+            answer: self.service_answer,
             may_have_run: self.machine.may_have_run(),
         }
     }
 
-    async fn next(&mut self) -> Happened {
-        self.arm();
+    async fn next(&mut self) -> DriverEvent {
+        self.arm_timer();
         let sleep = self.sleep.as_mut();
-        if self.caller.is_slow() {
-            return Happened::Known(tokio::select! {
+        if self.response_sender.has_backlog() {
+            return DriverEvent::Forward(tokio::select! {
                 biased;
                 () = self.lease.withdrawn() => Event::KeyWithdrawn,
-                taken = self.caller.taken() => {
+                taken = self.response_sender.flush() => {
                     if taken { Event::CallerReady } else { Event::CallerGone }
                 }
                 () = sleep => Event::Timer,
@@ -136,15 +136,15 @@
         }
         tokio::select! {
             biased;
-            () = self.lease.withdrawn() => Happened::Known(Event::KeyWithdrawn),
-            () = self.caller.gone() => Happened::Known(Event::CallerGone),
-            heard = self.upstream.next() => Happened::Heard(heard),
-            () = sleep => Happened::Known(Event::Timer),
+            () = self.lease.withdrawn() => DriverEvent::Forward(Event::KeyWithdrawn),
+            () = self.response_sender.closed() => DriverEvent::Forward(Event::CallerGone),
+            event = self.upstream.next() => DriverEvent::Upstream(event),
+            () = sleep => DriverEvent::Forward(Event::Timer),
         }
     }
 
     /// Moves the timer only where it would come too late: one that comes early does no harm.
-    fn arm(&mut self) {
+    fn arm_timer(&mut self) {
         let wake = self.machine.wake_at().unwrap_or(self.plan.deadline);
         let wake = self.cx.clock.instant(wake);
         if self.sleep.is_elapsed() || wake < self.sleep.deadline() {
@@ -152,46 +152,48 @@
         }
     }
 
-    /// Takes in what has happened and says what the machine should know of it.
-    fn note(
+    /// Takes in what has event and says what the machine should know of it.
+    fn record_event(
         &mut self,
-        happened: Happened,
+        event: DriverEvent,
     ) -> Event {
         let attempt = self.upstream.attempt;
-        let heard = match happened {
-            Happened::Known(event) => return event,
-            Happened::Heard(heard) => heard,
+        let upstream_event = match event {
+            DriverEvent::Forward(event) => return event,
+            DriverEvent::Upstream(event) => event,
         };
-        match heard {
-            Heard::Routed(Ok(routed)) => {
-                self.note_route(&routed);
+        match upstream_event {
+            UpstreamEvent::Routed(Ok(routed)) => {
+                self.record_route(&routed);
                 let upstream = routed.upstream;
                 self.upstream.routed = Some(routed);
                 Event::Routed { attempt, upstream }
             }
-            Heard::Routed(Err(refusal)) => Event::RouteRefused { attempt, refusal },
-            Heard::Headed(Headed::Failed(SendFailure::NotSent)) => Event::Unreachable { attempt },
-            Heard::Headed(Headed::Failed(SendFailure::Lost))
-            | Heard::Read(Read::Broken)
-            | Heard::Collected(None) => Event::Lost { attempt },
-            Heard::Headed(Headed::Answered {
+            UpstreamEvent::Routed(Err(refusal)) => Event::RouteRefused { attempt, refusal },
+            UpstreamEvent::HeadReceived(HeadResult::Failed(SendFailure::NotSent)) => {
+                Event::Unreachable { attempt }
+            }
+            UpstreamEvent::HeadReceived(HeadResult::Failed(SendFailure::Lost))
+            | UpstreamEvent::StreamRead(StreamItem::Broken)
+            | UpstreamEvent::BodyRead(None) => Event::Lost { attempt },
+            UpstreamEvent::HeadReceived(HeadResult::Answered {
                 head,
-                stream,
+                stream_name,
                 response,
             }) => {
                 self.not_loaded = head == Head::NotLoaded;
                 if matches!(head, Head::Accepted { .. }) {
-                    self.upstream.read(*response, stream);
+                    self.upstream.read(*response, stream_name);
                 }
                 Event::Head { attempt, head }
             }
-            Heard::Read(Read::Chunk(chunk)) => self.note_chunk(chunk),
-            Heard::Read(Read::Done) => Event::End {
+            UpstreamEvent::StreamRead(StreamItem::Chunk(chunk)) => self.record_chunk(chunk),
+            UpstreamEvent::StreamRead(StreamItem::Done) => Event::End {
                 attempt,
                 generated_tokens: self.usage.map(|usage| usage.completion_tokens),
             },
-            Heard::Collected(Some(answer)) => {
-                self.whole = Some(answer);
+            UpstreamEvent::BodyRead(Some(answer)) => {
+                self.service_answer = Some(answer);
                 Event::End {
                     attempt,
                     generated_tokens: None,
@@ -200,7 +202,7 @@
         }
     }
 
-    fn note_route(
+    fn record_route(
         &self,
         routed: &Routed,
     ) {
@@ -212,7 +214,7 @@
         }
     }
 
-    fn note_chunk(
+    fn record_chunk(
         &mut self,
         chunk: Chunk,
     ) -> Event {
@@ -228,7 +230,7 @@
         }
     }
 
-    async fn act(
+    async fn perform(
         &mut self,
         action: Action,
     ) {
@@ -239,13 +241,13 @@
             Action::Abandon => self.upstream.abandon(),
             Action::Cancel => self.upstream.cancel(&self.cx),
             Action::Discard => {
-                self.assembly = Assembly::default();
+                self.answer_builder = AnswerBuilder::default();
                 self.usage = None;
             }
             Action::Deliver(_) => self.deliver(),
             Action::Finish => self.finish().await,
             Action::Refuse(refusal) => self.refuse(refusal.into()),
-            Action::Break(kind) => self.break_off(kind).await,
+            Action::Break(kind) => self.end_with_error(kind).await,
         }
     }
 
@@ -279,29 +281,36 @@
         let Some(chunk) = self.chunk.take() else {
             return;
         };
-        self.note_pace();
+        self.record_token_timing();
         let Outbound::Completion(req) = &self.upstream.outbound else {
             return;
         };
         if !req.stream {
-            self.assembly.add(&chunk);
+            self.answer_builder.add(&chunk);
             return;
         }
-        let is_count_only =
+        let is_usage_only =
             chunk.usage().is_some() && chunk.text().is_empty() && chunk.finish_reason().is_none();
-        if is_count_only && !req.with_usage {
+        if is_usage_only && !req.with_usage {
             return;
         }
-        let text = chunk.for_caller(self.cx.name.as_str(), &self.cx.asked, req.with_usage);
-        if !self.caller.stream(Bytes::from(format!("data: {text}\n\n"))) {
+        let text = chunk.for_caller(
+            self.cx.name.as_str(),
+            &self.cx.requested_name,
+            req.with_usage,
+        );
+        if !self
+            .response_sender
+            .send_part(Bytes::from(format!("data: {text}\n\n")))
+        {
             self.machine.handle(Event::CallerSlow, self.cx.clock.now());
         }
     }
 
-    fn note_pace(&mut self) {
+    fn record_token_timing(&mut self) {
         let now = Instant::now();
         let cx = &self.cx;
-        match self.heard.replace(now) {
+        match self.last_token_at.replace(now) {
             None => cx.metrics.first_token(&cx.labels, now - cx.arrived),
             Some(before) => cx.metrics.token_gap(&cx.labels, now - before),
         }
@@ -317,19 +326,24 @@
         match &self.upstream.outbound {
             Outbound::Completion(req) if req.stream => {
                 let limit = self.cx.clock.instant(self.plan.deadline);
-                self.caller
+                self.response_sender
                     .end(Bytes::from_static(b"data: [DONE]\n\n"), limit)
                     .await;
             }
             Outbound::Completion(req) => {
-                let assembly = std::mem::take(&mut self.assembly);
-                let json = assembly.into_answer(req.kind, self.cx.name.as_str(), &self.cx.asked);
-                self.caller.answer(Ok(WholeAnswer::from_json(&json)));
+                let answer_builder = std::mem::take(&mut self.answer_builder);
+                let json = answer_builder.into_answer(
+                    req.kind,
+                    self.cx.name.as_str(),
+                    &self.cx.requested_name,
+                );
+                self.response_sender
+                    .answer(Ok(BufferedAnswer::from_json(&json)));
             }
             Outbound::Service(_) => {
-                self.note_pace();
-                if let Some(answer) = &self.whole {
-                    self.caller.answer(Ok(answer.clone()));
+                self.record_token_timing();
+                if let Some(answer) = &self.service_answer {
+                    self.response_sender.answer(Ok(answer.clone()));
                 }
             }
         }
@@ -339,28 +353,30 @@
         &mut self,
         problem: Problem,
     ) {
-        self.whole = None;
+        self.service_answer = None;
         let kind = problem.refusal.kind;
-        self.settle_unfinished(kind);
+        self.set_lease_outcome(kind);
         let status = StatusCode::from_u16(kind.answer().status);
         self.log(kind.answer().code, status.unwrap_or_default());
-        self.caller.answer(Err(problem));
+        self.response_sender.answer(Err(problem));
     }
 
-    async fn break_off(
+    async fn end_with_error(
         &mut self,
         kind: ErrorKind,
     ) {
-        self.settle_unfinished(kind);
+        self.set_lease_outcome(kind);
         self.cx.refusals.count(kind, &self.cx.account);
         self.log(kind.answer().code, StatusCode::OK);
         let json = error_body(&Problem::from(kind), &self.cx.name);
         let last = Bytes::from(format!("data: {json}\n\n"));
-        self.caller.end(last, Instant::now() + LAST_WORD).await;
+        self.response_sender
+            .end(last, Instant::now() + FINAL_EVENT_TIMEOUT)
+            .await;
     }
 
     /// Charges nothing where nothing ran, and all where nobody knows how much did.
-    fn settle_unfinished(
+    fn set_lease_outcome(
         &mut self,
         kind: ErrorKind,
     ) {
@@ -388,7 +404,7 @@
             .with("request_id", &self.cx.name)
             .with("account", &self.cx.account)
             .with("class", self.cx.priority)
-            .with("asked", &self.cx.asked)
+            .with("asked", &self.cx.requested_name)
             .with("result", result)
             .with("status", status.as_u16())
             .with("upstream", upstream)
--- a/crates/gateway/src/forward/errors.rs
+++ b/crates/gateway/src/forward/errors.rs
@@ -14,7 +14,7 @@
         "" => kind.message().to_owned(),
         detail => format!("{} {detail}", kind.message()),
     };
-    let class = match answer.status {
+    let error_type = match answer.status {
         401 => "authentication_error",
         403 => "permission_error",
         404 => "not_found_error",
@@ -30,7 +30,7 @@
     });
     json!({"error": {
         "message": message,
-        "type": class,
+        "type": error_type,
         "code": answer.code,
         "param": null,
         "execution": answer.execution.to_string(),
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/forward_result.rs
@@ -1,10 +1,10 @@
-use super::WholeAnswer;
+use super::BufferedAnswer;
 
 /// How a request ended.
 #[derive(Clone, Debug)]
-pub struct Ending {
+pub struct ForwardResult {
     /// The whole answer of a plain service.
-    pub answer: Option<WholeAnswer>,
+    pub answer: Option<BufferedAnswer>,
     /// Whether an upstream may have run it.
     pub may_have_run: bool,
 }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,19 +1,19 @@
 //! Forwarding a request: the worker's side of [`jasmine_core::forward`].
 
-mod caller;
 mod context;
 mod driver;
-mod ending;
 mod errors;
+mod forward_result;
 mod outbound;
-mod reading;
-mod upstream_side;
+mod response_sender;
+mod upstream_exchange;
+mod upstream_response;
 
 pub use {
-    caller::{Answer, Caller, WholeAnswer},
     context::ForwardContext,
     driver::Driver,
-    ending::Ending,
     errors::error_body,
+    forward_result::ForwardResult,
     outbound::{Outbound, ServiceRequest},
+    response_sender::{Answer, BufferedAnswer, ResponseSender},
 };
--- a/crates/gateway/src/forward/outbound.rs
+++ b/crates/gateway/src/forward/outbound.rs
@@ -43,19 +43,19 @@
     /// The priority class.
     pub priority: &'a str,
     /// How long somebody still waits.
-    pub left: Millis,
+    pub remaining: Millis,
 }
 
 impl AttemptHeaders<'_> {
     /// As headers.
     pub fn to_map(self) -> HeaderMap {
         let mut map = HeaderMap::new();
-        let left = self.left.to_string();
+        let remaining = self.remaining.to_string();
         let pairs = [
             ("x-request-id", self.request_id),
             ("x-client-account", self.account),
             ("x-priority", self.priority),
-            ("x-deadline-ms", &left),
+            ("x-deadline-ms", &remaining),
         ];
         for (name, value) in pairs {
             // Names of accounts are checked when they are created; one that HTTP can't carry is left out.
--- a/crates/gateway/src/forward/caller.rs
+++ b/crates/gateway/src/forward/response_sender.rs
@@ -11,11 +11,11 @@
 };
 
 /// Parts that wait for a caller that reads slowly. More is not read from the upstream meanwhile.
-const PARTS_AHEAD: usize = 16;
+const MAX_QUEUED_PARTS: usize = 16;
 
 /// An answer in one piece.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct BufferedAnswer {
     /// The status.
     pub status: StatusCode,
     /// Headers of an upstream that are passed on.
@@ -24,7 +24,7 @@
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedAnswer {
     /// A JSON document as an answer.
     pub fn from_json(json: &Value) -> Self {
         let mut headers = HeaderMap::new();
@@ -41,17 +41,17 @@
 #[derive(Debug)]
 pub enum Answer {
     /// It is there in one piece.
-    Whole(WholeAnswer),
+    Buffered(BufferedAnswer),
     /// Its parts come through the receiver.
     Stream(mpsc::Receiver<Result<Bytes, Infallible>>),
 }
 
 /// The way back to the caller.
 #[derive(Debug)]
-pub struct Caller {
+pub struct ResponseSender {
     state: State,
     /// Whether the work goes on when the caller has gone.
-    outlasts: bool,
+    is_detached: bool,
 }
 
 #[derive(Debug)]
@@ -64,13 +64,13 @@
     Ended,
 }
 
-impl Caller {
+impl ResponseSender {
     /// A caller that waits for what comes through the receiver.
     pub fn new() -> (Self, oneshot::Receiver<Result<Answer, Problem>>) {
         let (tx, rx) = oneshot::channel();
         let caller = Self {
             state: State::Waiting(tx),
-            outlasts: false,
+            is_detached: false,
         };
         (caller, rx)
     }
@@ -79,29 +79,29 @@
     ///
     /// A call that is recorded under an idempotency key is finished for the caller's next attempt:
     /// cut off in the middle, nobody could say any more whether it ran.
-    pub const fn outlasted(mut self) -> Self {
-        self.outlasts = true;
+    pub const fn detached(mut self) -> Self {
+        self.is_detached = true;
         self
     }
 
     /// Answers in one piece, or with an error.
     pub fn answer(
         &mut self,
-        answer: Result<WholeAnswer, Problem>,
+        answer: Result<BufferedAnswer, Problem>,
     ) {
         if let State::Waiting(tx) = mem::replace(&mut self.state, State::Ended) {
             // A caller that has gone is noticed where its absence matters.
-            drop(tx.send(answer.map(Answer::Whole)));
+            drop(tx.send(answer.map(Answer::Buffered)));
         }
     }
 
     /// Passes a part on; false when the caller doesn't take it yet.
-    pub fn stream(
+    pub fn send_part(
         &mut self,
         part: Bytes,
     ) -> bool {
         if let State::Waiting(_) = self.state {
-            self.begin();
+            self.begin_stream();
         }
         let State::Streaming { tx, backlog } = &mut self.state else {
             return true;
@@ -116,7 +116,7 @@
     }
 
     /// Whether a part waits to be taken.
-    pub const fn is_slow(&self) -> bool {
+    pub const fn has_backlog(&self) -> bool {
         matches!(
             self.state,
             State::Streaming {
@@ -127,7 +127,7 @@
     }
 
     /// Waits until the caller has taken what it didn't take at once; false when it has gone.
-    pub async fn taken(&mut self) -> bool {
+    pub async fn flush(&mut self) -> bool {
         let State::Streaming { tx, backlog } = &mut self.state else {
             return false;
         };
@@ -141,9 +141,9 @@
     }
 
     /// Waits until the caller has closed its connection.
-    pub async fn gone(&mut self) {
+    pub async fn closed(&mut self) {
         match &mut self.state {
-            State::Waiting(tx) if !self.outlasts => tx.closed().await,
+            State::Waiting(tx) if !self.is_detached => tx.closed().await,
             State::Streaming { tx, .. } => tx.closed().await,
             State::Waiting(_) | State::Ended => std::future::pending().await,
         }
@@ -151,15 +151,15 @@
 
     /// Sends the last part and ends the answer, however slowly the caller reads.
     ///
-    /// Only a caller that still reads can get it: the wait is bounded by `limit`.
+    /// Only a caller that still reads can get it: the wait is bounded by `deadline`.
     pub async fn end(
         &mut self,
         last: Bytes,
-        limit: tokio::time::Instant,
+        deadline: tokio::time::Instant,
     ) {
-        self.stream(last);
-        while self.is_slow() {
-            let taken = tokio::time::timeout_at(limit, self.taken()).await;
+        self.send_part(last);
+        while self.has_backlog() {
+            let taken = tokio::time::timeout_at(deadline, self.flush()).await;
             if taken != Ok(true) {
                 break;
             }
@@ -167,8 +167,8 @@
         self.state = State::Ended;
     }
 
-    fn begin(&mut self) {
-        let (body, rx) = mpsc::channel(PARTS_AHEAD);
+    fn begin_stream(&mut self) {
+        let (body, rx) = mpsc::channel(MAX_QUEUED_PARTS);
         let streaming = State::Streaming {
             tx: body,
             backlog: None,
--- a/crates/gateway/src/forward/upstream_side.rs
+++ b/crates/gateway/src/forward/upstream_exchange.rs
@@ -1,13 +1,15 @@
 use {
     super::{
-        ForwardContext, Outbound, WholeAnswer,
+        BufferedAnswer, ForwardContext, Outbound,
         outbound::AttemptHeaders,
-        reading::{Expected, Read, Reading, collect, engine_head, service_head},
+        upstream_response::{
+            Expected, StreamItem, StreamReader, engine_head, read_service_answer, service_head,
+        },
     },
     crate::{
         brain::{Lease, Routed},
         request::Problem,
-        upstream::{SendFailure, Sent},
+        upstream::{SendFailure, UpstreamResponse},
     },
     actix_web::http::{Method, header::HeaderMap},
     bytes::Bytes,
@@ -25,16 +27,16 @@
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a request waits for.
-enum Doing {
-    Nothing,
+enum ExchangeState {
+    Idle,
     Routing(oneshot::Receiver<Result<Routed, Refusal>>),
-    Heading(LocalBoxFuture<'static, Headed>),
-    Reading(Box<Reading>),
-    Collecting(LocalBoxFuture<'static, Option<WholeAnswer>>),
+    AwaitingHead(LocalBoxFuture<'static, HeadResult>),
+    ReadingStream(Box<StreamReader>),
+    ReadingBody(LocalBoxFuture<'static, Option<BufferedAnswer>>),
 }
 
 /// What came of sending.
-pub(super) enum Headed {
+pub(super) enum HeadResult {
     /// No answer began.
     Failed(SendFailure),
     /// An answer began.
@@ -42,37 +44,37 @@
         /// What its head says.
         head: Head,
         /// The name under which the engine knows it.
-        stream: Option<String>,
+        stream_name: Option<String>,
         /// The rest of it.
-        response: Box<Sent>,
+        response: Box<UpstreamResponse>,
     },
 }
 
 /// What came from the brain or the upstream.
-pub(super) enum Heard {
+pub(super) enum UpstreamEvent {
     /// An upstream, or none.
     Routed(Result<Routed, Refusal>),
     /// The head of an answer, or none.
-    Headed(Headed),
+    HeadReceived(HeadResult),
     /// A part of a stream.
-    Read(Read),
+    StreamRead(StreamItem),
     /// The whole answer of a plain service, or none.
-    Collected(Option<WholeAnswer>),
+    BodyRead(Option<BufferedAnswer>),
 }
 
 /// The attempt under way: where it goes, under which name, and what is waited for.
-pub(super) struct UpstreamSide {
+pub(super) struct UpstreamExchange {
     pub(super) outbound: Outbound,
     pub(super) attempt: Attempt,
     pub(super) routed: Option<Routed>,
     deadline: Millis,
-    doing: Doing,
+    state: ExchangeState,
     /// The id under which the upstream knows the request, also when its stream is resumed.
-    sent_as: String,
-    stream: Option<String>,
+    upstream_request_id: String,
+    stream_name: Option<String>,
 }
 
-impl UpstreamSide {
+impl UpstreamExchange {
     /// Waits for the route of the first attempt.
     pub(super) const fn new(
         outbound: Outbound,
@@ -84,26 +86,26 @@
             attempt: Attempt(1),
             routed: None,
             deadline,
-            doing: Doing::Routing(routing),
-            sent_as: String::new(),
-            stream: None,
+            state: ExchangeState::Routing(routing),
+            upstream_request_id: String::new(),
+            stream_name: None,
         }
     }
 
     /// The next thing that comes; may be dropped and called again.
-    pub(super) async fn next(&mut self) -> Heard {
-        match &mut self.doing {
-            Doing::Nothing => std::future::pending().await,
-            Doing::Routing(rx) => Heard::Routed(Lease::route_of(rx.await)),
-            Doing::Heading(f) => Heard::Headed(f.await),
-            Doing::Reading(reading) => Heard::Read(reading.next().await),
-            Doing::Collecting(f) => Heard::Collected(f.await),
+    pub(super) async fn next(&mut self) -> UpstreamEvent {
+        match &mut self.state {
+            ExchangeState::Idle => std::future::pending().await,
+            ExchangeState::Routing(rx) => UpstreamEvent::Routed(Lease::route_of(rx.await)),
+            ExchangeState::AwaitingHead(f) => UpstreamEvent::HeadReceived(f.await),
+            ExchangeState::ReadingStream(reader) => UpstreamEvent::StreamRead(reader.next().await),
+            ExchangeState::ReadingBody(f) => UpstreamEvent::BodyRead(f.await),
         }
     }
 
     /// Closes the connection and waits for nothing.
     pub(super) fn abandon(&mut self) {
-        self.doing = Doing::Nothing;
+        self.state = ExchangeState::Idle;
     }
 
     /// Waits for the route of another attempt.
@@ -113,25 +115,26 @@
         routing: oneshot::Receiver<Result<Routed, Refusal>>,
     ) {
         self.attempt = attempt;
-        self.stream = None;
-        self.doing = Doing::Routing(routing);
+        self.stream_name = None;
+        self.state = ExchangeState::Routing(routing);
     }
 
     /// Reads the answer whose head has come.
     pub(super) fn read(
         &mut self,
-        response: Sent,
-        stream: Option<String>,
+        response: UpstreamResponse,
+        stream_name: Option<String>,
     ) {
-        self.stream = stream.or(self.stream.take());
-        self.doing = match &self.outbound {
-            Outbound::Completion(_) => {
-                Doing::Reading(Box::new(Reading::new(response, self.sent_as.clone())))
-            }
-            Outbound::Service(req) => {
-                Doing::Collecting(Box::pin(collect(response, req.method.clone())))
-            }
-        };
+        self.stream_name = stream_name.or(self.stream_name.take());
+        self.state =
+            match &self.outbound {
+                Outbound::Completion(_) => ExchangeState::ReadingStream(Box::new(
+                    StreamReader::new(response, self.upstream_request_id.clone()),
+                )),
+                Outbound::Service(req) => ExchangeState::ReadingBody(Box::pin(
+                    read_service_answer(response, req.method.clone()),
+                )),
+            };
     }
 
     /// Sends the request to where it was routed.
@@ -143,14 +146,14 @@
         &mut self,
         cx: &ForwardContext,
         attempt: Attempt,
-        fresh: bool,
+        force_new_connection: bool,
     ) -> Result<(), Problem> {
         self.attempt = attempt;
         let Some(routed) = self.routed.clone() else {
             return Ok(());
         };
-        let request_id = format!("{}-{}-{attempt}", cx.origin, cx.request);
-        self.sent_as.clone_from(&request_id);
+        let request_id = format!("{}-{}-{attempt}", cx.id_prefix, cx.request);
+        self.upstream_request_id.clone_from(&request_id);
         let headers = self.headers(cx);
         let (method, target, headers, body) = self.outbound.parts(&routed, &cx.key, headers)?;
         let connections = Rc::clone(&cx.connections);
@@ -160,11 +163,18 @@
             method: method.clone(),
         };
         let is_engine = matches!(self.outbound, Outbound::Completion(_));
-        self.doing = Doing::Heading(Box::pin(async move {
+        self.state = ExchangeState::AwaitingHead(Box::pin(async move {
             let sent = connections
-                .send(fresh, routed.address, method, &target, headers, body)
+                .send(
+                    force_new_connection,
+                    routed.address,
+                    method,
+                    &target,
+                    headers,
+                    body,
+                )
                 .await;
-            headed(sent, &expected, is_engine, false).await
+            read_head(sent, &expected, is_engine, false).await
         }));
         Ok(())
     }
@@ -177,23 +187,23 @@
         offset: u64,
     ) {
         self.attempt = attempt;
-        let (Some(routed), Some(stream)) = (&self.routed, &self.stream) else {
+        let (Some(routed), Some(stream_name)) = (&self.routed, &self.stream_name) else {
             return;
         };
-        let target = format!("/v1/streams/{stream}?offset={offset}");
+        let target = format!("/v1/streams/{stream_name}?offset={offset}");
         let address = routed.address;
         let expected = Expected {
-            request_id: self.sent_as.clone(),
+            request_id: self.upstream_request_id.clone(),
             weights: routed.weights.clone(),
             method: Method::GET,
         };
         let headers = self.headers(cx);
         let connections = Rc::clone(&cx.connections);
-        self.doing = Doing::Heading(Box::pin(async move {
+        self.state = ExchangeState::AwaitingHead(Box::pin(async move {
             let sent = connections
                 .send(true, address, Method::GET, &target, headers, Bytes::new())
                 .await;
-            headed(sent, &expected, true, true).await
+            read_head(sent, &expected, true, true).await
         }));
     }
 
@@ -202,10 +212,10 @@
         &self,
         cx: &ForwardContext,
     ) {
-        let (Some(routed), Some(stream)) = (&self.routed, &self.stream) else {
+        let (Some(routed), Some(stream_name)) = (&self.routed, &self.stream_name) else {
             return;
         };
-        let target = format!("/v1/streams/{stream}");
+        let target = format!("/v1/streams/{stream_name}");
         let address = routed.address;
         let headers = self.headers(cx);
         let connections = Rc::clone(&cx.connections);
@@ -228,33 +238,33 @@
         cx: &ForwardContext,
     ) -> HeaderMap {
         AttemptHeaders {
-            request_id: &self.sent_as,
+            request_id: &self.upstream_request_id,
             account: &cx.account,
             priority: cx.priority,
-            left: self.deadline.since(cx.clock.now()),
+            remaining: self.deadline.since(cx.clock.now()),
         }
         .to_map()
     }
 }
 
-async fn headed(
-    sent: Result<Sent, SendFailure>,
+async fn read_head(
+    sent: Result<UpstreamResponse, SendFailure>,
     expected: &Expected,
     is_engine: bool,
-    resuming: bool,
-) -> Headed {
+    is_resume: bool,
+) -> HeadResult {
     let mut response = match sent {
         Ok(response) => Box::new(response),
-        Err(failure) => return Headed::Failed(failure),
+        Err(failure) => return HeadResult::Failed(failure),
     };
-    let (head, stream) = if is_engine {
-        engine_head(&mut response, expected, resuming).await
+    let (head, stream_name) = if is_engine {
+        engine_head(&mut response, expected, is_resume).await
     } else {
         (service_head(&response, expected), None)
     };
-    Headed::Answered {
+    HeadResult::Answered {
         head,
-        stream,
+        stream_name,
         response,
     }
 }
--- a/crates/gateway/src/forward/reading.rs
+++ b/crates/gateway/src/forward/upstream_response.rs
@@ -1,8 +1,8 @@
 use {
-    super::WholeAnswer,
+    super::BufferedAnswer,
     crate::{
         sse::{Chunk, Decoder},
-        upstream::Sent,
+        upstream::UpstreamResponse,
     },
     actix_web::http::{
         Method, StatusCode,
@@ -21,7 +21,7 @@
 /// Bytes of an error's body that are looked at.
 const MAX_ERROR_BYTES: usize = 64 << 10;
 /// Headers of a plain service's answer that are passed on.
-const PASSED_ON: [HeaderName; 3] = [CONTENT_TYPE, ETAG, LOCATION];
+const FORWARDED_HEADERS: [HeaderName; 3] = [CONTENT_TYPE, ETAG, LOCATION];
 
 /// What an engine must say in its answer for it to be the right one.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
 
 /// What arrived of a streamed answer.
 #[derive(Debug)]
-pub enum Read {
+pub enum StreamItem {
     /// A chunk.
     Chunk(Chunk),
     /// The end that the engine marks.
@@ -47,16 +47,16 @@
 
 /// A streamed answer that is being read.
 #[derive(Debug)]
-pub struct Reading {
-    response: Sent,
+pub struct StreamReader {
+    response: UpstreamResponse,
     decoder: Decoder,
     request_id: String,
 }
 
-impl Reading {
+impl StreamReader {
     /// Reads the body of `response`, which answers the attempt `request_id`.
     pub fn new(
-        response: Sent,
+        response: UpstreamResponse,
         request_id: String,
     ) -> Self {
         Self {
@@ -67,18 +67,18 @@
     }
 
     /// The next thing that arrives; may be dropped and called again.
-    pub async fn next(&mut self) -> Read {
+    pub async fn next(&mut self) -> StreamItem {
         loop {
             match self.decoder.next_event() {
-                Ok(Some(event)) if event.data.trim() == "[DONE]" => return Read::Done,
+                Ok(Some(event)) if event.data.trim() == "[DONE]" => return StreamItem::Done,
                 Ok(Some(event)) => return self.chunk(&event),
                 Ok(None) => {}
-                Err(_) => return Read::Broken,
+                Err(_) => return StreamItem::Broken,
             }
             match self.response.next().await {
                 Some(Ok(bytes)) => self.decoder.feed(&bytes),
                 // An end without its mark is none.
-                Some(Err(_)) | None => return Read::Broken,
+                Some(Err(_)) | None => return StreamItem::Broken,
             }
         }
     }
@@ -87,19 +87,19 @@
     fn chunk(
         &self,
         event: &crate::sse::Event,
-    ) -> Read {
+    ) -> StreamItem {
         match Chunk::from_event(event) {
-            Some(chunk) if chunk.request() == Some(&self.request_id) => Read::Chunk(chunk),
-            _ => Read::Broken,
+            Some(chunk) if chunk.request() == Some(&self.request_id) => StreamItem::Chunk(chunk),
+            _ => StreamItem::Broken,
         }
     }
 }
 
 /// What the head of an engine's answer says; the stream's name where it has one.
 pub async fn engine_head(
-    response: &mut Sent,
+    response: &mut UpstreamResponse,
     expected: &Expected,
-    resuming: bool,
+    is_resume: bool,
 ) -> (Head, Option<String>) {
     let header = |name: &str| {
         response
@@ -109,16 +109,16 @@
             .unwrap_or_default()
     };
     let echoed = header("x-request-id");
-    let ours = echoed == expected.request_id;
-    let right_weights = header("x-adapter") == expected.weights;
-    let stream = Some(header("x-stream").to_owned()).filter(|name| is_stream_name(name));
+    let is_same_request = echoed == expected.request_id;
+    let has_expected_weights = header("x-adapter") == expected.weights;
+    let stream = Some(header("x-stream").to_owned()).filter(|name| is_valid_stream_name(name));
     let head = match response.status().as_u16() {
-        200 if !ours || !right_weights => Head::WrongRequest,
-        _ if !ours && !echoed.is_empty() => Head::WrongRequest,
+        200 if !is_same_request || !has_expected_weights => Head::WrongRequest,
+        _ if !is_same_request && !echoed.is_empty() => Head::WrongRequest,
         200 => Head::Accepted {
             resumable: stream.is_some(),
         },
-        404 if resuming => Head::StreamGone,
+        404 if is_resume => Head::StreamGone,
         404 if error_code(response).await.as_deref() == Some("instance_not_loaded") => {
             Head::NotLoaded
         }
@@ -131,12 +131,12 @@
 
 /// What the head of a plain service's answer says.
 pub fn service_head(
-    response: &Sent,
+    response: &UpstreamResponse,
     expected: &Expected,
 ) -> Head {
     match response.headers().get("x-request-id") {
         Some(echoed) if echoed.as_bytes() != expected.request_id.as_bytes() => Head::WrongRequest,
-        _ if expected.method != Method::HEAD && !marks_its_end(response) => Head::Failed,
+        _ if expected.method != Method::HEAD && !has_message_framing(response) => Head::Failed,
         _ => Head::Accepted { resumable: false },
     }
 }
@@ -144,7 +144,7 @@
 /// Whether an answer says where it ends.
 ///
 /// One that ends with its connection can't be told from one that broke off, and awc reads it as empty.
-fn marks_its_end(response: &Sent) -> bool {
+fn has_message_framing(response: &UpstreamResponse) -> bool {
     let headers = response.headers();
     let is_marked = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
     let status = response.status();
@@ -152,20 +152,21 @@
 }
 
 /// The whole answer of a plain service; none when it broke off or is too large to be kept.
-pub async fn collect(
-    mut response: Sent,
+pub async fn read_service_answer(
+    mut response: UpstreamResponse,
     method: Method,
-) -> Option<WholeAnswer> {
+) -> Option<BufferedAnswer> {
     let status = response.status();
-    let headers = passed_on(response.headers());
-    let announced: Option<usize> = response
+    let headers = forwarded_headers(response.headers());
+    let content_length: Option<usize> = response
         .headers()
         .get("content-length")
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok());
     let body = read_body(&mut response, MAX_ANSWER_BYTES).await?;
-    let is_short = method != Method::HEAD && announced.is_some_and(|length| length != body.len());
-    (!is_short).then_some(WholeAnswer {
+    let is_truncated =
+        method != Method::HEAD && content_length.is_some_and(|length| length != body.len());
+    (!is_truncated).then_some(BufferedAnswer {
         status,
         headers,
         body,
@@ -173,7 +174,7 @@
 }
 
 async fn read_body(
-    response: &mut Sent,
+    response: &mut UpstreamResponse,
     limit: usize,
 ) -> Option<Bytes> {
     let mut body = BytesMut::new();
@@ -186,15 +187,15 @@
     Some(body.freeze())
 }
 
-async fn error_code(response: &mut Sent) -> Option<String> {
+async fn error_code(response: &mut UpstreamResponse) -> Option<String> {
     let body = read_body(response, MAX_ERROR_BYTES).await?;
     let json: Value = serde_json::from_slice(&body).ok()?;
     Some(json.get("error")?.get("code")?.as_str()?.to_owned())
 }
 
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::new();
-    for name in PASSED_ON {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = headers.get(&name) {
             kept.insert(name, value.clone());
         }
@@ -202,7 +203,7 @@
     kept
 }
 
-fn is_stream_name(name: &str) -> bool {
-    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-    (1..=128).contains(&name.len()) && name.bytes().all(allowed)
+fn is_valid_stream_name(name: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
+    (1..=128).contains(&name.len()) && name.bytes().all(is_allowed)
 }
--- a/crates/gateway/src/http/admit.rs
+++ b/crates/gateway/src/http/admit.rs
@@ -25,7 +25,7 @@
 
 /// A request as it came in, before anything is known of its caller.
 #[derive(Debug)]
-pub(super) struct Arrival {
+pub(super) struct IncomingRequest {
     pub(super) worker: Worker,
     pub(super) request: RequestId,
     pub(super) name: RequestName,
@@ -42,7 +42,7 @@
     pub(super) fleet: Arc<Fleet>,
 }
 
-impl Arrival {
+impl IncomingRequest {
     /// Notes a request, and its name before all else: every answer carries it.
     pub(super) fn new(req: &HttpRequest) -> Option<Self> {
         let worker = req.app_data::<Worker>()?.clone();
@@ -54,7 +54,7 @@
             .headers()
             .get(REQUEST_ID)
             .and_then(|value| RequestName::from_caller(value.as_bytes(), key.as_ref().ok()))
-            .unwrap_or_else(|| worker.shared.name_for(request));
+            .unwrap_or_else(|| worker.shared.generate_name(request));
         Some(Self {
             worker,
             request,
@@ -105,39 +105,41 @@
     }
 }
 
-/// How long the caller waits: what it says, or `otherwise`.
+/// How long the caller waits: what it says, or `default`.
 pub(super) fn deadline_of(
     req: &HttpRequest,
-    otherwise: Millis,
+    default: Millis,
 ) -> Result<Millis, Problem> {
     let Some(value) = req.headers().get("x-deadline-ms") else {
-        return Ok(otherwise);
+        return Ok(default);
     };
-    let asked = value.to_str().ok().and_then(|text| text.parse().ok());
-    match asked {
+    let requested = value.to_str().ok().and_then(|text| text.parse().ok());
+    match requested {
         Some(ms) if (1..=MAX_DEADLINE.0).contains(&ms) => Ok(Millis(ms)),
-        _ => Err(Problem::bad(
+        _ => Err(Problem::bad_request(
             "x-deadline-ms must be a number from 1 to 3600000.",
         )),
     }
 }
 
-/// The priority class that the caller names, or `otherwise`.
+/// The priority class that the caller names, or `default`.
 pub(super) fn priority(
     req: &HttpRequest,
-    otherwise: Priority,
+    default: Priority,
 ) -> Result<Priority, Problem> {
     match req.headers().get("x-priority").map(HeaderValue::as_bytes) {
-        None => Ok(otherwise),
+        None => Ok(default),
         Some(b"high") => Ok(Priority::High),
         Some(b"normal") => Ok(Priority::Normal),
         Some(b"low") => Ok(Priority::Low),
-        Some(_) => Err(Problem::bad("x-priority must be high, normal or low.")),
+        Some(_) => Err(Problem::bad_request(
+            "x-priority must be high, normal or low.",
+        )),
     }
 }
 
 /// The name of a priority class.
-pub(super) const fn class_name(priority: Priority) -> &'static str {
+pub(super) const fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::High => "high",
         Priority::Normal => "normal",
@@ -160,6 +162,6 @@
 }
 
 /// The refusal of a request for which there is no place.
-pub(super) const fn no_room() -> Refusal {
+pub(super) const fn queue_full() -> Refusal {
     Refusal::after(ErrorKind::QueueFull, Millis::from_secs(1))
 }
--- a/crates/gateway/src/http/answers.rs
+++ b/crates/gateway/src/http/answers.rs
@@ -22,15 +22,15 @@
 const ADAPTER: &str = "x-jasmine-adapter";
 
 /// An answer that has begun, or is there as a whole.
-pub(super) fn answered(
+pub(super) fn answer_response(
     shared: &Shared,
     name: &RequestName,
     adapter: Option<&str>,
     answer: Answer,
 ) -> HttpResponse {
     match answer {
-        Answer::Whole(whole) => {
-            let mut res = start(shared, whole.status, name, adapter);
+        Answer::Buffered(whole) => {
+            let mut res = response_builder(shared, whole.status, name, adapter);
             for (header, value) in &whole.headers {
                 res.append_header((header.clone(), value.clone()));
             }
@@ -40,7 +40,7 @@
             let parts = stream::unfold(rx, |mut rx| async move {
                 rx.recv().await.map(|part| (part, rx))
             });
-            start(shared, StatusCode::OK, name, adapter)
+            response_builder(shared, StatusCode::OK, name, adapter)
                 .insert_header((CONTENT_TYPE, "text/event-stream"))
                 .insert_header((CACHE_CONTROL, "no-store"))
                 .streaming(parts)
@@ -49,7 +49,7 @@
 }
 
 /// An error, counted by its kind.
-pub(super) fn refused(
+pub(super) fn error_response(
     shared: &Shared,
     name: &RequestName,
     account: &str,
@@ -59,7 +59,7 @@
     shared.refusals.count(kind, account);
     let status =
         StatusCode::from_u16(kind.answer().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut res = start(shared, status, name, None);
+    let mut res = response_builder(shared, status, name, None);
     if let Some(secs) = problem.refusal.retry_after_secs() {
         res.insert_header((RETRY_AFTER, secs.to_string()));
     }
@@ -69,7 +69,7 @@
     res.json(error_body(problem, name))
 }
 
-fn start(
+fn response_builder(
     shared: &Shared,
     status: StatusCode,
     name: &RequestName,
@@ -80,7 +80,7 @@
     if let Some(adapter) = adapter {
         res.insert_header((ADAPTER, adapter));
     }
-    if shared.readiness.is_leaving() {
+    if shared.readiness.is_draining() {
         // A kept connection would bring the next request to a daemon that is about to stop.
         res.force_close();
     }
--- a/crates/gateway/src/http/app.rs
+++ b/crates/gateway/src/http/app.rs
@@ -1,5 +1,7 @@
 use {
-    super::{admit::Arrival, answers::refused, completions, models, services, status},
+    super::{
+        admit::IncomingRequest, answers::error_response, completions, models, services, status,
+    },
     crate::request::Problem,
     actix_web::{HttpRequest, HttpResponse, web},
     jasmine_core::error::ErrorKind,
@@ -14,7 +16,7 @@
             "/services/{service}/{path:.*}",
             web::route().to(services::call),
         )
-        .default_service(web::route().to(nothing));
+        .default_service(web::route().to(not_found));
 }
 
 /// The routes of the status port.
@@ -24,11 +26,11 @@
         .route("/metrics", web::get().to(status::metrics));
 }
 
-async fn nothing(req: HttpRequest) -> HttpResponse {
-    match Arrival::new(&req) {
-        Some(arrival) => refused(
-            &arrival.worker.shared,
-            &arrival.name,
+async fn not_found(req: HttpRequest) -> HttpResponse {
+    match IncomingRequest::new(&req) {
+        Some(incoming) => error_response(
+            &incoming.worker.shared,
+            &incoming.name,
             "",
             &Problem::from(ErrorKind::NotFound),
         ),
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -27,7 +27,7 @@
             .map_err(|_late| ErrorKind::SlowSender)?;
         match part {
             None => return Ok(body.freeze()),
-            Some(Err(_)) => return Err(Problem::bad("The body broke off.")),
+            Some(Err(_)) => return Err(Problem::bad_request("The body broke off.")),
             Some(Ok(part)) if (body.len() + part.len()) as u64 > limits.max_body_bytes => {
                 return Err(ErrorKind::BodyTooLarge.into());
             }
--- a/crates/gateway/src/http/claims.rs
+++ b/crates/gateway/src/http/claims.rs
@@ -24,7 +24,7 @@
 use {
     crate::{
         brain::{BrainHandle, ClaimRequest},
-        forward::{Ending, WholeAnswer},
+        forward::{BufferedAnswer, ForwardResult},
         request::{IdempotencyKey, Problem},
     },
     actix_web::http::{
@@ -40,7 +40,7 @@
 };
 
 /// Bytes of an answer that is kept; a larger one isn't, and repeats get `claim_running`.
-const MAX_KEPT_BYTES: usize = 256 << 10;
+const MAX_STORED_BYTES: usize = 256 << 10;
 
 /// An answer as it is kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,8 +57,8 @@
 
 impl StoredAnswer {
     /// The answer to be kept; none when it is too large.
-    pub fn encode(answer: &WholeAnswer) -> Option<Vec<u8>> {
-        if answer.body.len() > MAX_KEPT_BYTES {
+    pub fn encode(answer: &BufferedAnswer) -> Option<Vec<u8>> {
+        if answer.body.len() > MAX_STORED_BYTES {
             return None;
         }
         let headers = answer.headers.iter().filter_map(|(name, value)| {
@@ -73,7 +73,7 @@
     }
 
     /// Reads an answer that was kept; none when it makes no sense.
-    pub fn decode(bytes: &[u8]) -> Option<WholeAnswer> {
+    pub fn decode(bytes: &[u8]) -> Option<BufferedAnswer> {
         let stored: Self = serde_json::from_slice(bytes).ok()?;
         let mut headers = HeaderMap::new();
         for (name, value) in &stored.headers {
@@ -82,7 +82,7 @@
                 HeaderValue::from_str(value).ok()?,
             );
         }
-        Some(WholeAnswer {
+        Some(BufferedAnswer {
             status: StatusCode::from_u16(stored.status).ok()?,
             headers,
             body: Bytes::from(stored.body),
@@ -117,23 +117,23 @@
 
 /// What becomes of a claim at the end of its call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum ClaimEnd {
+pub(super) enum ClaimDisposition {
     /// The answer is kept for repeats.
-    Keep(Arc<[u8]>),
+    Store(Arc<[u8]>),
     /// Nothing ran: the key may be used again.
-    GiveBack,
+    Release,
     /// Nobody knows, or the answer can't be kept: repeats get `claim_running`.
     Leave,
 }
 
-impl ClaimEnd {
+impl ClaimDisposition {
     /// What an ending means for the claim.
-    pub(super) fn of(ending: &Ending) -> Self {
-        match &ending.answer {
+    pub(super) fn of(result: &ForwardResult) -> Self {
+        match &result.answer {
             Some(answer) => StoredAnswer::encode(answer)
-                .map_or(Self::Leave, |bytes| Self::Keep(Arc::from(bytes))),
-            None if ending.may_have_run => Self::Leave,
-            None => Self::GiveBack,
+                .map_or(Self::Leave, |bytes| Self::Store(Arc::from(bytes))),
+            None if result.may_have_run => Self::Leave,
+            None => Self::Release,
         }
     }
 
@@ -144,8 +144,8 @@
         claim: ClaimRequest,
     ) {
         let answer = match self {
-            Self::Keep(answer) => Some(answer),
-            Self::GiveBack => None,
+            Self::Store(answer) => Some(answer),
+            Self::Release => None,
             Self::Leave => return,
         };
         if !brain.finish_claim(claim, answer).await {
@@ -155,7 +155,7 @@
 }
 
 /// The answer of the first run.
-pub(super) fn replayed(stored: &[u8]) -> Result<WholeAnswer, Problem> {
+pub(super) fn replayed(stored: &[u8]) -> Result<BufferedAnswer, Problem> {
     let mut answer = StoredAnswer::decode(stored).ok_or(ErrorKind::ClaimUnavailable)?;
     answer.headers.insert(
         HeaderName::from_static("idempotency-replayed"),
--- a/crates/gateway/src/http/completions.rs
+++ b/crates/gateway/src/http/completions.rs
@@ -1,13 +1,16 @@
 use {
     super::{
-        admit::{Arrival, Authenticated, caller_tag, class_name, deadline_of, no_room, priority},
-        answers::{answered, refused},
+        admit::{
+            Authenticated, IncomingRequest, caller_tag, deadline_of, priority, priority_name,
+            queue_full,
+        },
+        answers::{answer_response, error_response},
         body, plan,
-        shared::InFlight,
+        shared::InFlightGuard,
     },
     crate::{
         brain::Admission,
-        forward::{Answer, Caller, Driver, ForwardContext, Outbound},
+        forward::{Answer, Driver, ForwardContext, Outbound, ResponseSender},
         request::{CompletionKind, CompletionRequest, Problem},
     },
     actix_web::{HttpRequest, HttpResponse, web::Payload},
@@ -21,7 +24,7 @@
 };
 
 /// Bytes of a prompt by which requests that share a prefix are told.
-const PREFIX_BYTES: usize = 256;
+const MAX_PREFIX_BYTES: usize = 256;
 
 /// `POST /v1/chat/completions`
 pub(super) async fn chat(
@@ -44,17 +47,19 @@
     req: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let Some(arrival) = Arrival::new(&req) else {
+    let Some(incoming) = IncomingRequest::new(&req) else {
         return HttpResponse::InternalServerError().finish();
     };
-    let shared = Arc::clone(&arrival.worker.shared);
-    let caller = match arrival.authenticate(&req) {
+    let shared = Arc::clone(&incoming.worker.shared);
+    let caller = match incoming.authenticate(&req) {
         Ok(caller) => caller,
-        Err(problem) => return refused(&shared, &arrival.name, "", &problem),
+        Err(problem) => return error_response(&shared, &incoming.name, "", &problem),
     };
-    match run(kind, &req, payload, &arrival, &caller).await {
-        Ok((adapter, answer)) => answered(&shared, &arrival.name, adapter.as_deref(), answer),
-        Err(problem) => refused(&shared, &arrival.name, &caller.account.name, &problem),
+    match run(kind, &req, payload, &incoming, &caller).await {
+        Ok((adapter, answer)) => {
+            answer_response(&shared, &incoming.name, adapter.as_deref(), answer)
+        }
+        Err(problem) => error_response(&shared, &incoming.name, &caller.account.name, &problem),
     }
 }
 
@@ -62,13 +67,13 @@
     kind: CompletionKind,
     req: &HttpRequest,
     mut payload: Payload,
-    arrival: &Arrival,
+    incoming: &IncomingRequest,
     caller: &Authenticated,
 ) -> Result<(Option<String>, Answer), Problem> {
-    let shared = &arrival.worker.shared;
-    let in_flight = InFlight::enter(shared).ok_or_else(no_room)?;
+    let shared = &incoming.worker.shared;
+    let in_flight = InFlightGuard::try_acquire(shared).ok_or_else(queue_full)?;
     let announced = content_length(req);
-    let bytes = body::read(&mut payload, announced, &shared.limits, arrival.arrived).await?;
+    let bytes = body::read(&mut payload, announced, &shared.limits, incoming.arrived).await?;
     let mut completion = CompletionRequest::parse(kind, &bytes)?;
     // Looked for before anything is charged; the name on the engine holds no key.
     completion.body("", &caller.key)?;
@@ -78,7 +83,7 @@
     let (target, adapter) = resolve(&caller.fleet, &completion.model, account.id)?;
     let deadline = shared.clock.now() + limit;
     let admission = Admission {
-        request: arrival.request,
+        request: incoming.request,
         key: caller.digest,
         account: account.id,
         cost: completion.cost,
@@ -88,20 +93,20 @@
         prefix: Some(prefix(&completion)),
         caller: caller_tag(caller.digest, &bytes[..]),
     };
-    let labels = Labels::new(Arc::from(account.name.as_str()), class_name(class));
+    let labels = Labels::new(Arc::from(account.name.as_str()), priority_name(class));
     shared.requests.admitted(&labels);
     let cx = context(
-        arrival,
+        incoming,
         caller,
-        class_name(class),
+        priority_name(class),
         completion.model.clone(),
         labels,
     );
     let plan = plan::completion(deadline, completion.stream);
-    let (way_back, answer) = Caller::new();
+    let (response_sender, answer) = ResponseSender::new();
     let (lease, routing) = shared.brain.admit(admission);
     let outbound = Outbound::Completion(Box::new(completion));
-    let driver = Driver::new(cx, plan, outbound, way_back, lease, routing);
+    let driver = Driver::new(cx, plan, outbound, response_sender, lease, routing);
     actix_rt::spawn(async move {
         driver.run().await;
         drop(in_flight);
@@ -114,24 +119,24 @@
 
 /// What a request brings along for its driver.
 pub(super) fn context(
-    arrival: &Arrival,
+    incoming: &IncomingRequest,
     caller: &Authenticated,
     class: &'static str,
-    asked: String,
+    requested_name: String,
     labels: Labels,
 ) -> ForwardContext {
-    let shared = &arrival.worker.shared;
+    let shared = &incoming.worker.shared;
     ForwardContext {
-        connections: std::rc::Rc::clone(&arrival.worker.connections),
+        connections: std::rc::Rc::clone(&incoming.worker.connections),
         clock: shared.clock,
-        request: arrival.request,
-        name: arrival.name.clone(),
-        origin: shared.origin.clone(),
+        request: incoming.request,
+        name: incoming.name.clone(),
+        id_prefix: shared.id_prefix.clone(),
         key: caller.key.clone(),
         account: caller.account.name.clone(),
         priority: class,
-        asked,
-        arrived: arrival.arrived,
+        requested_name,
+        arrived: incoming.arrived,
         readiness: Arc::clone(&shared.readiness),
         metrics: shared.requests.clone(),
         refusals: shared.refusals.clone(),
@@ -162,7 +167,7 @@
                 .adapters
                 .get(version.adapter)
                 .ok_or(ErrorKind::ModelNotFound)?;
-            if !is_open_to(&adapter.access, account) {
+            if !has_access(&adapter.access, account) {
                 return Err(ErrorKind::NotPermitted);
             }
             let full = format!("{}@{}", adapter.name, version.version);
@@ -172,7 +177,7 @@
 }
 
 /// Whether an account may use what has this access.
-pub(super) fn is_open_to(
+pub(super) fn has_access(
     access: &Access,
     account: AccountId,
 ) -> bool {
@@ -186,6 +191,6 @@
     let text = completion.prefix();
     let bytes = text.as_bytes();
     let mut hasher = DefaultHasher::new();
-    bytes[..bytes.len().min(PREFIX_BYTES)].hash(&mut hasher);
+    bytes[..bytes.len().min(MAX_PREFIX_BYTES)].hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/gateway/src/http/models.rs
+++ b/crates/gateway/src/http/models.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        admit::Arrival,
-        answers::{REQUEST_ID, refused},
-        completions::is_open_to,
+        admit::IncomingRequest,
+        answers::{REQUEST_ID, error_response},
+        completions::has_access,
     },
     actix_web::{HttpRequest, HttpResponse},
     jasmine_conf::fleet::Fleet,
@@ -12,17 +12,17 @@
 
 /// `GET /v1/models`
 pub(super) async fn list(req: HttpRequest) -> HttpResponse {
-    let Some(arrival) = Arrival::new(&req) else {
+    let Some(incoming) = IncomingRequest::new(&req) else {
         return HttpResponse::InternalServerError().finish();
     };
-    match arrival.authenticate(&req) {
+    match incoming.authenticate(&req) {
         Ok(caller) => HttpResponse::Ok()
-            .insert_header((REQUEST_ID, arrival.name.as_str()))
+            .insert_header((REQUEST_ID, incoming.name.as_str()))
             .json(json!({
                 "object": "list",
                 "data": models(&caller.fleet, caller.account.id),
             })),
-        Err(problem) => refused(&arrival.worker.shared, &arrival.name, "", &problem),
+        Err(problem) => error_response(&incoming.worker.shared, &incoming.name, "", &problem),
     }
 }
 
@@ -36,7 +36,7 @@
     let adapters = fleet
         .adapters
         .iter()
-        .filter(|adapter| is_open_to(&adapter.access, account))
+        .filter(|adapter| has_access(&adapter.access, account))
         .flat_map(|adapter| {
             let live = adapter.live.map(|_| adapter.name.clone());
             let versions = adapter.versions.keys();
--- a/crates/gateway/src/http/plan.rs
+++ b/crates/gateway/src/http/plan.rs
@@ -8,13 +8,13 @@
 /// The longest wait for the head of an engine's answer.
 ///
 /// Engines send it when they take a request in. One that doesn't is dead or the connection is.
-const ENGINE_HEAD: Millis = Millis(3_000);
+const ENGINE_HEAD_TIMEOUT: Millis = Millis(3_000);
 /// The longest silence within an engine's stream; after it the stream is resumed over a new connection.
-const ENGINE_PART: Millis = Millis(2_000);
+const ENGINE_PART_TIMEOUT: Millis = Millis(2_000);
 /// Runs, and resumptions in a row without a token.
 const MAX_ATTEMPTS: u32 = 3;
 /// Bounds of the wait for a plain service.
-const SERVICE_WAIT: (Millis, Millis) = (Millis(100), Millis(10_000));
+const SERVICE_TIMEOUT_BOUNDS: (Millis, Millis) = (Millis(100), Millis(10_000));
 
 /// The plan of a completion: running it twice does no harm, but what was streamed can't be unsaid.
 pub(super) const fn completion(
@@ -29,8 +29,8 @@
             Delivery::Buffered
         },
         deadline,
-        head_timeout: ENGINE_HEAD,
-        part_timeout: ENGINE_PART,
+        head_timeout: ENGINE_HEAD_TIMEOUT,
+        part_timeout: ENGINE_PART_TIMEOUT,
         max_attempts: MAX_ATTEMPTS,
     }
 }
@@ -42,20 +42,20 @@
 pub(super) fn service(
     deadline: Millis,
     limit: Millis,
-    idempotent: bool,
+    is_idempotent: bool,
 ) -> ForwardPlan {
-    let (least, most) = SERVICE_WAIT;
-    let wait = Millis(limit.0 / u64::from(MAX_ATTEMPTS)).clamp(least, most);
+    let (min, max) = SERVICE_TIMEOUT_BOUNDS;
+    let timeout = Millis(limit.0 / u64::from(MAX_ATTEMPTS)).clamp(min, max);
     ForwardPlan {
-        repeat: if idempotent {
+        repeat: if is_idempotent {
             Repeat::Idempotent
         } else {
             Repeat::Once
         },
         delivery: Delivery::Buffered,
         deadline,
-        head_timeout: wait,
-        part_timeout: wait,
+        head_timeout: timeout,
+        part_timeout: timeout,
         max_attempts: MAX_ATTEMPTS,
     }
 }
--- a/crates/gateway/src/http/services.rs
+++ b/crates/gateway/src/http/services.rs
@@ -1,15 +1,18 @@
 use {
     super::{
-        admit::{Arrival, Authenticated, caller_tag, class_name, deadline_of, no_room, priority},
-        answers::{answered, refused},
+        admit::{
+            Authenticated, IncomingRequest, caller_tag, deadline_of, priority, priority_name,
+            queue_full,
+        },
+        answers::{answer_response, error_response},
         body, claims,
         completions::{content_length, context},
         plan,
-        shared::InFlight,
+        shared::InFlightGuard,
     },
     crate::{
         brain::{Admission, BrainHandle, ClaimAnswer, ClaimRequest},
-        forward::{Answer, Caller, Driver, Outbound, ServiceRequest},
+        forward::{Answer, Driver, Outbound, ResponseSender, ServiceRequest},
         request::{CallerKey, IdempotencyKey, Problem, ServicePath},
     },
     actix_web::{
@@ -28,7 +31,7 @@
 };
 
 /// The caller's headers that reach a plain service; all others may hold something of the caller's.
-const PASSED_ON: [HeaderName; 7] = [
+const FORWARDED_HEADERS: [HeaderName; 7] = [
     ACCEPT,
     ACCEPT_LANGUAGE,
     CONTENT_ENCODING,
@@ -42,7 +45,7 @@
 /// A caller that has its answer may send the call again at once, and at another VM: unless the answer is
 /// kept by then it is told that the call is still running. Where the store is slow or out the answer goes
 /// without it.
-const KEPT_WITHIN: Millis = Millis(500);
+const STORE_ANSWER_TIMEOUT: Millis = Millis(500);
 /// The header of the IETF draft.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
@@ -52,18 +55,18 @@
     parts: Path<(String, String)>,
     payload: Payload,
 ) -> HttpResponse {
-    let Some(arrival) = Arrival::new(&req) else {
+    let Some(incoming) = IncomingRequest::new(&req) else {
         return HttpResponse::InternalServerError().finish();
     };
-    let shared = Arc::clone(&arrival.worker.shared);
-    let caller = match arrival.authenticate(&req) {
+    let shared = Arc::clone(&incoming.worker.shared);
+    let caller = match incoming.authenticate(&req) {
         Ok(caller) => caller,
-        Err(problem) => return refused(&shared, &arrival.name, "", &problem),
+        Err(problem) => return error_response(&shared, &incoming.name, "", &problem),
     };
     let (service, _) = parts.into_inner();
-    match run(&req, &service, payload, &arrival, &caller).await {
-        Ok(answer) => answered(&shared, &arrival.name, None, answer),
-        Err(problem) => refused(&shared, &arrival.name, &caller.account.name, &problem),
+    match run(&req, &service, payload, &incoming, &caller).await {
+        Ok(answer) => answer_response(&shared, &incoming.name, None, answer),
+        Err(problem) => error_response(&shared, &incoming.name, &caller.account.name, &problem),
     }
 }
 
@@ -71,63 +74,66 @@
     req: &HttpRequest,
     service: &str,
     mut payload: Payload,
-    arrival: &Arrival,
+    incoming: &IncomingRequest,
     caller: &Authenticated,
 ) -> Result<Answer, Problem> {
-    let shared = &arrival.worker.shared;
-    let in_flight = InFlight::enter(shared).ok_or_else(no_room)?;
-    let known = caller
+    let shared = &incoming.worker.shared;
+    let in_flight = InFlightGuard::try_acquire(shared).ok_or_else(queue_full)?;
+    let service_settings = caller
         .fleet
         .service(service)
         .ok_or(ErrorKind::ServiceNotFound)?;
     // As it came: the router's own decoding would hide what the service will see.
-    let raw = req.uri().path();
-    let below = raw
+    let raw_path = req.uri().path();
+    let service_path = raw_path
         .strip_prefix("/services/")
         .and_then(|rest| rest.split_once('/'))
         .map_or("", |(_, path)| path);
-    let path = ServicePath::parse(below, req.query_string(), &caller.key)?;
-    let call = path.call(known, req.method().as_str())?;
-    let headers = passed_on(req, &caller.key)?;
+    let path = ServicePath::parse(service_path, req.query_string(), &caller.key)?;
+    let call = path.call(service_settings, req.method().as_str())?;
+    let headers = forwarded_headers(req, &caller.key)?;
     let class = priority(req, call.priority)?;
     let limit = deadline_of(req, call.deadline)?;
     let announced = content_length(req);
-    let bytes = body::read(&mut payload, announced, &shared.limits, arrival.arrived).await?;
+    let bytes = body::read(&mut payload, announced, &shared.limits, incoming.arrived).await?;
     if caller.key.is_in(&bytes) {
-        return Err(Problem::bad("The body holds the caller's key."));
+        return Err(Problem::bad_request("The body holds the caller's key."));
     }
     let claim = claim_for(req, call, service, &path, &bytes, caller)?;
     if let Some(claim) = &claim
-        && let Some(answer) = begin(&shared.brain, claim).await?
+        && let Some(answer) = begin_claim(&shared.brain, claim).await?
     {
         return Ok(answer);
     }
     let deadline = shared.clock.now() + limit;
     let admission = Admission {
-        request: arrival.request,
+        request: incoming.request,
         key: caller.digest,
         account: caller.account.id,
         cost: call.cost,
         priority: class,
         deadline,
-        target: Target::Service(known.id),
+        target: Target::Service(service_settings.id),
         prefix: None,
         caller: caller_tag(caller.digest, &(path.target(), &bytes[..])),
     };
-    let labels = Labels::new(Arc::from(caller.account.name.as_str()), class_name(class));
+    let labels = Labels::new(
+        Arc::from(caller.account.name.as_str()),
+        priority_name(class),
+    );
     shared.requests.admitted(&labels);
     let cx = context(
-        arrival,
+        incoming,
         caller,
-        class_name(class),
+        priority_name(class),
         service.to_owned(),
         labels,
     );
     let plan = plan::service(deadline, limit, call.idempotent);
-    let (mut way_back, answer) = Caller::new();
+    let (mut response_sender, answer) = ResponseSender::new();
     let is_claimed = claim.is_some();
     if is_claimed {
-        way_back = way_back.outlasted();
+        response_sender = response_sender.detached();
     }
     let outbound = Outbound::Service(ServiceRequest {
         method: req.method().clone(),
@@ -136,28 +142,30 @@
         body: bytes,
     });
     let (lease, routing) = shared.brain.admit(admission);
-    let driver = Driver::new(cx, plan, outbound, way_back, lease, routing);
+    let driver = Driver::new(cx, plan, outbound, response_sender, lease, routing);
     let brain = shared.brain.clone();
-    let (kept_tx, kept_rx) = oneshot::channel::<()>();
+    let (stored_tx, stored_rx) = oneshot::channel::<()>();
     actix_rt::spawn(async move {
-        let ending = driver.run().await;
+        let result = driver.run().await;
         drop(in_flight);
         if let Some(claim) = claim {
-            claims::ClaimEnd::of(&ending).record(&brain, claim).await;
+            claims::ClaimDisposition::of(&result)
+                .record(&brain, claim)
+                .await;
         }
-        drop(kept_tx);
+        drop(stored_tx);
     });
     let answer = answer
         .await
         .map_err(|_gone| Problem::from(ErrorKind::Internal))?;
     if is_claimed {
-        drop(timeout(KEPT_WITHIN.to_std(), kept_rx).await);
+        drop(timeout(STORE_ANSWER_TIMEOUT.to_std(), stored_rx).await);
     }
     answer
 }
 
 /// Claims the key; the answer of the first run where there is one.
-async fn begin(
+async fn begin_claim(
     brain: &BrainHandle,
     claim: &ClaimRequest,
 ) -> Result<Option<Answer>, Problem> {
@@ -166,7 +174,7 @@
         ClaimAnswer::Running => Err(ErrorKind::ClaimRunning.into()),
         ClaimAnswer::Mismatch => Err(ErrorKind::ClaimMismatch.into()),
         ClaimAnswer::Unavailable => Err(ErrorKind::ClaimUnavailable.into()),
-        ClaimAnswer::Done(stored) => claims::replayed(&stored).map(Answer::Whole).map(Some),
+        ClaimAnswer::Done(stored) => claims::replayed(&stored).map(Answer::Buffered).map(Some),
     }
 }
 
@@ -198,16 +206,16 @@
     )))
 }
 
-fn passed_on(
+fn forwarded_headers(
     req: &HttpRequest,
     key: &CallerKey,
 ) -> Result<HeaderMap, Problem> {
     let mut kept = HeaderMap::new();
     let idempotency_key = HeaderName::from_static(IDEMPOTENCY_KEY);
-    for name in PASSED_ON.into_iter().chain([idempotency_key]) {
+    for name in FORWARDED_HEADERS.into_iter().chain([idempotency_key]) {
         for value in req.headers().get_all(&name) {
             if key.is_in(value.as_bytes()) {
-                return Err(Problem::bad("A header holds the caller's key."));
+                return Err(Problem::bad_request("A header holds the caller's key."));
             }
             kept.append(name.clone(), HeaderValue::clone(value));
         }
--- a/crates/gateway/src/http/shared.rs
+++ b/crates/gateway/src/http/shared.rs
@@ -36,23 +36,23 @@
     /// Counters of refusals.
     pub refusals: Refusals,
     /// What makes ids of this process unlike those of all others.
-    pub origin: String,
+    pub id_prefix: String,
     /// The last request's number.
-    pub last: AtomicU64,
+    pub last_request_id: AtomicU64,
 }
 
 impl Shared {
     /// A number that no other request of this process has.
     pub fn next_request(&self) -> RequestId {
-        RequestId(self.last.fetch_add(1, Ordering::Relaxed) + 1)
+        RequestId(self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
     /// A name for a request whose caller gave none.
-    pub fn name_for(
+    pub fn generate_name(
         &self,
         request: RequestId,
     ) -> RequestName {
-        RequestName::new(&self.origin, request.0)
+        RequestName::new(&self.id_prefix, request.0)
     }
 
     /// The configuration in force.
@@ -82,24 +82,24 @@
 
 /// One request's place among those worked on at a time.
 #[derive(Debug)]
-pub(super) struct InFlight {
+pub(super) struct InFlightGuard {
     readiness: Arc<Readiness>,
 }
 
-impl InFlight {
+impl InFlightGuard {
     /// Takes a place; none when all are taken.
-    pub(super) fn enter(shared: &Shared) -> Option<Self> {
+    pub(super) fn try_acquire(shared: &Shared) -> Option<Self> {
         shared
             .readiness
-            .enter(shared.limits.max_in_flight)
+            .try_begin_request(shared.limits.max_in_flight)
             .then(|| Self {
                 readiness: Arc::clone(&shared.readiness),
             })
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.readiness.leave();
+        self.readiness.end_request();
     }
 }
--- a/crates/gateway/src/http/status.rs
+++ b/crates/gateway/src/http/status.rs
@@ -13,7 +13,7 @@
     let readiness = &shared.readiness;
     match () {
         () if readiness.is_ready() => HttpResponse::Ok().body("ready\n"),
-        () if readiness.is_leaving() => HttpResponse::ServiceUnavailable().body("stopping\n"),
+        () if readiness.is_draining() => HttpResponse::ServiceUnavailable().body("stopping\n"),
         () if readiness.is_confirmed() => {
             HttpResponse::ServiceUnavailable().body("rights not settled\n")
         }
--- a/crates/gateway/src/request/caller_key.rs
+++ b/crates/gateway/src/request/caller_key.rs
@@ -1,9 +1,9 @@
 use {jasmine_conf::fleet::KeyDigest, jasmine_core::error::ErrorKind, std::fmt};
 
 /// Bytes that a key has at least; a shorter one would be found in ordinary text by chance.
-const MIN_BYTES: usize = 8;
+const MIN_KEY_BYTES: usize = 8;
 /// Bytes that a key has at most.
-const MAX_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// The key as the caller presents it; it is never logged and never sent on.
 #[derive(Clone, PartialEq, Eq)]
@@ -21,9 +21,9 @@
             .and_then(|value| value.trim().split_once(' '))
             .ok_or(ErrorKind::KeyMissing)?;
         let key = key.trim();
-        let is_key = (MIN_BYTES..=MAX_BYTES).contains(&key.len())
+        let is_well_formed = (MIN_KEY_BYTES..=MAX_KEY_BYTES).contains(&key.len())
             && key.bytes().all(|b| b.is_ascii_graphic());
-        if scheme.eq_ignore_ascii_case("bearer") && is_key {
+        if scheme.eq_ignore_ascii_case("bearer") && is_well_formed {
             Ok(Self(key.to_owned()))
         } else {
             Err(ErrorKind::KeyMissing)
@@ -56,11 +56,11 @@
 
 fn contains(
     bytes: &[u8],
-    wanted: &[u8],
+    needle: &[u8],
 ) -> bool {
     bytes
-        .windows(wanted.len())
-        .any(|window| window[0] == wanted[0] && window == wanted)
+        .windows(needle.len())
+        .any(|window| window[0] == needle[0] && window == needle)
 }
 
 fn percent_decoded(bytes: &[u8]) -> Vec<u8> {
--- a/crates/gateway/src/request/completion.rs
+++ b/crates/gateway/src/request/completion.rs
@@ -4,7 +4,7 @@
 };
 
 /// Characters of a model's name.
-const MAX_MODEL_CHARS: usize = 256;
+const MAX_MODEL_BYTES: usize = 256;
 /// Tokens that a caller may ask for.
 const MAX_TOKENS: u64 = 1 << 20;
 /// Fields that change the form of an answer in ways that can't be put together from a stream.
@@ -66,7 +66,7 @@
         body: &[u8],
     ) -> Result<Self, Problem> {
         let Ok(Value::Object(fields)) = serde_json::from_slice(body) else {
-            return Err(Problem::bad("The body is not a JSON object."));
+            return Err(Problem::bad_request("The body is not a JSON object."));
         };
         let model = model(&fields)?;
         let stream = flag(fields.get("stream"), "stream must be true or false.")?;
@@ -110,9 +110,9 @@
         self.set("model", Value::from(instance));
         // Written anew from decoded values, so that an escaped key is found too.
         let body = serde_json::to_vec(&self.fields)
-            .map_err(|_unwritable| Problem::bad("The body can't be written as JSON."))?;
+            .map_err(|_unwritable| Problem::bad_request("The body can't be written as JSON."))?;
         if key.is_in(&body) {
-            return Err(Problem::bad("The body holds the caller's key."));
+            return Err(Problem::bad_request("The body holds the caller's key."));
         }
         Ok(body)
     }
@@ -140,8 +140,10 @@
 
 fn model(fields: &Map<String, Value>) -> Result<String, Problem> {
     match fields.get("model").and_then(Value::as_str) {
-        Some(name) if (1..=MAX_MODEL_CHARS).contains(&name.len()) => Ok(name.to_owned()),
-        _ => Err(Problem::bad("model must be a name of 1 to 256 characters.")),
+        Some(name) if (1..=MAX_MODEL_BYTES).contains(&name.len()) => Ok(name.to_owned()),
+        _ => Err(Problem::bad_request(
+            "model must be a name of 1 to 256 characters.",
+        )),
     }
 }
 
@@ -152,7 +154,7 @@
     match value {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(flag)) => Ok(*flag),
-        Some(_) => Err(Problem::bad(detail)),
+        Some(_) => Err(Problem::bad_request(detail)),
     }
 }
 
@@ -163,25 +165,28 @@
             None | Some(Value::Null | Value::Bool(false))
         )
     };
-    let one = |name: &str| matches!(fields.get(name).map(Value::as_u64), None | Some(Some(1)));
+    let is_one_or_unset =
+        |name: &str| matches!(fields.get(name).map(Value::as_u64), None | Some(Some(1)));
     match () {
-        () if UNSUPPORTED.iter().any(is_set) => Err(Problem::bad(
+        () if UNSUPPORTED.iter().any(is_set) => Err(Problem::bad_request(
             "Tools, logprobs, echo, suffix and modalities are not supported.",
         )),
-        () if !one("n") || !one("best_of") => Err(Problem::bad("n and best_of must be 1.")),
+        () if !is_one_or_unset("n") || !is_one_or_unset("best_of") => {
+            Err(Problem::bad_request("n and best_of must be 1."))
+        }
         () => Ok(()),
     }
 }
 
 fn max_tokens(fields: &Map<String, Value>) -> Result<u64, Problem> {
-    let asked = ["max_completion_tokens", "max_tokens"]
+    let requested = ["max_completion_tokens", "max_tokens"]
         .iter()
         .filter_map(|&name| fields.get(name))
         .find(|value| !value.is_null());
-    match asked.map(Value::as_u64) {
+    match requested.map(Value::as_u64) {
         None => Ok(DEFAULT_MAX_TOKENS),
         Some(Some(tokens)) if (1..=MAX_TOKENS).contains(&tokens) => Ok(tokens),
-        Some(_) => Err(Problem::bad(
+        Some(_) => Err(Problem::bad_request(
             "max_tokens must be a number from 1 to 1048576.",
         )),
     }
@@ -190,13 +195,14 @@
 fn plain_size(fields: &Map<String, Value>) -> Result<u64, Problem> {
     match fields.get("prompt").and_then(Value::as_str) {
         Some(prompt) => Ok(prompt.len() as u64),
-        None => Err(Problem::bad("prompt must be a string.")),
+        None => Err(Problem::bad_request("prompt must be a string.")),
     }
 }
 
 /// Bytes of text and number of messages.
 fn chat_size(fields: &Map<String, Value>) -> Result<(u64, u64), Problem> {
-    let malformed = Problem::bad("messages must be a list of objects with role and content.");
+    let malformed =
+        Problem::bad_request("messages must be a list of objects with role and content.");
     let messages = match fields.get("messages").and_then(Value::as_array) {
         Some(messages) if !messages.is_empty() => messages,
         _ => return Err(malformed),
--- a/crates/gateway/src/request/idempotency_key.rs
+++ b/crates/gateway/src/request/idempotency_key.rs
@@ -5,7 +5,7 @@
 };
 
 /// Bytes that an idempotency key has at most.
-const MAX_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// The value of an `Idempotency-Key` header.
 ///
@@ -22,7 +22,7 @@
     /// `bad_request` when it is empty, too long, or holds other than visible ASCII.
     pub fn parse(value: &[u8]) -> Result<Self, Problem> {
         let malformed =
-            Problem::bad("The Idempotency-Key is not 1 to 255 visible ASCII characters.");
+            Problem::bad_request("The Idempotency-Key is not 1 to 255 visible ASCII characters.");
         let text = std::str::from_utf8(value)
             .map_err(|_not_utf8| malformed)?
             .trim();
@@ -30,11 +30,11 @@
             Some(quoted) => quoted.strip_suffix('"').ok_or(malformed)?,
             None => text,
         };
-        let well_formed = (1..=MAX_BYTES).contains(&text.len())
+        let is_well_formed = (1..=MAX_KEY_BYTES).contains(&text.len())
             && text
                 .bytes()
                 .all(|b| b.is_ascii_graphic() && b != b'"' && b != b'\\');
-        if well_formed {
+        if is_well_formed {
             Ok(Self(text.to_owned()))
         } else {
             Err(malformed)
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -5,7 +5,7 @@
 mod cost;
 mod idempotency_key;
 mod problem;
-mod request_id;
+mod request_name;
 mod service_path;
 
 pub use {
@@ -14,6 +14,6 @@
     cost::{DEFAULT_MAX_TOKENS, completion_cost},
     idempotency_key::IdempotencyKey,
     problem::Problem,
-    request_id::RequestName,
+    request_name::RequestName,
     service_path::ServicePath,
 };
--- a/crates/gateway/src/request/problem.rs
+++ b/crates/gateway/src/request/problem.rs
@@ -15,7 +15,7 @@
 
 impl Problem {
     /// A request that isn't what the API takes.
-    pub const fn bad(detail: &'static str) -> Self {
+    pub const fn bad_request(detail: &'static str) -> Self {
         Self {
             refusal: Refusal::new(ErrorKind::BadRequest),
             detail,
--- a/crates/gateway/src/request/request_id.rs
+++ b/crates/gateway/src/request/request_name.rs
@@ -1,7 +1,7 @@
 use super::CallerKey;
 
 /// Characters that a caller's own request id may have.
-const MAX_CHARS: usize = 64;
+const MAX_REQUEST_NAME_BYTES: usize = 64;
 
 /// The name under which caller, logs and answers know a request.
 ///
@@ -17,21 +17,22 @@
         value: &[u8],
         key: Option<&CallerKey>,
     ) -> Option<Self> {
-        let allowed = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
-        let well_formed = (1..=MAX_CHARS).contains(&value.len()) && value.iter().all(allowed);
+        let is_allowed = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
+        let is_well_formed =
+            (1..=MAX_REQUEST_NAME_BYTES).contains(&value.len()) && value.iter().all(is_allowed);
         let holds_key = key.is_some_and(|key| key.is_in(value));
         match std::str::from_utf8(value) {
-            Ok(name) if well_formed && !holds_key => Some(Self(name.to_owned())),
+            Ok(name) if is_well_formed && !holds_key => Some(Self(name.to_owned())),
             _ => None,
         }
     }
 
     /// A name made here from a number that is unique.
     pub fn new(
-        origin: &str,
+        id_prefix: &str,
         number: u64,
     ) -> Self {
-        Self(format!("req-{origin}-{number}"))
+        Self(format!("req-{id_prefix}-{number}"))
     }
 
     /// The name as text.
--- a/crates/gateway/src/request/service_path.rs
+++ b/crates/gateway/src/request/service_path.rs
@@ -25,16 +25,19 @@
     ) -> Result<Self, Problem> {
         let path = format!("/{}", path.trim_start_matches('/'));
         let lower = path.to_ascii_lowercase();
-        let steps = lower
+        let has_dot_segment = lower
             .replace("%2e", ".")
             .split('/')
             .any(|segment| segment == "." || segment == "..");
-        let hides = lower.contains("%2f") || lower.contains("%5c") || lower.contains('\\');
+        let has_encoded_separator =
+            lower.contains("%2f") || lower.contains("%5c") || lower.contains('\\');
         match () {
-            () if steps || hides => Err(Problem::bad("The path steps up or hides a separator.")),
-            () if key.is_in(path.as_bytes()) || key.is_in(query.as_bytes()) => {
-                Err(Problem::bad("The path or query holds the caller's key."))
-            }
+            () if has_dot_segment || has_encoded_separator => Err(Problem::bad_request(
+                "The path steps up or hides a separator.",
+            )),
+            () if key.is_in(path.as_bytes()) || key.is_in(query.as_bytes()) => Err(
+                Problem::bad_request("The path or query holds the caller's key."),
+            ),
             () => Ok(Self {
                 path,
                 query: query.to_owned(),
@@ -55,7 +58,7 @@
         service
             .calls
             .iter()
-            .find(|call| call.method == method && matches(&call.path, &self.path))
+            .find(|call| call.method == method && path_matches(&call.path, &self.path))
             .ok_or(ErrorKind::ServiceNotFound)
     }
 
@@ -69,7 +72,7 @@
     }
 }
 
-fn matches(
+fn path_matches(
     pattern: &str,
     path: &str,
 ) -> bool {
--- a/crates/gateway/src/sse/assembly.rs
+++ b/crates/gateway/src/sse/answer_builder.rs
@@ -9,14 +9,14 @@
 /// Engines are asked for a stream also where the caller wants the answer in one piece: a stream tells
 /// a slow engine from a dead connection, and it can be resumed.
 #[derive(Clone, Debug, Default)]
-pub struct Assembly {
+pub struct AnswerBuilder {
     text: String,
     finish_reason: Option<String>,
     created: Option<u64>,
     usage: Usage,
 }
 
-impl Assembly {
+impl AnswerBuilder {
     /// Adds what a chunk brings.
     pub fn add(
         &mut self,
--- a/crates/gateway/src/sse/decoder.rs
+++ b/crates/gateway/src/sse/decoder.rs
@@ -32,7 +32,7 @@
 pub struct Decoder {
     buf: BytesMut,
     /// How far `buf` is known to hold no line end.
-    searched: usize,
+    searched_len: usize,
     event: Event,
     has_data: bool,
 }
@@ -85,17 +85,19 @@
     }
 
     fn next_line(&mut self) -> Result<Option<String>, SseError> {
-        let end = self.buf[self.searched..].iter().position(|&b| b == b'\n');
+        let end = self.buf[self.searched_len..]
+            .iter()
+            .position(|&b| b == b'\n');
         let Some(end) = end else {
-            self.searched = self.buf.len();
+            self.searched_len = self.buf.len();
             return if self.buf.len() > MAX_EVENT_BYTES {
                 Err(SseError::TooLarge)
             } else {
                 Ok(None)
             };
         };
-        let mut line = self.buf.split_to(self.searched + end + 1);
-        self.searched = 0;
+        let mut line = self.buf.split_to(self.searched_len + end + 1);
+        self.searched_len = 0;
         line.truncate(line.len() - 1);
         if line.last() == Some(&b'\r') {
             line.truncate(line.len() - 1);
--- a/crates/gateway/src/sse/mod.rs
+++ b/crates/gateway/src/sse/mod.rs
@@ -1,11 +1,11 @@
 //! An engine's stream of events: decoding, checking, and putting together a whole answer.
 
-mod assembly;
+mod answer_builder;
 mod chunk;
 mod decoder;
 
 pub use {
-    assembly::Assembly,
+    answer_builder::AnswerBuilder,
     chunk::{Chunk, Usage},
     decoder::{Decoder, Event, SseError},
 };
--- a/crates/gateway/src/status/readiness.rs
+++ b/crates/gateway/src/status/readiness.rs
@@ -7,13 +7,13 @@
 #[derive(Debug, Default)]
 pub struct Readiness {
     confirmed: AtomicBool,
-    settled: AtomicBool,
-    unready: AtomicBool,
-    stopping: AtomicBool,
+    rights_available: AtomicBool,
+    draining: AtomicBool,
+    admission_stopped: AtomicBool,
     in_flight: AtomicU64,
-    cut_off: AtomicBool,
-    cut: Notify,
-    stop: Notify,
+    aborted: AtomicBool,
+    abort_notify: Notify,
+    stop_notify: Notify,
 }
 
 impl Readiness {
@@ -35,75 +35,75 @@
         &self,
         settled: bool,
     ) {
-        self.settled.store(settled, Ordering::Relaxed);
+        self.rights_available.store(settled, Ordering::Relaxed);
     }
 
     /// Tells balancers to send nothing more.
-    pub fn leave_balancers(&self) {
-        self.unready.store(true, Ordering::Relaxed);
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::Relaxed);
     }
 
     /// Whether this daemon is about to stop.
-    pub fn is_leaving(&self) -> bool {
-        self.unready.load(Ordering::Relaxed)
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Relaxed)
     }
 
     /// Whether balancers may send requests.
     pub fn is_ready(&self) -> bool {
         self.is_confirmed()
-            && self.settled.load(Ordering::Relaxed)
-            && !self.unready.load(Ordering::Relaxed)
+            && self.rights_available.load(Ordering::Relaxed)
+            && !self.draining.load(Ordering::Relaxed)
     }
 
     /// Admits nothing any more.
     pub fn stop_admitting(&self) {
-        self.stopping.store(true, Ordering::Relaxed);
+        self.admission_stopped.store(true, Ordering::Relaxed);
     }
 
     /// Whether nothing is admitted any more.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.load(Ordering::Relaxed)
+        self.admission_stopped.load(Ordering::Relaxed)
     }
 
     /// Asks for a planned stop, so that a new run can begin.
     pub fn ask_to_stop(&self) {
-        self.stop.notify_one();
+        self.stop_notify.notify_one();
     }
 
     /// Waits until a planned stop is asked for.
-    pub async fn until_asked_to_stop(&self) {
-        self.stop.notified().await;
+    pub async fn until_stop_requested(&self) {
+        self.stop_notify.notified().await;
     }
 
     /// Ends what still runs.
-    pub fn cut_off(&self) {
-        self.cut_off.store(true, Ordering::SeqCst);
-        self.cut.notify_waiters();
+    pub fn abort_requests(&self) {
+        self.aborted.store(true, Ordering::SeqCst);
+        self.abort_notify.notify_waiters();
     }
 
     /// Waits until what still runs is to be ended.
-    pub async fn until_cut_off(&self) {
-        let cut = self.cut.notified();
-        if !self.cut_off.load(Ordering::SeqCst) {
-            cut.await;
+    pub async fn until_aborted(&self) {
+        let abort_notify = self.abort_notify.notified();
+        if !self.aborted.load(Ordering::SeqCst) {
+            abort_notify.await;
         }
     }
 
     /// Counts one more request, unless there are `limit` already.
-    pub fn enter(
+    pub fn try_begin_request(
         &self,
         limit: u64,
     ) -> bool {
-        let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let has_room = before < limit;
-        if !has_room {
-            self.leave();
+        let previous = self.in_flight.fetch_add(1, Ordering::Relaxed);
+        let is_below_limit = previous < limit;
+        if !is_below_limit {
+            self.end_request();
         }
-        has_room
+        is_below_limit
     }
 
     /// Counts one request less.
-    pub fn leave(&self) {
+    pub fn end_request(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/upstream/client.rs
+++ b/crates/gateway/src/upstream/client.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BytesLeft, UpstreamIo},
+    super::{BytesWritten, UpstreamIo},
     actix_rt::net::TcpStream,
     actix_service::fn_service,
     actix_tls::connect::{ConnectError, ConnectInfo, Connection},
@@ -12,12 +12,12 @@
 /// How long connecting may take; upstreams stand a few milliseconds away.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// An idle connection older than this is not used again: long idle ones die unnoticed most often.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// No connection is used for longer.
-const LIFETIME: Duration = Duration::from_mins(5);
+const MAX_CONNECTION_AGE: Duration = Duration::from_mins(5);
 
 /// An upstream's answer as it begins.
-pub type Sent = ClientResponse;
+pub type UpstreamResponse = ClientResponse;
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 impl Default for Connections {
     fn default() -> Self {
         Self {
-            pooled: RefCell::new(client(&BytesLeft::default())),
+            pooled: RefCell::new(client(&BytesWritten::default())),
         }
     }
 }
@@ -56,23 +56,23 @@
 impl Connections {
     /// Sends a request and waits for the head of its answer.
     ///
-    /// A `fresh` one gets a connection of its own that nobody has used before.
+    /// A `force_new_connection` one gets a connection of its own that nobody has used before.
     ///
     /// # Errors
     ///
     /// [`SendFailure::NotSent`] only with proof that no byte left.
     pub async fn send(
         &self,
-        fresh: bool,
+        force_new_connection: bool,
         address: SocketAddr,
         method: Method,
         target: &str,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<Sent, SendFailure> {
-        let left = BytesLeft::default();
-        let client = if fresh {
-            client(&left)
+    ) -> Result<UpstreamResponse, SendFailure> {
+        let written = BytesWritten::default();
+        let client = if force_new_connection {
+            client(&written)
         } else {
             self.pooled.borrow().clone()
         };
@@ -82,12 +82,14 @@
         for (name, value) in headers {
             req = req.append_header((name, value));
         }
-        if fresh {
+        if force_new_connection {
             req = req.force_close();
         }
         req.send_body(body).await.map_err(|e| match e {
-            _ if fresh && !left.any() => SendFailure::NotSent,
-            SendRequestError::Connect(e) if !fresh && is_before_sending(&e) => SendFailure::NotSent,
+            _ if force_new_connection && !written.any() => SendFailure::NotSent,
+            SendRequestError::Connect(e) if !force_new_connection && is_before_sending(&e) => {
+                SendFailure::NotSent
+            }
             _ => SendFailure::Lost,
         })
     }
@@ -96,8 +98,8 @@
     ///
     /// When one connection has gone silent, others that went the same way are likely to be dead too,
     /// and each would cost a request the whole wait before that is noticed.
-    pub fn renew(&self) {
-        self.pooled.replace(client(&BytesLeft::default()));
+    pub fn discard_idle(&self) {
+        self.pooled.replace(client(&BytesWritten::default()));
     }
 }
 
@@ -112,14 +114,14 @@
     )
 }
 
-fn client(left: &BytesLeft) -> Client {
-    let left = left.clone();
-    let dial = fn_service(move |info: ConnectInfo<Uri>| dial(info, left.clone()));
+fn client(written: &BytesWritten) -> Client {
+    let written = written.clone();
+    let dial = fn_service(move |info: ConnectInfo<Uri>| dial(info, written.clone()));
     let connector = Connector::new()
         .connector(dial)
         .timeout(CONNECT_TIMEOUT)
-        .conn_keep_alive(IDLE_LIMIT)
-        .conn_lifetime(LIFETIME)
+        .conn_keep_alive(IDLE_TIMEOUT)
+        .conn_lifetime(MAX_CONNECTION_AGE)
         .limit(0);
     Client::builder()
         .connector(connector)
@@ -133,7 +135,7 @@
 
 async fn dial(
     info: ConnectInfo<Uri>,
-    left: BytesLeft,
+    written: BytesWritten,
 ) -> Result<Connection<Uri, UpstreamIo>, ConnectError> {
     let mut info = info;
     let address = info.take_addrs().next().ok_or(ConnectError::Unresolved)?;
@@ -141,7 +143,7 @@
         .await
         .map_err(ConnectError::Io)?;
     stream.set_nodelay(true).map_err(ConnectError::Io)?;
-    let io: io::Result<UpstreamIo> = Ok(UpstreamIo::new(stream, left));
+    let io: io::Result<UpstreamIo> = Ok(UpstreamIo::new(stream, written));
     Ok(Connection::new(
         info.request().clone(),
         io.map_err(ConnectError::Io)?,
--- a/crates/gateway/src/upstream/io.rs
+++ b/crates/gateway/src/upstream/io.rs
@@ -12,9 +12,9 @@
 
 /// Whether any byte has been written to a connection.
 #[derive(Clone, Debug, Default)]
-pub struct BytesLeft(Rc<Cell<bool>>);
+pub struct BytesWritten(Rc<Cell<bool>>);
 
-impl BytesLeft {
+impl BytesWritten {
     /// Whether any byte has left.
     pub fn any(&self) -> bool {
         self.0.get()
@@ -29,16 +29,16 @@
 #[derive(Debug)]
 pub struct UpstreamIo {
     stream: TcpStream,
-    left: BytesLeft,
+    written: BytesWritten,
 }
 
 impl UpstreamIo {
     /// Wraps a connection.
     pub const fn new(
         stream: TcpStream,
-        left: BytesLeft,
+        written: BytesWritten,
     ) -> Self {
-        Self { stream, left }
+        Self { stream, written }
     }
 }
 
@@ -66,7 +66,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         // Noted before the attempt: an error doesn't prove that nothing left.
-        self.left.note();
+        self.written.note();
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
@@ -75,7 +75,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.left.note();
+        self.written.note();
         Pin::new(&mut self.stream).poll_write_vectored(cx, bufs)
     }
 
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -13,6 +13,6 @@
 mod io;
 
 pub use {
-    client::{Connections, SendFailure, Sent},
-    io::{BytesLeft, UpstreamIo},
+    client::{Connections, SendFailure, UpstreamResponse},
+    io::{BytesWritten, UpstreamIo},
 };
