--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,13 +1,14 @@
-//! The daemon's own clock.
+//! The monotonic clock of the daemon.
 
 use {jasmine_core::clock::Millis, std::time::Instant};
 
-/// What the clock shows at the start: moments before it, such as when the store confirmed something that
-/// a controller tells of, have to lie on the clock too. Counted from nought, a gateway took such word for
-/// no word at all, and refused everything for its first seconds after it had said that it was ready.
-const START: Millis = Millis::from_secs(24 * 3600);
+/// Time of the clock at process start.
+///
+/// It is above zero so that moments before the start, such as the last confirmation of the
+/// configuration by the store, can be represented.
+const START_TIME: Millis = Millis::from_secs(24 * 3600);
 
-/// Counts milliseconds from the start of the process, also while the process is frozen.
+/// Counts milliseconds since process start, including time while the process is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -22,16 +23,16 @@
 }
 
 impl Clock {
-    /// The present moment.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
-        START + Millis(self.origin.elapsed().as_millis() as u64)
+        START_TIME + Millis(self.origin.elapsed().as_millis() as u64)
     }
 
-    /// The moment as the runtime's timers need it.
+    /// Converts a time of this clock to an instant for tokio's timers.
     pub fn instant(
         &self,
         at: Millis,
     ) -> tokio::time::Instant {
-        (self.origin + at.since(START).to_std()).into()
+        (self.origin + at.since(START_TIME).to_std()).into()
     }
 }
--- a/crates/gateway/src/daemon/command.rs
+++ b/crates/gateway/src/daemon/command.rs
@@ -1,6 +1,6 @@
 use {clap::Command, jasmine_conf::start::daemon_command};
 
-/// The command line.
+/// Returns the command-line definition.
 pub fn command() -> Command {
     daemon_command(
         "jasmine-gateway",
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the daemon.
+//! Startup and shutdown of the daemon.
 
 mod command;
 mod run;
--- a/crates/gateway/src/daemon/run.rs
+++ b/crates/gateway/src/daemon/run.rs
@@ -24,47 +24,47 @@
     tokio::sync::watch,
 };
 
-/// How long an idle connection of a caller is kept.
+/// How long an idle connection of a caller is kept open.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a caller may take to close a connection that is done.
+/// How long a caller may take to close a finished connection.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const ACCEPT_BACKLOG: u32 = 2048;
 
-/// Why the daemon can't run.
+/// An error at startup or of a server.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum DaemonError {
-    /// An address of the settings can't be listened on.
+    /// A configured address can't be bound.
     #[display("can't listen on {key} = {address}: {source}")]
     Listen {
-        /// The settings' key.
+        /// Settings key of the address.
         key: &'static str,
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Metrics can't be set up.
+    /// The metrics could not be set up.
     #[display("{_0}")]
     Metrics(MetricsError),
-    /// A server failed.
+    /// An HTTP server failed.
     #[display("the server failed: {_0}")]
     Server(io::Error),
 }
 
-/// The sockets, bound before anything else so that a wrong address is told at once.
+/// The listening sockets, bound first so that an invalid address fails at once.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
     status: TcpListener,
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it is stopped.
 ///
 /// # Errors
 ///
-/// [`DaemonError`] when it can't start or its server fails.
+/// [`DaemonError`] if the daemon can't start or a server fails.
 pub async fn run(settings: GatewaySettings) -> Result<(), DaemonError> {
     let listeners = bind(&settings)?;
     let addresses = [&listeners.callers, &listeners.peers, &listeners.status]
@@ -138,7 +138,7 @@
     })
 }
 
-/// The time of the start: a later run on the same VM has a later one.
+/// Returns the start time in Unix milliseconds, which increases with each run on a VM.
 fn incarnation() -> Incarnation {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(elapsed.unwrap_or_default().as_millis() as u64)
@@ -146,7 +146,7 @@
 
 #[expect(
     clippy::too_many_arguments,
-    reason = "everything that crosses over to the brain's thread at its start"
+    reason = "all values that move to the thread of the brain at startup"
 )]
 fn start_brain(
     arbiter: &Arbiter,
@@ -202,8 +202,8 @@
     Ok(server.run())
 }
 
-/// What the stop needs of the two servers.
+/// Handles of the two HTTP servers, for stopping them.
 pub(super) type Servers = [ServerHandle; 2];
 
-/// The longest that closing the servers may take, out of what is left of the deadline.
+/// Time reserved for closing the servers before the stop deadline.
 pub(super) const CLOSE_TIMEOUT: Millis = Millis(500);
--- a/crates/gateway/src/daemon/stop.rs
+++ b/crates/gateway/src/daemon/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: readiness first, then admission, then streams, then rights.
+//! Planned shutdown: readiness, admission, running requests and rights are stopped in this order.
 
 use {
     super::run::{CLOSE_TIMEOUT, Servers},
@@ -17,18 +17,17 @@
     },
 };
 
-/// How often it is looked whether all requests have ended.
+/// How often the number of requests in flight is checked.
 const DRAIN_POLL_INTERVAL: Millis = Millis(20);
-/// How long callers may take to read that their answer is cut.
+/// How long aborted requests may take to send their error to the caller.
 const ABORT_TIMEOUT: Millis = Millis(200);
-/// How long giving the rights back may take.
+/// How long the release of rights may take.
 const RELEASE_TIMEOUT: Millis = Millis(800);
 
-/// Waits for SIGTERM or SIGINT and stops everything in order.
+/// Waits for SIGTERM, SIGINT or a requested stop, then shuts the daemon down.
 ///
-/// Readiness goes first and admission a little later: balancers need a moment to notice, and what they send in
-/// it would otherwise be refused although nothing was wrong. Rights go back only when nothing is admitted any
-/// more, since they may be used elsewhere from then on.
+/// Admission continues for the grace period after readiness ends, since load balancers need time to
+/// notice. Rights are released only after admission has stopped, since other VMs may then use them.
 pub(super) async fn run_on_signal(
     stop: Stop,
     readiness: Arc<Readiness>,
@@ -78,7 +77,7 @@
         .with("ms", started.elapsed().as_millis())
         .info();
     for server in servers {
-        // Its answer comes when the workers have ended; the process ends by itself then.
+        // Not awaited: `run` returns once the workers have ended.
         drop(server.stop(false));
     }
 }
--- a/crates/gateway/src/forward/context.rs
+++ b/crates/gateway/src/forward/context.rs
@@ -11,35 +11,35 @@
     tokio::time::Instant,
 };
 
-/// What a request brings along besides what is sent.
+/// Everything that forwarding a request needs besides the outbound request itself.
 #[derive(Clone, Debug)]
 pub struct ForwardContext {
-    /// The worker's connections.
+    /// Upstream connections of the worker thread.
     pub connections: Rc<Connections>,
-    /// The daemon's clock.
+    /// The process-wide clock.
     pub clock: Clock,
-    /// The request's number.
+    /// Number of the request, unique within the process.
     pub request: RequestId,
-    /// Its name.
+    /// Request id as callers and logs see it.
     pub name: RequestName,
-    /// The process's part of the ids of attempts.
+    /// Prefix that makes upstream request ids unique across processes.
     pub id_prefix: String,
-    /// The key that came with it.
+    /// API key of the caller.
     pub key: CallerKey,
-    /// The client account's name.
+    /// Name of the client account.
     pub account: String,
-    /// The priority class.
+    /// Name of the priority class.
     pub priority: &'static str,
-    /// The model as the caller named it, or the service.
+    /// Name of the requested model or service, as the caller sent it.
     pub requested_name: String,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// Tells when the daemon stops.
+    /// Readiness of the daemon, which signals when requests must be aborted.
     pub readiness: Arc<Readiness>,
-    /// Where figures go.
+    /// Metrics of requests.
     pub metrics: RequestMetrics,
-    /// Where refusals are counted.
+    /// Counters of refused requests.
     pub refusals: Refusals,
-    /// Account and class of the figures.
+    /// Metric labels: account and priority class.
     pub labels: Labels,
 }
--- a/crates/gateway/src/forward/driver.rs
+++ b/crates/gateway/src/forward/driver.rs
@@ -25,16 +25,16 @@
     tokio::{sync::oneshot, time::Instant},
 };
 
-/// How long a caller may take to read the end of a broken answer.
+/// How long a slow caller is waited for when a broken stream ends with an error event.
 const FINAL_EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What has event.
+/// An input of the driver.
 enum DriverEvent {
     Upstream(UpstreamEvent),
     Forward(Event),
 }
 
-/// Drives the forwarding of one request to its end.
+/// Forwards one request by driving its [`ForwardMachine`].
 pub struct Driver {
     cx: ForwardContext,
     plan: ForwardPlan,
@@ -64,7 +64,7 @@
 }
 
 impl Driver {
-    /// A driver for a request that has been announced to the brain.
+    /// Creates a driver for a request that has been submitted for admission.
     pub fn new(
         cx: ForwardContext,
         plan: ForwardPlan,
@@ -73,7 +73,7 @@
         lease: Lease,
         routing: oneshot::Receiver<Result<Routed, Refusal>>,
     ) -> Self {
-        // The first route was asked for with the announcement.
+        // The first route was requested together with the admission.
         let (machine, _route) = ForwardMachine::new(plan, cx.clock.now());
         Self {
             sleep: Box::pin(tokio::time::sleep_until(cx.clock.instant(plan.deadline))),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Runs until the caller has its answer or has gone.
+    /// Runs until the caller has received the response or has disconnected.
     pub async fn run(mut self) -> ForwardResult {
         let readiness = Arc::clone(&self.cx.readiness);
         let mut aborted = std::pin::pin!(readiness.until_aborted());
@@ -128,8 +128,8 @@
             return DriverEvent::Forward(tokio::select! {
                 biased;
                 () = self.lease.withdrawn() => Event::KeyWithdrawn,
-                taken = self.response_sender.flush() => {
-                    if taken { Event::CallerReady } else { Event::CallerGone }
+                is_flushed = self.response_sender.flush() => {
+                    if is_flushed { Event::CallerReady } else { Event::CallerGone }
                 }
                 () = sleep => Event::Timer,
             });
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Moves the timer only where it would come too late: one that comes early does no harm.
+    /// Moves the timer to an earlier wake-up only; a spurious wake-up is harmless.
     fn arm_timer(&mut self) {
         let wake = self.machine.wake_at().unwrap_or(self.plan.deadline);
         let wake = self.cx.clock.instant(wake);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Takes in what has event and says what the machine should know of it.
+    /// Stores the data of an event and converts it to an input of the state machine.
     fn record_event(
         &mut self,
         event: DriverEvent,
@@ -271,7 +271,7 @@
         fresh: bool,
     ) {
         if let Err(problem) = self.upstream.send(&self.cx, attempt, fresh) {
-            // Looked for before admission too, so this is a defect; nothing has left.
+            // Admission has already checked for this, so it is a bug; nothing was sent.
             self.refuse(problem);
             self.machine.handle(Event::CallerGone, self.cx.clock.now());
         }
@@ -375,7 +375,7 @@
             .await;
     }
 
-    /// Charges nothing where nothing ran, and all where nobody knows how much did.
+    /// Sets the charge to zero if nothing ran; otherwise the full charge stays.
     fn set_lease_outcome(
         &mut self,
         kind: ErrorKind,
--- a/crates/gateway/src/forward/errors.rs
+++ b/crates/gateway/src/forward/errors.rs
@@ -3,7 +3,7 @@
     serde_json::{Value, json},
 };
 
-/// The body of an answer that is an error.
+/// Returns the JSON body of an error response.
 pub fn error_body(
     problem: &Problem,
     request: &RequestName,
--- a/crates/gateway/src/forward/forward_result.rs
+++ b/crates/gateway/src/forward/forward_result.rs
@@ -1,10 +1,10 @@
 use super::BufferedAnswer;
 
-/// How a request ended.
+/// The result of forwarding a request.
 #[derive(Clone, Debug)]
 pub struct ForwardResult {
-    /// The whole answer of a plain service.
+    /// Response of a plain service; `None` for completions and failed calls.
     pub answer: Option<BufferedAnswer>,
-    /// Whether an upstream may have run it.
+    /// Whether an upstream may have executed the request.
     pub may_have_run: bool,
 }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Forwarding a request: the worker's side of [`jasmine_core::forward`].
+//! Forwards requests to upstreams: the I/O around the state machine of [`jasmine_core::forward`].
 
 mod context;
 mod driver;
--- a/crates/gateway/src/forward/outbound.rs
+++ b/crates/gateway/src/forward/outbound.rs
@@ -11,43 +11,43 @@
     jasmine_core::clock::Millis,
 };
 
-/// A call of a plain service, ready to be sent.
+/// A call of a plain service, ready to send.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the URL.
     pub target: String,
-    /// The caller's headers that are passed on.
+    /// Headers of the caller that are forwarded.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// What is sent to an upstream.
+/// A request to an upstream.
 #[derive(Clone, Debug)]
 pub enum Outbound {
-    /// A completion, to an engine.
+    /// A completion request to an engine.
     Completion(Box<CompletionRequest>),
-    /// A call, to a server of a plain service.
+    /// A call of a plain service.
     Service(ServiceRequest),
 }
 
-/// What goes with every attempt.
+/// Values of the headers that every attempt carries.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHeaders<'a> {
-    /// The attempt's own id.
+    /// Id of the attempt, unique across processes.
     pub request_id: &'a str,
-    /// The client account's name.
+    /// Name of the client account.
     pub account: &'a str,
-    /// The priority class.
+    /// Name of the priority class.
     pub priority: &'a str,
-    /// How long somebody still waits.
+    /// Time until the deadline of the request.
     pub remaining: Millis,
 }
 
 impl AttemptHeaders<'_> {
-    /// As headers.
+    /// Converts the values to a header map.
     pub fn to_map(self) -> HeaderMap {
         let mut map = HeaderMap::new();
         let remaining = self.remaining.to_string();
@@ -58,7 +58,7 @@
             ("x-deadline-ms", &remaining),
         ];
         for (name, value) in pairs {
-            // Names of accounts are checked when they are created; one that HTTP can't carry is left out.
+            // Account names are validated on creation; a value that is invalid in HTTP is omitted.
             if let Ok(value) = HeaderValue::from_str(value) {
                 map.insert(HeaderName::from_static(name), value);
             }
@@ -68,11 +68,11 @@
 }
 
 impl Outbound {
-    /// Method, target, headers and body of an attempt at `routed`.
+    /// Returns method, target, headers and body of an attempt at the upstream `routed`.
     ///
     /// # Errors
     ///
-    /// `bad_request` when the caller's key stands in the body.
+    /// `bad_request` if the body contains the caller's key.
     pub fn parts(
         &mut self,
         routed: &Routed,
--- a/crates/gateway/src/forward/response_sender.rs
+++ b/crates/gateway/src/forward/response_sender.rs
@@ -10,22 +10,22 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Parts that wait for a caller that reads slowly. More is not read from the upstream meanwhile.
+/// Parts of a stream that are queued for a slow caller before reading from the upstream pauses.
 const MAX_QUEUED_PARTS: usize = 16;
 
-/// An answer in one piece.
+/// A complete, non-streamed response.
 #[derive(Clone, Debug)]
 pub struct BufferedAnswer {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers of an upstream that are passed on.
+    /// Response headers, only those that are forwarded from the upstream.
     pub headers: HeaderMap,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl BufferedAnswer {
-    /// A JSON document as an answer.
+    /// Creates a `200 OK` response with a JSON body.
     pub fn from_json(json: &Value) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -37,20 +37,20 @@
     }
 }
 
-/// How an answer begins.
+/// The response to a caller, complete or streamed.
 #[derive(Debug)]
 pub enum Answer {
-    /// It is there in one piece.
+    /// A complete response.
     Buffered(BufferedAnswer),
-    /// Its parts come through the receiver.
+    /// A stream whose parts arrive through the receiver.
     Stream(mpsc::Receiver<Result<Bytes, Infallible>>),
 }
 
-/// The way back to the caller.
+/// Sends the response of one request to its HTTP handler.
 #[derive(Debug)]
 pub struct ResponseSender {
     state: State,
-    /// Whether the work goes on when the caller has gone.
+    /// Whether the request continues after the caller disconnects.
     is_detached: bool,
 }
 
@@ -65,37 +65,36 @@
 }
 
 impl ResponseSender {
-    /// A caller that waits for what comes through the receiver.
+    /// Creates a sender and the receiver of its response.
     pub fn new() -> (Self, oneshot::Receiver<Result<Answer, Problem>>) {
         let (tx, rx) = oneshot::channel();
-        let caller = Self {
+        let sender = Self {
             state: State::Waiting(tx),
             is_detached: false,
         };
-        (caller, rx)
+        (sender, rx)
     }
 
-    /// Lets the work go on when the caller has gone.
+    /// Lets the request continue after the caller disconnects.
     ///
-    /// A call that is recorded under an idempotency key is finished for the caller's next attempt:
-    /// cut off in the middle, nobody could say any more whether it ran.
+    /// Used for calls with an idempotency key: their result is stored for the caller's next attempt.
     pub const fn detached(mut self) -> Self {
         self.is_detached = true;
         self
     }
 
-    /// Answers in one piece, or with an error.
+    /// Sends a complete response or an error.
     pub fn answer(
         &mut self,
         answer: Result<BufferedAnswer, Problem>,
     ) {
         if let State::Waiting(tx) = mem::replace(&mut self.state, State::Ended) {
-            // A caller that has gone is noticed where its absence matters.
+            // A dropped receiver means that the caller disconnected, which `closed` reports.
             drop(tx.send(answer.map(Answer::Buffered)));
         }
     }
 
-    /// Passes a part on; false when the caller doesn't take it yet.
+    /// Sends a part of a stream; returns false if the queue is full and the part was kept as backlog.
     pub fn send_part(
         &mut self,
         part: Bytes,
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Whether a part waits to be taken.
+    /// Whether a part is waiting for space in the queue.
     pub const fn has_backlog(&self) -> bool {
         matches!(
             self.state,
@@ -126,7 +125,7 @@
         )
     }
 
-    /// Waits until the caller has taken what it didn't take at once; false when it has gone.
+    /// Waits until the backlog is queued; returns false if the caller has disconnected.
     pub async fn flush(&mut self) -> bool {
         let State::Streaming { tx, backlog } = &mut self.state else {
             return false;
@@ -140,7 +139,7 @@
         true
     }
 
-    /// Waits until the caller has closed its connection.
+    /// Waits until the caller disconnects; never returns for a detached request or an ended response.
     pub async fn closed(&mut self) {
         match &mut self.state {
             State::Waiting(tx) if !self.is_detached => tx.closed().await,
@@ -149,9 +148,7 @@
         }
     }
 
-    /// Sends the last part and ends the answer, however slowly the caller reads.
-    ///
-    /// Only a caller that still reads can get it: the wait is bounded by `deadline`.
+    /// Sends the last part and ends the stream, waiting until `deadline` for a slow caller.
     pub async fn end(
         &mut self,
         last: Bytes,
@@ -159,8 +156,8 @@
     ) {
         self.send_part(last);
         while self.has_backlog() {
-            let taken = tokio::time::timeout_at(deadline, self.flush()).await;
-            if taken != Ok(true) {
+            let flushed = tokio::time::timeout_at(deadline, self.flush()).await;
+            if flushed != Ok(true) {
                 break;
             }
         }
--- a/crates/gateway/src/forward/upstream_exchange.rs
+++ b/crates/gateway/src/forward/upstream_exchange.rs
@@ -23,10 +23,10 @@
     tokio::sync::oneshot,
 };
 
-/// How long an upstream may take to acknowledge that it stops.
+/// How long an engine may take to acknowledge a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a request waits for.
+/// The pending operation of an exchange.
 enum ExchangeState {
     Idle,
     Routing(oneshot::Receiver<Result<Routed, Refusal>>),
@@ -35,47 +35,47 @@
     ReadingBody(LocalBoxFuture<'static, Option<BufferedAnswer>>),
 }
 
-/// What came of sending.
+/// The result of sending a request.
 pub(super) enum HeadResult {
-    /// No answer began.
+    /// No response head was received.
     Failed(SendFailure),
-    /// An answer began.
+    /// A response head was received.
     Answered {
-        /// What its head says.
+        /// Classification of the response head.
         head: Head,
-        /// The name under which the engine knows it.
+        /// Name for resuming the stream, if the engine sent one.
         stream_name: Option<String>,
-        /// The rest of it.
+        /// The response with its unread body.
         response: Box<UpstreamResponse>,
     },
 }
 
-/// What came from the brain or the upstream.
+/// An event of an exchange.
 pub(super) enum UpstreamEvent {
-    /// An upstream, or none.
+    /// The chosen upstream, or a refusal.
     Routed(Result<Routed, Refusal>),
-    /// The head of an answer, or none.
+    /// The response head, or a failure.
     HeadReceived(HeadResult),
-    /// A part of a stream.
+    /// An item of a stream.
     StreamRead(StreamItem),
-    /// The whole answer of a plain service, or none.
+    /// The response of a plain service; `None` if it is truncated or too large.
     BodyRead(Option<BufferedAnswer>),
 }
 
-/// The attempt under way: where it goes, under which name, and what is waited for.
+/// The current attempt of a request at an upstream.
 pub(super) struct UpstreamExchange {
     pub(super) outbound: Outbound,
     pub(super) attempt: Attempt,
     pub(super) routed: Option<Routed>,
     deadline: Millis,
     state: ExchangeState,
-    /// The id under which the upstream knows the request, also when its stream is resumed.
+    /// Request id of the attempt that started the stream; resumptions reuse it.
     upstream_request_id: String,
     stream_name: Option<String>,
 }
 
 impl UpstreamExchange {
-    /// Waits for the route of the first attempt.
+    /// Creates the exchange, waiting for the route of the first attempt.
     pub(super) const fn new(
         outbound: Outbound,
         deadline: Millis,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The next thing that comes; may be dropped and called again.
+    /// Returns the next event; cancel safe.
     pub(super) async fn next(&mut self) -> UpstreamEvent {
         match &mut self.state {
             ExchangeState::Idle => std::future::pending().await,
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Closes the connection and waits for nothing.
+    /// Closes the connection and stops waiting.
     pub(super) fn abandon(&mut self) {
         self.state = ExchangeState::Idle;
     }
 
-    /// Waits for the route of another attempt.
+    /// Starts waiting for the route of another attempt.
     pub(super) fn route_again(
         &mut self,
         attempt: Attempt,
@@ -119,7 +119,7 @@
         self.state = ExchangeState::Routing(routing);
     }
 
-    /// Reads the answer whose head has come.
+    /// Starts reading the body of a response.
     pub(super) fn read(
         &mut self,
         response: UpstreamResponse,
@@ -137,11 +137,11 @@
             };
     }
 
-    /// Sends the request to where it was routed.
+    /// Sends the request to the routed upstream.
     ///
     /// # Errors
     ///
-    /// `bad_request` when the caller's key stands in it; nothing has left.
+    /// `bad_request` if the request contains the caller's key; nothing was sent.
     pub(super) fn send(
         &mut self,
         cx: &ForwardContext,
@@ -179,7 +179,7 @@
         Ok(())
     }
 
-    /// Goes on with the stream after the token `offset`.
+    /// Resumes the stream after the token `offset`.
     pub(super) fn resume(
         &mut self,
         cx: &ForwardContext,
@@ -207,7 +207,7 @@
         }));
     }
 
-    /// Tells the engine to stop; closing the connection alone leaves a resumable stream running.
+    /// Cancels the stream; closing the connection alone leaves a resumable stream running.
     pub(super) fn cancel(
         &self,
         cx: &ForwardContext,
@@ -228,7 +228,7 @@
                 headers,
                 Bytes::new(),
             );
-            // Best effort: an engine that doesn't hear it finishes the answer for nobody.
+            // Best effort: if the request is lost, the engine only generates unused tokens.
             drop(tokio::time::timeout(CANCEL_TIMEOUT, cancel).await);
         });
     }
--- a/crates/gateway/src/forward/upstream_response.rs
+++ b/crates/gateway/src/forward/upstream_response.rs
@@ -16,36 +16,36 @@
     serde_json::Value,
 };
 
-/// Bytes of an answer that is kept whole.
+/// Largest response of a plain service that is buffered, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Bytes of an error's body that are looked at.
+/// Largest error body that is parsed, in bytes.
 const MAX_ERROR_BYTES: usize = 64 << 10;
-/// Headers of a plain service's answer that are passed on.
+/// Response headers of a plain service that are forwarded to the caller.
 const FORWARDED_HEADERS: [HeaderName; 3] = [CONTENT_TYPE, ETAG, LOCATION];
 
-/// What an engine must say in its answer for it to be the right one.
+/// What the response of an upstream is checked against.
 #[derive(Clone, Debug)]
 pub struct Expected {
-    /// The id of the attempt.
+    /// Id of the attempt.
     pub request_id: String,
-    /// The weights that have to run.
+    /// Weights that the engine must have used.
     pub weights: String,
-    /// The method, which says whether there is a body at all.
+    /// HTTP method; a response to `HEAD` has no body.
     pub method: Method,
 }
 
-/// What arrived of a streamed answer.
+/// An item of a streamed response.
 #[derive(Debug)]
 pub enum StreamItem {
-    /// A chunk.
+    /// A chunk of the completion.
     Chunk(Chunk),
-    /// The end that the engine marks.
+    /// The `[DONE]` event.
     Done,
-    /// The stream broke off, or what arrived makes no sense or belongs to another request.
+    /// The stream ended early, is malformed, or belongs to another request.
     Broken,
 }
 
-/// A streamed answer that is being read.
+/// Reads the event stream of an engine.
 #[derive(Debug)]
 pub struct StreamReader {
     response: UpstreamResponse,
@@ -54,7 +54,7 @@
 }
 
 impl StreamReader {
-    /// Reads the body of `response`, which answers the attempt `request_id`.
+    /// Creates a reader of `response`, the response to the attempt `request_id`.
     pub fn new(
         response: UpstreamResponse,
         request_id: String,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The next thing that arrives; may be dropped and called again.
+    /// Returns the next item; cancel safe.
     pub async fn next(&mut self) -> StreamItem {
         loop {
             match self.decoder.next_event() {
@@ -77,13 +77,13 @@
             }
             match self.response.next().await {
                 Some(Ok(bytes)) => self.decoder.feed(&bytes),
-                // An end without its mark is none.
+                // A stream must end with `[DONE]`.
                 Some(Err(_)) | None => return StreamItem::Broken,
             }
         }
     }
 
-    /// A connection that got another's answer in the middle is as bad as a broken one.
+    /// Parses a chunk; one of another request counts as a broken stream.
     fn chunk(
         &self,
         event: &crate::sse::Event,
@@ -95,7 +95,7 @@
     }
 }
 
-/// What the head of an engine's answer says; the stream's name where it has one.
+/// Classifies the response head of an engine; also returns the stream name, if any.
 pub async fn engine_head(
     response: &mut UpstreamResponse,
     expected: &Expected,
@@ -129,7 +129,7 @@
     (head, stream)
 }
 
-/// What the head of a plain service's answer says.
+/// Classifies the response head of a plain service.
 pub fn service_head(
     response: &UpstreamResponse,
     expected: &Expected,
@@ -141,9 +141,10 @@
     }
 }
 
-/// Whether an answer says where it ends.
+/// Whether a response has a length or chunked framing.
 ///
-/// One that ends with its connection can't be told from one that broke off, and awc reads it as empty.
+/// A body delimited by the end of the connection can't be distinguished from a truncated one, and
+/// awc reads it as empty.
 fn has_message_framing(response: &UpstreamResponse) -> bool {
     let headers = response.headers();
     let is_marked = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
@@ -151,7 +152,7 @@
     is_marked || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED
 }
 
-/// The whole answer of a plain service; none when it broke off or is too large to be kept.
+/// Reads the response of a plain service; `None` if it is truncated or too large.
 pub async fn read_service_answer(
     mut response: UpstreamResponse,
     method: Method,
--- a/crates/gateway/src/http/admit.rs
+++ b/crates/gateway/src/http/admit.rs
@@ -20,10 +20,10 @@
     tokio::time::Instant,
 };
 
-/// The longest deadline that a caller may name.
+/// Longest deadline that a caller may request.
 const MAX_DEADLINE: Millis = Millis::from_secs(3600);
 
-/// A request as it came in, before anything is known of its caller.
+/// A request whose caller is not yet authenticated.
 #[derive(Debug)]
 pub(super) struct IncomingRequest {
     pub(super) worker: Worker,
@@ -33,7 +33,7 @@
     key: Result<CallerKey, ErrorKind>,
 }
 
-/// A request whose caller is known.
+/// The authenticated caller of a request.
 #[derive(Debug)]
 pub(super) struct Authenticated {
     pub(super) key: CallerKey,
@@ -43,7 +43,7 @@
 }
 
 impl IncomingRequest {
-    /// Notes a request, and its name before all else: every answer carries it.
+    /// Assigns the request its id, which every response carries; `None` without a [`Worker`].
     pub(super) fn new(req: &HttpRequest) -> Option<Self> {
         let worker = req.app_data::<Worker>()?.clone();
         let request = worker.shared.next_request();
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Finds out whose key came with the request.
+    /// Authenticates the caller by its API key.
     pub(super) fn authenticate(
         &self,
         req: &HttpRequest,
@@ -105,7 +105,7 @@
     }
 }
 
-/// How long the caller waits: what it says, or `default`.
+/// Returns the deadline of the `x-deadline-ms` header, or `default`.
 pub(super) fn deadline_of(
     req: &HttpRequest,
     default: Millis,
@@ -122,7 +122,7 @@
     }
 }
 
-/// The priority class that the caller names, or `default`.
+/// Returns the priority class of the `x-priority` header, or `default`.
 pub(super) fn priority(
     req: &HttpRequest,
     default: Priority,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The name of a priority class.
+/// Returns the name of a priority class in headers, logs and metrics.
 pub(super) const fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::High => "high",
@@ -147,21 +147,21 @@
     }
 }
 
-/// What makes a caller known that comes back with the same request.
+/// Returns a tag that recognizes a caller that retries the same request.
 pub(super) fn caller_tag<T>(
     digest: KeyDigest,
-    what: &T,
+    request: &T,
 ) -> CallerTag
 where
     T: Hash + ?Sized,
 {
     let mut hasher = DefaultHasher::new();
     digest.hash(&mut hasher);
-    what.hash(&mut hasher);
+    request.hash(&mut hasher);
     CallerTag(hasher.finish())
 }
 
-/// The refusal of a request for which there is no place.
+/// Returns the refusal of a request over the in-flight limit.
 pub(super) const fn queue_full() -> Refusal {
     Refusal::after(ErrorKind::QueueFull, Millis::from_secs(1))
 }
--- a/crates/gateway/src/http/answers.rs
+++ b/crates/gateway/src/http/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: in one piece, as a stream, as an error.
+//! HTTP responses: buffered, streamed and errors.
 
 use {
     super::shared::Shared,
@@ -16,12 +16,12 @@
     futures::stream,
 };
 
-/// The header under which every answer names its request.
+/// Header with the request id, present in every response.
 pub(super) const REQUEST_ID: &str = "x-request-id";
-/// The header that names the adapter version which ran.
-const ADAPTER: &str = "x-jasmine-adapter";
+/// Header with the adapter version that was used.
+const ADAPTER_VERSION: &str = "x-jasmine-adapter";
 
-/// An answer that has begun, or is there as a whole.
+/// Builds the response of a successful request.
 pub(super) fn answer_response(
     shared: &Shared,
     name: &RequestName,
@@ -29,12 +29,12 @@
     answer: Answer,
 ) -> HttpResponse {
     match answer {
-        Answer::Buffered(whole) => {
-            let mut res = response_builder(shared, whole.status, name, adapter);
-            for (header, value) in &whole.headers {
+        Answer::Buffered(buffered) => {
+            let mut res = response_builder(shared, buffered.status, name, adapter);
+            for (header, value) in &buffered.headers {
                 res.append_header((header.clone(), value.clone()));
             }
-            res.body(whole.body)
+            res.body(buffered.body)
         }
         Answer::Stream(rx) => {
             let parts = stream::unfold(rx, |mut rx| async move {
@@ -48,7 +48,7 @@
     }
 }
 
-/// An error, counted by its kind.
+/// Builds an error response and counts the refusal.
 pub(super) fn error_response(
     shared: &Shared,
     name: &RequestName,
@@ -78,10 +78,10 @@
     let mut res = HttpResponse::build(status);
     res.insert_header((REQUEST_ID, name.as_str()));
     if let Some(adapter) = adapter {
-        res.insert_header((ADAPTER, adapter));
+        res.insert_header((ADAPTER_VERSION, adapter));
     }
     if shared.readiness.is_draining() {
-        // A kept connection would bring the next request to a daemon that is about to stop.
+        // A kept-alive connection would send its next request to a daemon that is shutting down.
         res.force_close();
     }
     res
--- a/crates/gateway/src/http/app.rs
+++ b/crates/gateway/src/http/app.rs
@@ -7,7 +7,7 @@
     jasmine_core::error::ErrorKind,
 };
 
-/// The routes of the callers' port; the worker has to be among the app's data.
+/// Configures the routes of the callers' port; requires a `Worker` in the app data.
 pub fn caller_routes(cfg: &mut web::ServiceConfig) {
     cfg.route("/v1/chat/completions", web::post().to(completions::chat))
         .route("/v1/completions", web::post().to(completions::plain))
@@ -19,7 +19,7 @@
         .default_service(web::route().to(not_found));
 }
 
-/// The routes of the status port.
+/// Configures the routes of the status port.
 pub fn status_routes(cfg: &mut web::ServiceConfig) {
     cfg.route("/healthz", web::get().to(status::health))
         .route("/readyz", web::get().to(status::ready))
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -7,27 +7,25 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// Reads a body within the bounds of size and time.
-///
-/// A sender that trickles its body would otherwise hold a place for ever.
+/// Reads a request body within the limits on size and time, so that slow senders are refused.
 pub(super) async fn read(
     payload: &mut Payload,
-    announced: Option<u64>,
+    content_length: Option<u64>,
     limits: &Limits,
     arrived: Instant,
 ) -> Result<Bytes, Problem> {
-    if announced.is_some_and(|bytes| bytes > limits.max_body_bytes) {
+    if content_length.is_some_and(|bytes| bytes > limits.max_body_bytes) {
         return Err(ErrorKind::BodyTooLarge.into());
     }
-    let until = arrived + limits.request_read_ms.to_std();
+    let read_deadline = arrived + limits.request_read_ms.to_std();
     let mut body = BytesMut::new();
     loop {
-        let part = timeout_at(until, payload.next())
+        let part = timeout_at(read_deadline, payload.next())
             .await
             .map_err(|_late| ErrorKind::SlowSender)?;
         match part {
             None => return Ok(body.freeze()),
-            Some(Err(_)) => return Err(Problem::bad_request("The body broke off.")),
+            Some(Err(_)) => return Err(Problem::bad_request("The body ended early.")),
             Some(Ok(part)) if (body.len() + part.len()) as u64 > limits.max_body_bytes => {
                 return Err(ErrorKind::BodyTooLarge.into());
             }
--- a/crates/gateway/src/http/claims.rs
+++ b/crates/gateway/src/http/claims.rs
@@ -1,25 +1,14 @@
-//! Idempotency keys of calls that may not be repeated.
+//! Idempotency keys of non-idempotent calls.
 //!
-//! A caller that got no answer can't know whether its call ran. It repeats the call with the same
-//! `Idempotency-Key`, perhaps at another VM, perhaps while the first is still running. Only a record that every VM
-//! sees keeps the second from running, and the platform's store is the only such place: the key is
-//! claimed there, create-if-absent, before anything is sent.
+//! A caller that gets no response retries its call with the same `Idempotency-Key`, possibly at another
+//! VM and while the first attempt still runs. Before a call is sent, its key is claimed in the store of
+//! the platform (create if absent), which all VMs share.
 //!
-//! While the store is out no claim can be recorded. Ways weighed:
+//! While the store is unavailable, calls with a key are refused with `claim_unavailable` (`not_run`),
+//! since a retry could otherwise run a call twice. Idempotent calls and calls without a key continue.
 //!
-//! - Run the call all the same. Nothing is refused, but a repeat at another VM, or at this one after a
-//!   restart, runs it a second time: a phone is wiped mid-shift, a child's slot is taken. The outage is
-//!   when answers get lost and callers repeat most.
-//! - Remember claims on the VM and reach the others directly. Without the store nobody can say which VMs
-//!   there are; one that is not reached may have run the call.
-//! - Refuse with `claim_unavailable`, which is `not_run` and says when to come back. The caller waits, and
-//!   nothing is done twice.
-//!
-//! The third is taken. Calls without an `Idempotency-Key` and idempotent ones go on as before, so an outage
-//! refuses just the calls whose callers asked for this protection.
-//!
-//! A claim of a call that certainly didn't run is given back, so that the caller can come again with the
-//! same key. One whose outcome isn't known stays: repeats get `claim_running`, which says so.
+//! The claim of a call that certainly did not run is released. If the outcome is unknown, the claim
+//! stays and retries get `claim_running`.
 
 use {
     crate::{
@@ -39,24 +28,24 @@
     std::sync::Arc,
 };
 
-/// Bytes of an answer that is kept; a larger one isn't, and repeats get `claim_running`.
+/// Largest body that is stored, in bytes; retries of a call with a larger one get `claim_running`.
 const MAX_STORED_BYTES: usize = 256 << 10;
 
-/// An answer as it is kept for repeats.
+/// A response stored for retries of the same call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredAnswer {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// Headers that were passed on.
+    /// Forwarded response headers.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
 impl StoredAnswer {
-    /// The answer to be kept; none when it is too large.
+    /// Encodes a response for storage; `None` if it is too large.
     pub fn encode(answer: &BufferedAnswer) -> Option<Vec<u8>> {
         if answer.body.len() > MAX_STORED_BYTES {
             return None;
@@ -72,7 +61,7 @@
         .ok()
     }
 
-    /// Reads an answer that was kept; none when it makes no sense.
+    /// Decodes a stored response; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<BufferedAnswer> {
         let stored: Self = serde_json::from_slice(bytes).ok()?;
         let mut headers = HeaderMap::new();
@@ -90,7 +79,7 @@
     }
 }
 
-/// The claim of a call under an idempotency key.
+/// Returns the claim of a call with an idempotency key.
 pub(super) fn claim(
     key: &IdempotencyKey,
     account: AccountId,
@@ -115,29 +104,29 @@
     }
 }
 
-/// What becomes of a claim at the end of its call.
+/// What happens to a claim when its call has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ClaimDisposition {
-    /// The answer is kept for repeats.
+    /// The response is stored for retries.
     Store(Arc<[u8]>),
-    /// Nothing ran: the key may be used again.
+    /// Nothing ran, so the key can be used again.
     Release,
-    /// Nobody knows, or the answer can't be kept: repeats get `claim_running`.
-    Leave,
+    /// The outcome is unknown or the response is too large: retries get `claim_running`.
+    LeaveOpen,
 }
 
 impl ClaimDisposition {
-    /// What an ending means for the claim.
+    /// Chooses the disposition for the result of a call.
     pub(super) fn of(result: &ForwardResult) -> Self {
         match &result.answer {
             Some(answer) => StoredAnswer::encode(answer)
-                .map_or(Self::Leave, |bytes| Self::Store(Arc::from(bytes))),
-            None if result.may_have_run => Self::Leave,
+                .map_or(Self::LeaveOpen, |bytes| Self::Store(Arc::from(bytes))),
+            None if result.may_have_run => Self::LeaveOpen,
             None => Self::Release,
         }
     }
 
-    /// Records it.
+    /// Records the disposition in the store.
     pub(super) async fn record(
         self,
         brain: &BrainHandle,
@@ -146,7 +135,7 @@
         let answer = match self {
             Self::Store(answer) => Some(answer),
             Self::Release => None,
-            Self::Leave => return,
+            Self::LeaveOpen => return,
         };
         if !brain.finish_claim(claim, answer).await {
             Line::new("claim_not_recorded").warn();
@@ -154,7 +143,7 @@
     }
 }
 
-/// The answer of the first run.
+/// Returns the stored response of the first run, marked as replayed.
 pub(super) fn replayed(stored: &[u8]) -> Result<BufferedAnswer, Problem> {
     let mut answer = StoredAnswer::decode(stored).ok_or(ErrorKind::ClaimUnavailable)?;
     answer.headers.insert(
--- a/crates/gateway/src/http/completions.rs
+++ b/crates/gateway/src/http/completions.rs
@@ -23,7 +23,7 @@
     },
 };
 
-/// Bytes of a prompt by which requests that share a prefix are told.
+/// Bytes of a prompt that are hashed to recognize requests with the same prefix.
 const MAX_PREFIX_BYTES: usize = 256;
 
 /// `POST /v1/chat/completions`
@@ -72,10 +72,10 @@
 ) -> Result<(Option<String>, Answer), Problem> {
     let shared = &incoming.worker.shared;
     let in_flight = InFlightGuard::try_acquire(shared).ok_or_else(queue_full)?;
-    let announced = content_length(req);
-    let bytes = body::read(&mut payload, announced, &shared.limits, incoming.arrived).await?;
+    let body_length = content_length(req);
+    let bytes = body::read(&mut payload, body_length, &shared.limits, incoming.arrived).await?;
     let mut completion = CompletionRequest::parse(kind, &bytes)?;
-    // Looked for before anything is charged; the name on the engine holds no key.
+    // Checks for the caller's key before admission charges; the instance name can't contain it.
     completion.body("", &caller.key)?;
     let account = &caller.account;
     let class = priority(req, account.priority)?;
@@ -90,7 +90,7 @@
         priority: class,
         deadline,
         target,
-        prefix: Some(prefix(&completion)),
+        prefix: Some(prefix_hash(&completion)),
         caller: caller_tag(caller.digest, &bytes[..]),
     };
     let labels = Labels::new(Arc::from(account.name.as_str()), priority_name(class));
@@ -113,11 +113,11 @@
     });
     let answer = answer
         .await
-        .map_err(|_gone| Problem::from(ErrorKind::Internal))??;
+        .map_err(|_dropped| Problem::from(ErrorKind::Internal))??;
     Ok((adapter, answer))
 }
 
-/// What a request brings along for its driver.
+/// Creates the context for forwarding a request.
 pub(super) fn context(
     incoming: &IncomingRequest,
     caller: &Authenticated,
@@ -144,7 +144,7 @@
     }
 }
 
-/// The announced length of a body.
+/// Returns the value of the `content-length` header.
 pub(super) fn content_length(req: &HttpRequest) -> Option<u64> {
     req.headers()
         .get("content-length")?
@@ -154,7 +154,7 @@
         .ok()
 }
 
-/// What a model's name stands for, and the adapter version to be named in the answer.
+/// Resolves a model name to its target and the adapter version for the response header.
 fn resolve(
     fleet: &Fleet,
     name: &str,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Whether an account may use what has this access.
+/// Whether `access` includes the account.
 pub(super) fn has_access(
     access: &Access,
     account: AccountId,
@@ -187,7 +187,7 @@
     }
 }
 
-fn prefix(completion: &CompletionRequest) -> u64 {
+fn prefix_hash(completion: &CompletionRequest) -> u64 {
     let text = completion.prefix();
     let bytes = text.as_bytes();
     let mut hasher = DefaultHasher::new();
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP that callers, balancers and Prometheus speak.
+//! HTTP endpoints for callers, load balancers and Prometheus.
 
 mod admit;
 mod answers;
--- a/crates/gateway/src/http/models.rs
+++ b/crates/gateway/src/http/models.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Base models, then adapters by their name where a version is live, and each version.
+/// Lists the base models, then the adapters with a live version and all adapter versions.
 fn models(
     fleet: &Fleet,
     account: AccountId,
--- a/crates/gateway/src/http/plan.rs
+++ b/crates/gateway/src/http/plan.rs
@@ -1,22 +1,20 @@
-//! How long to wait for what, and what may be repeated.
+//! Timeouts and retries of completions and service calls.
 
 use jasmine_core::{
     clock::Millis,
     forward::{Delivery, ForwardPlan, Repeat},
 };
 
-/// The longest wait for the head of an engine's answer.
-///
-/// Engines send it when they take a request in. One that doesn't is dead or the connection is.
+/// Timeout for the response head of an engine, which engines send on accepting a request.
 const ENGINE_HEAD_TIMEOUT: Millis = Millis(3_000);
-/// The longest silence within an engine's stream; after it the stream is resumed over a new connection.
+/// Timeout between parts of an engine's stream; the stream is then resumed over a new connection.
 const ENGINE_PART_TIMEOUT: Millis = Millis(2_000);
-/// Runs, and resumptions in a row without a token.
+/// Maximum number of runs, and of consecutive resumptions without a new token.
 const MAX_ATTEMPTS: u32 = 3;
-/// Bounds of the wait for a plain service.
+/// Minimum and maximum response timeout of a plain service.
 const SERVICE_TIMEOUT_BOUNDS: (Millis, Millis) = (Millis(100), Millis(10_000));
 
-/// The plan of a completion: running it twice does no harm, but what was streamed can't be unsaid.
+/// Returns the plan of a completion, which can run again until a part has been streamed.
 pub(super) const fn completion(
     deadline: Millis,
     stream: bool,
@@ -35,10 +33,9 @@
     }
 }
 
-/// The plan of a call of a plain service that may take `limit`.
+/// Returns the plan of a call of a plain service with the time limit `limit`.
 ///
-/// An idempotent one is tried elsewhere after a third of its time, so that a dead connection doesn't use
-/// up all of it.
+/// The timeout is a third of the limit, so that an idempotent call can be retried elsewhere.
 pub(super) fn service(
     deadline: Millis,
     limit: Millis,
--- a/crates/gateway/src/http/services.rs
+++ b/crates/gateway/src/http/services.rs
@@ -30,7 +30,7 @@
     tokio::{sync::oneshot, time::timeout},
 };
 
-/// The caller's headers that reach a plain service; all others may hold something of the caller's.
+/// Request headers that are forwarded to a plain service; others could contain private data.
 const FORWARDED_HEADERS: [HeaderName; 7] = [
     ACCEPT,
     ACCEPT_LANGUAGE,
@@ -40,13 +40,12 @@
     IF_MATCH,
     IF_NONE_MATCH,
 ];
-/// How long an answer waits until it is kept with its claim.
+/// How long a response is held back until it is stored with its claim.
 ///
-/// A caller that has its answer may send the call again at once, and at another VM: unless the answer is
-/// kept by then it is told that the call is still running. Where the store is slow or out the answer goes
-/// without it.
+/// A caller may retry immediately after the response; before it is stored, the retry would get
+/// `claim_running`.
 const STORE_ANSWER_TIMEOUT: Millis = Millis(500);
-/// The header of the IETF draft.
+/// Header name of the IETF draft "The Idempotency-Key HTTP Header Field".
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Any method of `/services/<service>/<path>`
@@ -83,7 +82,7 @@
         .fleet
         .service(service)
         .ok_or(ErrorKind::ServiceNotFound)?;
-    // As it came: the router's own decoding would hide what the service will see.
+    // The undecoded path, since the service receives it as sent.
     let raw_path = req.uri().path();
     let service_path = raw_path
         .strip_prefix("/services/")
@@ -94,10 +93,10 @@
     let headers = forwarded_headers(req, &caller.key)?;
     let class = priority(req, call.priority)?;
     let limit = deadline_of(req, call.deadline)?;
-    let announced = content_length(req);
-    let bytes = body::read(&mut payload, announced, &shared.limits, incoming.arrived).await?;
+    let body_length = content_length(req);
+    let bytes = body::read(&mut payload, body_length, &shared.limits, incoming.arrived).await?;
     if caller.key.is_in(&bytes) {
-        return Err(Problem::bad_request("The body holds the caller's key."));
+        return Err(Problem::bad_request("The body contains the caller's key."));
     }
     let claim = claim_for(req, call, service, &path, &bytes, caller)?;
     if let Some(claim) = &claim
@@ -157,14 +156,14 @@
     });
     let answer = answer
         .await
-        .map_err(|_gone| Problem::from(ErrorKind::Internal))?;
+        .map_err(|_dropped| Problem::from(ErrorKind::Internal))?;
     if is_claimed {
         drop(timeout(STORE_ANSWER_TIMEOUT.to_std(), stored_rx).await);
     }
     answer
 }
 
-/// Claims the key; the answer of the first run where there is one.
+/// Claims the key; returns the stored response if the call already ran.
 async fn begin_claim(
     brain: &BrainHandle,
     claim: &ClaimRequest,
@@ -178,7 +177,7 @@
     }
 }
 
-/// The claim that goes before a call, where it may not be repeated and its caller has named a key.
+/// Returns the claim of a non-idempotent call with an `Idempotency-Key`, otherwise `None`.
 fn claim_for(
     req: &HttpRequest,
     call: &Call,
@@ -215,7 +214,7 @@
     for name in FORWARDED_HEADERS.into_iter().chain([idempotency_key]) {
         for value in req.headers().get_all(&name) {
             if key.is_in(value.as_bytes()) {
-                return Err(Problem::bad_request("A header holds the caller's key."));
+                return Err(Problem::bad_request("A header contains the caller's key."));
             }
             kept.append(name.clone(), HeaderValue::clone(value));
         }
--- a/crates/gateway/src/http/shared.rs
+++ b/crates/gateway/src/http/shared.rs
@@ -16,38 +16,38 @@
     tokio::sync::watch,
 };
 
-/// What all workers share.
+/// State shared by all worker threads.
 #[derive(Debug)]
 pub struct Shared {
-    /// The way to the brain.
+    /// Handle for messages to the brain.
     pub brain: BrainHandle,
-    /// The configuration in force.
+    /// The current configuration.
     pub fleet: watch::Receiver<Arc<Fleet>>,
-    /// Whether requests are taken.
+    /// Readiness and shutdown state.
     pub readiness: Arc<Readiness>,
-    /// Bounds on callers.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// The clock.
+    /// The process-wide clock.
     pub clock: Clock,
-    /// All figures.
+    /// All metrics of the process.
     pub metrics: Metrics,
-    /// Figures of requests.
+    /// Metrics of requests.
     pub requests: RequestMetrics,
-    /// Counters of refusals.
+    /// Counters of refused requests.
     pub refusals: Refusals,
-    /// What makes ids of this process unlike those of all others.
+    /// Prefix of request ids that is unique to this process.
     pub id_prefix: String,
-    /// The last request's number.
+    /// Number of the last request.
     pub last_request_id: AtomicU64,
 }
 
 impl Shared {
-    /// A number that no other request of this process has.
+    /// Returns a request number that is unique within the process.
     pub fn next_request(&self) -> RequestId {
         RequestId(self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// A name for a request whose caller gave none.
+    /// Returns a name for a request whose caller sent none.
     pub fn generate_name(
         &self,
         request: RequestId,
@@ -55,23 +55,23 @@
         RequestName::new(&self.id_prefix, request.0)
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn fleet(&self) -> Arc<Fleet> {
         Arc::clone(&self.fleet.borrow())
     }
 }
 
-/// What one worker thread has.
+/// State of one worker thread.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it shares with the others.
+    /// State shared with the other workers.
     pub shared: Arc<Shared>,
-    /// Its own connections to upstreams.
+    /// The thread's connections to upstreams.
     pub connections: Rc<Connections>,
 }
 
 impl Worker {
-    /// A worker without open connections.
+    /// Creates a worker without open connections.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
@@ -80,14 +80,14 @@
     }
 }
 
-/// One request's place among those worked on at a time.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub(super) struct InFlightGuard {
     readiness: Arc<Readiness>,
 }
 
 impl InFlightGuard {
-    /// Takes a place; none when all are taken.
+    /// Counts a request; `None` if the in-flight limit is reached.
     pub(super) fn try_acquire(shared: &Shared) -> Option<Self> {
         shared
             .readiness
--- a/crates/gateway/src/http/status.rs
+++ b/crates/gateway/src/http/status.rs
@@ -3,12 +3,12 @@
     actix_web::{HttpResponse, web::Data},
 };
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: whether the process responds.
 pub(super) async fn health() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
 }
 
-/// `GET /readyz`: whether a balancer may send requests.
+/// `GET /readyz`: whether load balancers may send requests.
 pub(super) async fn ready(shared: Data<Shared>) -> HttpResponse {
     let readiness = &shared.readiness;
     match () {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The callers' daemon: authenticates, admits, queues, routes, forwards and streams back.
+//! The gateway daemon: authenticates, admits, queues, routes and forwards the requests of callers.
 
 pub mod brain;
 pub mod clock;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The callers' daemon.
+//! The gateway daemon, which serves the requests of callers.
 
 use {
     jasmine_conf::{settings::GatewaySettings, start::daemon_main},
--- a/crates/gateway/src/status/mod.rs
+++ b/crates/gateway/src/status/mod.rs
@@ -1,4 +1,4 @@
-//! Whether the daemon can take requests, for balancers and for the workers themselves.
+//! Readiness of the daemon, for load balancers and worker threads.
 
 mod readiness;
 
--- a/crates/gateway/src/status/readiness.rs
+++ b/crates/gateway/src/status/readiness.rs
@@ -3,7 +3,7 @@
     tokio::sync::Notify,
 };
 
-/// What all threads need to know of the daemon's state.
+/// Readiness and shutdown state of the daemon, shared by all threads.
 #[derive(Debug, Default)]
 pub struct Readiness {
     confirmed: AtomicBool,
@@ -17,71 +17,71 @@
 }
 
 impl Readiness {
-    /// Sets whether the configuration is confirmed.
+    /// Sets whether the configuration is confirmed as current.
     pub fn set_confirmed(
         &self,
-        confirmed: bool,
+        is_confirmed: bool,
     ) {
-        self.confirmed.store(confirmed, Ordering::Relaxed);
+        self.confirmed.store(is_confirmed, Ordering::Relaxed);
     }
 
-    /// Whether there is a configuration and it is confirmed.
+    /// Whether a configuration is present and confirmed as current.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed.load(Ordering::Relaxed)
     }
 
-    /// Sets whether rights can be got at.
+    /// Sets whether the rights for admission are available.
     pub fn set_settled(
         &self,
-        settled: bool,
+        is_available: bool,
     ) {
-        self.rights_available.store(settled, Ordering::Relaxed);
+        self.rights_available.store(is_available, Ordering::Relaxed);
     }
 
-    /// Tells balancers to send nothing more.
+    /// Reports the daemon as not ready, so that load balancers stop sending requests.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this daemon is about to stop.
+    /// Whether a shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Whether balancers may send requests.
+    /// Whether load balancers may send requests.
     pub fn is_ready(&self) -> bool {
         self.is_confirmed()
             && self.rights_available.load(Ordering::Relaxed)
             && !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Admits nothing any more.
+    /// Stops the admission of new requests.
     pub fn stop_admitting(&self) {
         self.admission_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Whether nothing is admitted any more.
+    /// Whether the admission of new requests has stopped.
     pub fn is_stopping(&self) -> bool {
         self.admission_stopped.load(Ordering::Relaxed)
     }
 
-    /// Asks for a planned stop, so that a new run can begin.
+    /// Requests a planned shutdown, after which the process is restarted.
     pub fn ask_to_stop(&self) {
         self.stop_notify.notify_one();
     }
 
-    /// Waits until a planned stop is asked for.
+    /// Waits until a planned shutdown is requested.
     pub async fn until_stop_requested(&self) {
         self.stop_notify.notified().await;
     }
 
-    /// Ends what still runs.
+    /// Aborts all requests in flight.
     pub fn abort_requests(&self) {
         self.aborted.store(true, Ordering::SeqCst);
         self.abort_notify.notify_waiters();
     }
 
-    /// Waits until what still runs is to be ended.
+    /// Waits until requests in flight must be aborted.
     pub async fn until_aborted(&self) {
         let abort_notify = self.abort_notify.notified();
         if !self.aborted.load(Ordering::SeqCst) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts one more request, unless there are `limit` already.
+    /// Counts a request as in flight; returns false if `limit` is reached.
     pub fn try_begin_request(
         &self,
         limit: u64,
@@ -102,12 +102,12 @@
         is_below_limit
     }
 
-    /// Counts one request less.
+    /// Counts a request as ended.
     pub fn end_request(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Requests that are being worked on.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Relaxed)
     }
