--- a/crates/gateway/src/request/caller_key.rs
+++ b/crates/gateway/src/request/caller_key.rs
@@ -1,20 +1,20 @@
 use {jasmine_conf::fleet::KeyDigest, jasmine_core::error::ErrorKind, std::fmt};
 
-/// Bytes that a key has at least; a shorter one would be found in ordinary text by chance.
+/// Minimum length in bytes; the search for shorter keys in requests would give false positives.
 const MIN_KEY_BYTES: usize = 8;
-/// Bytes that a key has at most.
+/// Maximum length in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// The key as the caller presents it; it is never logged and never sent on.
+/// The API key of a caller, which is never logged and never forwarded.
 #[derive(Clone, PartialEq, Eq)]
 pub struct CallerKey(String);
 
 impl CallerKey {
-    /// Takes the key out of the value of an `Authorization` header.
+    /// Parses the value of an `Authorization` header.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::KeyMissing`] when there is none or it is malformed.
+    /// [`ErrorKind::KeyMissing`] if the value is absent or malformed.
     pub fn from_authorization(value: Option<&[u8]>) -> Result<Self, ErrorKind> {
         let value = value.and_then(|value| std::str::from_utf8(value).ok());
         let (scheme, key) = value
@@ -30,12 +30,12 @@
         }
     }
 
-    /// The digest under which the configuration knows it.
+    /// Returns the digest that identifies the key in the configuration.
     pub fn digest(&self) -> KeyDigest {
         KeyDigest::of(&self.0)
     }
 
-    /// Whether the key stands somewhere in `bytes`, as it is or percent-encoded.
+    /// Whether `bytes` contain the key, literally or percent-encoded.
     pub fn is_in(
         &self,
         bytes: &[u8],
--- a/crates/gateway/src/request/completion.rs
+++ b/crates/gateway/src/request/completion.rs
@@ -3,12 +3,12 @@
     serde_json::{Map, Value, json},
 };
 
-/// Characters of a model's name.
+/// Maximum length of a model name, in bytes.
 const MAX_MODEL_BYTES: usize = 256;
-/// Tokens that a caller may ask for.
+/// Maximum number of tokens that a caller may request.
 const MAX_TOKENS: u64 = 1 << 20;
-/// Fields that change the form of an answer in ways that can't be put together from a stream.
-const UNSUPPORTED: [&str; 9] = [
+/// Unsupported fields: their results can't be assembled from a stream.
+const UNSUPPORTED_FIELDS: [&str; 9] = [
     "tools",
     "tool_choice",
     "functions",
@@ -20,7 +20,7 @@
     "modalities",
 ];
 
-/// Which of the two calls a request came with.
+/// The endpoint of a completion request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
     /// `/v1/chat/completions`
@@ -30,7 +30,7 @@
 }
 
 impl CompletionKind {
-    /// The path at engines, the same as callers use.
+    /// Returns the URL path, which is the same at gateways and engines.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -39,28 +39,28 @@
     }
 }
 
-/// A checked completion request.
+/// A validated completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletionRequest {
-    /// Which call it is.
+    /// Endpoint of the request.
     pub kind: CompletionKind,
-    /// The model as the caller names it.
+    /// Model name as the caller sent it.
     pub model: String,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Whether the caller wants the count of tokens in the stream.
+    /// Whether the caller requested token usage in the stream.
     pub with_usage: bool,
-    /// The most that it can cost.
+    /// Upper bound of the cost, in tokens.
     pub cost: u64,
     fields: Map<String, Value>,
 }
 
 impl CompletionRequest {
-    /// Decodes and checks a body.
+    /// Parses and validates a request body.
     ///
     /// # Errors
     ///
-    /// `bad_request` with what is wrong.
+    /// `bad_request` with the invalid field.
     pub fn parse(
         kind: CompletionKind,
         body: &[u8],
@@ -97,27 +97,27 @@
         Ok(request)
     }
 
-    /// The body for an engine on which the model is called `instance`.
+    /// Returns the body for an engine on which the model is named `instance`.
     ///
     /// # Errors
     ///
-    /// `bad_request` when the caller's own key stands in it: no upstream may see that.
+    /// `bad_request` if the body contains the caller's key, which upstreams must not receive.
     pub fn body(
         &mut self,
         instance: &str,
         key: &CallerKey,
     ) -> Result<Vec<u8>, Problem> {
         self.set("model", Value::from(instance));
-        // Written anew from decoded values, so that an escaped key is found too.
+        // Checked after decoding and serializing, so that a JSON-escaped key is found too.
         let body = serde_json::to_vec(&self.fields)
-            .map_err(|_unwritable| Problem::bad_request("The body can't be written as JSON."))?;
+            .map_err(|_serialize| Problem::bad_request("The body can't be serialized as JSON."))?;
         if key.is_in(&body) {
-            return Err(Problem::bad_request("The body holds the caller's key."));
+            return Err(Problem::bad_request("The body contains the caller's key."));
         }
         Ok(body)
     }
 
-    /// The start of the prompt, by which requests that share a prefix are told.
+    /// Returns the first message or the prompt, used to recognize requests with the same prefix.
     pub fn prefix(&self) -> String {
         let value = match self.kind {
             CompletionKind::Chat => self.fields.get("messages").and_then(|all| all.get(0)),
@@ -168,7 +168,7 @@
     let is_one_or_unset =
         |name: &str| matches!(fields.get(name).map(Value::as_u64), None | Some(Some(1)));
     match () {
-        () if UNSUPPORTED.iter().any(is_set) => Err(Problem::bad_request(
+        () if UNSUPPORTED_FIELDS.iter().any(is_set) => Err(Problem::bad_request(
             "Tools, logprobs, echo, suffix and modalities are not supported.",
         )),
         () if !is_one_or_unset("n") || !is_one_or_unset("best_of") => {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Bytes of text and number of messages.
+/// Returns the bytes of text and the number of messages.
 fn chat_size(fields: &Map<String, Value>) -> Result<(u64, u64), Problem> {
     let malformed =
         Problem::bad_request("messages must be a list of objects with role and content.");
@@ -218,7 +218,7 @@
     Ok((bytes, messages.len() as u64))
 }
 
-/// Bytes of a message's content: a string, or a list of parts that are text.
+/// Returns the bytes of a message's content, which is a string or a list of text parts.
 fn text_size(content: &Value) -> Option<u64> {
     let part = |part: &Value| match part.get("type").and_then(Value::as_str) {
         Some("text") => part
--- a/crates/gateway/src/request/idempotency_key.rs
+++ b/crates/gateway/src/request/idempotency_key.rs
@@ -4,25 +4,25 @@
     sha2::{Digest, Sha256},
 };
 
-/// Bytes that an idempotency key has at most.
+/// Maximum length in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
 /// The value of an `Idempotency-Key` header.
 ///
-/// The draft has it as a string in double quotes; many clients leave the quotes out, so both are
-/// taken and mean the same.
+/// The IETF draft requires a string in double quotes; many clients omit the quotes, so both forms are
+/// accepted and equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey(String);
 
 impl IdempotencyKey {
-    /// Reads the header's value.
+    /// Parses the header value.
     ///
     /// # Errors
     ///
-    /// `bad_request` when it is empty, too long, or holds other than visible ASCII.
+    /// `bad_request` if the key is empty, too long, or contains other than visible ASCII.
     pub fn parse(value: &[u8]) -> Result<Self, Problem> {
         let malformed =
-            Problem::bad_request("The Idempotency-Key is not 1 to 255 visible ASCII characters.");
+            Problem::bad_request("The Idempotency-Key must be 1 to 255 visible ASCII characters.");
         let text = std::str::from_utf8(value)
             .map_err(|_not_utf8| malformed)?
             .trim();
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The key as it is sent on.
+    /// Returns the key without quotes.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// What the store knows the key by: accounts can't meet each other's keys.
+    /// Returns the digest that identifies the key in the store, distinct per account.
     pub fn digest(
         &self,
         account: AccountId,
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What callers send, decoded and checked before anything else is done with it.
+//! Decoding and validation of what callers send.
 
 mod caller_key;
 mod completion;
--- a/crates/gateway/src/request/problem.rs
+++ b/crates/gateway/src/request/problem.rs
@@ -1,20 +1,20 @@
 use jasmine_core::error::{ErrorKind, Refusal};
 
-/// A refusal with a sentence on what is wrong with this very request.
+/// A refusal with a detail message on what is wrong with the request.
 ///
-/// The sentence is one of the source code's own and never holds anything that the caller sent.
+/// The message is a constant and never contains data of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("{}", refusal.kind)]
 pub struct Problem {
-    /// Why the request is refused.
+    /// Kind and retry delay of the refusal.
     pub refusal: Refusal,
-    /// What in it is wrong; empty where the kind says all.
+    /// What is wrong with the request; empty if the kind is sufficient.
     pub detail: &'static str,
 }
 
 impl Problem {
-    /// A request that isn't what the API takes.
+    /// Creates a `bad_request` error.
     pub const fn bad_request(detail: &'static str) -> Self {
         Self {
             refusal: Refusal::new(ErrorKind::BadRequest),
--- a/crates/gateway/src/request/request_name.rs
+++ b/crates/gateway/src/request/request_name.rs
@@ -1,18 +1,18 @@
 use super::CallerKey;
 
-/// Characters that a caller's own request id may have.
+/// Maximum length of a request id set by the caller, in bytes.
 const MAX_REQUEST_NAME_BYTES: usize = 64;
 
-/// The name under which caller, logs and answers know a request.
+/// The request id in logs and in responses to the caller.
 ///
-/// Upstreams get another one, unique for each attempt: two callers may use the same name, and an answer
-/// that crossed over could not be told from the right one.
+/// It need not be unique, since callers may set it. Upstreams get a unique id per attempt instead, so
+/// that a response to another request is detected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub struct RequestName(String);
 
 impl RequestName {
-    /// The caller's own id where it is well formed and doesn't hold the key.
+    /// Takes the caller's request id; `None` if it is malformed or contains the key.
     pub fn from_caller(
         value: &[u8],
         key: Option<&CallerKey>,
@@ -20,14 +20,14 @@
         let is_allowed = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
         let is_well_formed =
             (1..=MAX_REQUEST_NAME_BYTES).contains(&value.len()) && value.iter().all(is_allowed);
-        let holds_key = key.is_some_and(|key| key.is_in(value));
+        let has_key = key.is_some_and(|key| key.is_in(value));
         match std::str::from_utf8(value) {
-            Ok(name) if is_well_formed && !holds_key => Some(Self(name.to_owned())),
+            Ok(name) if is_well_formed && !has_key => Some(Self(name.to_owned())),
             _ => None,
         }
     }
 
-    /// A name made here from a number that is unique.
+    /// Creates a name from a unique request number.
     pub fn new(
         id_prefix: &str,
         number: u64,
@@ -35,7 +35,7 @@
         Self(format!("req-{id_prefix}-{number}"))
     }
 
-    /// The name as text.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/gateway/src/request/service_path.rs
+++ b/crates/gateway/src/request/service_path.rs
@@ -4,7 +4,7 @@
     jasmine_core::error::ErrorKind,
 };
 
-/// The part of a path that goes to a plain service, checked.
+/// The validated path and query of a call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServicePath {
     path: String,
@@ -12,12 +12,12 @@
 }
 
 impl ServicePath {
-    /// Takes path and query as they came.
+    /// Validates the undecoded path and query.
     ///
     /// # Errors
     ///
-    /// `bad_request` when the path steps up, hides a separator, or holds the caller's key: a server that
-    /// decodes it could run another call than the one that the operators' row describes.
+    /// `bad_request` if the path contains a dot segment or an encoded separator, with which a server
+    /// could execute another call than the configured one, or if it contains the caller's key.
     pub fn parse(
         path: &str,
         query: &str,
@@ -33,10 +33,10 @@
             lower.contains("%2f") || lower.contains("%5c") || lower.contains('\\');
         match () {
             () if has_dot_segment || has_encoded_separator => Err(Problem::bad_request(
-                "The path steps up or hides a separator.",
+                "The path contains a dot segment or an encoded separator.",
             )),
             () if key.is_in(path.as_bytes()) || key.is_in(query.as_bytes()) => Err(
-                Problem::bad_request("The path or query holds the caller's key."),
+                Problem::bad_request("The path or query contains the caller's key."),
             ),
             () => Ok(Self {
                 path,
@@ -45,11 +45,11 @@
         }
     }
 
-    /// The operators' row for this path.
+    /// Returns the configured call for this method and path.
     ///
     /// # Errors
     ///
-    /// `service_not_found` when there is none.
+    /// `service_not_found` if none matches.
     pub fn call<'a>(
         &self,
         service: &'a Service,
@@ -62,7 +62,7 @@
             .ok_or(ErrorKind::ServiceNotFound)
     }
 
-    /// Path and query as the service gets them.
+    /// Returns path and query for the request to the service.
     pub fn target(&self) -> String {
         if self.query.is_empty() {
             self.path.clone()
@@ -76,10 +76,10 @@
     pattern: &str,
     path: &str,
 ) -> bool {
-    let mut wanted = pattern.trim_start_matches('/').split('/');
-    let mut found = path.trim_start_matches('/').split('/');
+    let mut pattern_segments = pattern.trim_start_matches('/').split('/');
+    let mut segments = path.trim_start_matches('/').split('/');
     loop {
-        match (wanted.next(), found.next()) {
+        match (pattern_segments.next(), segments.next()) {
             (None, None) => return true,
             (Some("{}"), Some(segment)) if !segment.is_empty() => {}
             (Some(wanted), Some(found)) if wanted == found => {}
--- a/crates/gateway/src/sse/answer_builder.rs
+++ b/crates/gateway/src/sse/answer_builder.rs
@@ -4,10 +4,10 @@
     serde_json::{Value, json},
 };
 
-/// A whole answer in the making.
+/// Assembles the chunks of a stream into a buffered completion.
 ///
-/// Engines are asked for a stream also where the caller wants the answer in one piece: a stream tells
-/// a slow engine from a dead connection, and it can be resumed.
+/// Engines always stream, since a stream can be resumed and distinguishes a slow engine from a dead
+/// connection.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerBuilder {
     text: String,
@@ -17,7 +17,7 @@
 }
 
 impl AnswerBuilder {
-    /// Adds what a chunk brings.
+    /// Adds a chunk.
     pub fn add(
         &mut self,
         chunk: &Chunk,
@@ -34,7 +34,7 @@
             .or_else(|| chunk.json.get("created").and_then(Value::as_u64));
     }
 
-    /// The answer in one piece.
+    /// Returns the complete JSON response.
     pub fn into_answer(
         self,
         kind: CompletionKind,
--- a/crates/gateway/src/sse/chunk.rs
+++ b/crates/gateway/src/sse/chunk.rs
@@ -4,17 +4,17 @@
     serde_json::{Map, Value},
 };
 
-/// What an engine says that an answer took.
+/// Token usage as reported by an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Generated tokens.
     pub completion_tokens: u64,
 }
 
 impl Usage {
-    /// All tokens together.
+    /// Returns the sum of prompt and generated tokens.
     pub const fn total(self) -> u64 {
         self.prompt_tokens.saturating_add(self.completion_tokens)
     }
@@ -28,17 +28,17 @@
     }
 }
 
-/// One JSON chunk of an engine's stream.
+/// A JSON chunk of an engine's stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk {
-    /// Tokens of the answer up to and with this chunk.
+    /// Number of generated tokens up to and including this chunk.
     pub offset: u64,
-    /// The chunk as the engine wrote it.
+    /// The chunk as the engine sent it.
     pub json: Map<String, Value>,
 }
 
 impl Chunk {
-    /// Reads the event of a chunk; none when it is no chunk with an offset.
+    /// Parses an event; `None` if its id is not an offset or its data is not a JSON object.
     pub fn from_event(event: &Event) -> Option<Self> {
         let offset = event.id.as_deref()?.trim().parse().ok()?;
         match serde_json::from_str(&event.data) {
@@ -47,35 +47,35 @@
         }
     }
 
-    /// The request that the chunk belongs to.
+    /// Returns the id of the request that the chunk belongs to.
     pub fn request(&self) -> Option<&str> {
         self.json.get("id").and_then(Value::as_str)
     }
 
-    /// What the chunk brings to an answer that has `known` tokens so far.
+    /// Classifies the chunk for a stream that has `known_tokens` tokens so far.
     pub fn kind(
         &self,
-        known: u64,
+        known_tokens: u64,
     ) -> PartKind {
         match () {
-            () if self.offset > known || self.has_text() => PartKind::Tokens,
+            () if self.offset > known_tokens || self.has_text() => PartKind::Tokens,
             () if self.finish_reason().is_some() => PartKind::Finish,
             () if self.usage().is_some() => PartKind::Usage,
             () => PartKind::Opening,
         }
     }
 
-    /// The count of tokens, where the chunk has one.
+    /// Returns the token usage, if present.
     pub fn usage(&self) -> Option<Usage> {
         self.json.get("usage").and_then(Usage::from_json)
     }
 
-    /// Why the engine stopped, where the chunk says so.
+    /// Returns the finish reason, if present.
     pub fn finish_reason(&self) -> Option<&str> {
         self.choice()?.get("finish_reason").and_then(Value::as_str)
     }
 
-    /// The text that the chunk adds.
+    /// Returns the generated text, or an empty string.
     pub fn text(&self) -> &str {
         let choice = self.choice();
         let delta = choice
@@ -87,7 +87,7 @@
             .unwrap_or_default()
     }
 
-    /// The chunk as the caller sees it: under its own request id and model name.
+    /// Serializes the chunk with the caller's request id and model name.
     pub fn for_caller(
         mut self,
         request_id: &str,
--- a/crates/gateway/src/sse/decoder.rs
+++ b/crates/gateway/src/sse/decoder.rs
@@ -1,13 +1,13 @@
 use {bytes::BytesMut, std::mem};
 
-/// Bytes that one event may have; an upstream that sends more is not understood.
+/// Maximum size of one event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why a stream of events can't be read on.
+/// An error of an event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum SseError {
-    /// An event is over the bound.
+    /// An event exceeds the maximum size.
     #[display("an event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
     /// A line is not UTF-8.
@@ -15,30 +15,29 @@
     NotUtf8,
 }
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, where the upstream gave one.
+    /// Value of the `id` field, if present.
     pub id: Option<String>,
-    /// Its data, lines joined by a line feed.
+    /// Values of the `data` fields, joined by line feeds.
     pub data: String,
 }
 
-/// Decodes server-sent events from pieces of any size.
+/// Decodes server-sent events incrementally.
 ///
-/// Lines end with a line feed, with or without a carriage return before it; fields other than `id`
-/// and `data` are skipped, as are comments.
+/// Lines end with LF or CRLF. Comments and fields other than `id` and `data` are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct Decoder {
     buf: BytesMut,
-    /// How far `buf` is known to hold no line end.
+    /// Length of the start of `buf` that is known to contain no line end.
     searched_len: usize,
     event: Event,
     has_data: bool,
 }
 
 impl Decoder {
-    /// Takes what arrived.
+    /// Appends received bytes.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -46,11 +45,11 @@
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next event that is complete.
+    /// Returns the next complete event.
     ///
     /// # Errors
     ///
-    /// [`SseError`] when the stream can't be understood; nothing after it can be trusted.
+    /// [`SseError`] if the stream is malformed; it must not be read further.
     pub fn next_event(&mut self) -> Result<Option<Event>, SseError> {
         while let Some(line) = self.next_line()? {
             match line.split_once(':').unwrap_or((&line, "")) {
--- a/crates/gateway/src/sse/mod.rs
+++ b/crates/gateway/src/sse/mod.rs
@@ -1,4 +1,4 @@
-//! An engine's stream of events: decoding, checking, and putting together a whole answer.
+//! Server-sent events of engines: decoding, chunks, and assembly of a buffered response.
 
 mod answer_builder;
 mod chunk;
--- a/crates/gateway/src/upstream/client.rs
+++ b/crates/gateway/src/upstream/client.rs
@@ -9,29 +9,29 @@
     std::{cell::RefCell, io, net::SocketAddr, time::Duration},
 };
 
-/// How long connecting may take; upstreams stand a few milliseconds away.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// An idle connection older than this is not used again: long idle ones die unnoticed most often.
+/// Idle time after which a pooled connection is not reused, since it may have been dropped silently.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// No connection is used for longer.
+/// Maximum age of a pooled connection.
 const MAX_CONNECTION_AGE: Duration = Duration::from_mins(5);
 
-/// An upstream's answer as it begins.
+/// A response of an upstream whose body is not read yet.
 pub type UpstreamResponse = ClientResponse;
 
-/// Why a request has no answer.
+/// Why no response head was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum SendFailure {
-    /// No connection came about: no byte of the request left.
-    #[display("not connected, nothing was sent")]
+    /// No connection was established, so no byte of the request was sent.
+    #[display("connection failed before the request was sent")]
     NotSent,
-    /// Bytes may have left.
-    #[display("lost after the request had been sent")]
+    /// The request may have been sent in part or completely.
+    #[display("connection lost after the request may have been sent")]
     Lost,
 }
 
-/// The connections of one worker thread.
+/// Upstream connections of one worker thread.
 pub struct Connections {
     pooled: RefCell<Client>,
 }
@@ -54,13 +54,13 @@
 }
 
 impl Connections {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
-    /// A `force_new_connection` one gets a connection of its own that nobody has used before.
+    /// With `force_new_connection` the request uses a new connection outside the pool.
     ///
     /// # Errors
     ///
-    /// [`SendFailure::NotSent`] only with proof that no byte left.
+    /// [`SendFailure::NotSent`] only if certainly no byte was sent, otherwise [`SendFailure::Lost`].
     pub async fn send(
         &self,
         force_new_connection: bool,
@@ -94,18 +94,18 @@
         })
     }
 
-    /// Forgets all idle connections; those in use go on.
+    /// Discards all idle connections; those in use are not affected.
     ///
-    /// When one connection has gone silent, others that went the same way are likely to be dead too,
-    /// and each would cost a request the whole wait before that is noticed.
+    /// Called after a connection timed out, since other idle connections may have been dropped silently
+    /// too.
     pub fn discard_idle(&self) {
         self.pooled.replace(client(&BytesWritten::default()));
     }
 }
 
-/// The connect errors that come before a pooled connection is written to.
+/// Whether a connect error occurs before anything is written to a pooled connection.
 ///
-/// `Disconnected` is not among them: awc also reports it when a sent request gets no answer.
+/// `Disconnected` does not: `awc` also returns it if a sent request gets no response.
 fn is_before_sending(e: &awc::error::ConnectError) -> bool {
     use awc::error::ConnectError as E;
     matches!(
@@ -125,9 +125,9 @@
         .limit(0);
     Client::builder()
         .connector(connector)
-        // A redirect would run a call a second time at another address.
+        // Following a redirect could run a call a second time.
         .disable_redirects()
-        // The driver of the request has its own, finer limits.
+        // The driver of the request enforces its own timeouts.
         .disable_timeout()
         .no_default_headers()
         .finish()
--- a/crates/gateway/src/upstream/io.rs
+++ b/crates/gateway/src/upstream/io.rs
@@ -10,22 +10,22 @@
     tokio::io::{AsyncRead, AsyncWrite, ReadBuf},
 };
 
-/// Whether any byte has been written to a connection.
+/// Records whether any byte was written to a connection.
 #[derive(Clone, Debug, Default)]
 pub struct BytesWritten(Rc<Cell<bool>>);
 
 impl BytesWritten {
-    /// Whether any byte has left.
+    /// Whether any byte may have been written.
     pub fn any(&self) -> bool {
         self.0.get()
     }
 
-    fn note(&self) {
+    fn set(&self) {
         self.0.set(true);
     }
 }
 
-/// A connection to an upstream whose close is an error and whose first written byte is noted.
+/// A connection to an upstream that reports EOF as an error and records the first write.
 #[derive(Debug)]
 pub struct UpstreamIo {
     stream: TcpStream,
@@ -33,7 +33,7 @@
 }
 
 impl UpstreamIo {
-    /// Wraps a connection.
+    /// Wraps a TCP stream.
     pub const fn new(
         stream: TcpStream,
         written: BytesWritten,
@@ -65,8 +65,8 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        // Noted before the attempt: an error doesn't prove that nothing left.
-        self.written.note();
+        // Recorded before the write, since a failed write may have sent bytes.
+        self.written.set();
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
@@ -75,7 +75,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.written.note();
+        self.written.set();
         Pin::new(&mut self.stream).poll_write_vectored(cx, bufs)
     }
 
