--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -51,18 +51,18 @@
     // Whatever an engine puts into an event comes out as it was.
     bolero::check!()
         .with_type::<Vec<(u64, String)>>()
-        .for_each(|told| {
-            let data: Vec<String> = told
+        .for_each(|inputs| {
+            let data: Vec<String> = inputs
                 .iter()
                 .map(|(_, text)| json!(text).to_string())
                 .collect();
-            let written: Vec<String> = told
+            let written: Vec<String> = inputs
                 .iter()
                 .zip(&data)
                 .map(|((id, _), data)| format!("id: {id}\r\ndata: {data}\r\n\r\n"))
                 .collect();
             let got = events(&[written.concat().as_bytes()]);
-            assert_eq!(got.len(), told.len());
+            assert_eq!(got.len(), inputs.len());
             for (event, data) in got.iter().zip(&data) {
                 assert_eq!(&event.data, data);
             }
--- a/crates/gateway/tests/gateway/bad_input.rs
+++ b/crates/gateway/tests/gateway/bad_input.rs
@@ -1,7 +1,7 @@
 //! Bad input: each gets a clear error and takes nothing else down.
 
 use {
-    crate::support::{self, Bench, BenchSpec, KEY},
+    crate::support::{self, FixtureSettings, GatewayFixture, KEY},
     awc::http::Method,
     serde_json::json,
     std::{
@@ -12,20 +12,24 @@
     },
 };
 
-fn small() -> BenchSpec {
-    BenchSpec {
+fn strict_limits() -> FixtureSettings {
+    FixtureSettings {
         limits: json!({
             "max_body_bytes": 2048, "max_header_bytes": 2048, "request_read_ms": 1500,
             "max_in_flight": 4,
         }),
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     }
 }
 
 #[actix_rt::test]
 async fn wrong_requests() {
-    let bench = Bench::start(small()).await;
-    let chat = |body| bench.call(Method::POST, "/v1/chat/completions").body(body);
+    let fixture = GatewayFixture::start(strict_limits()).await;
+    let chat = |body| {
+        fixture
+            .call(Method::POST, "/v1/chat/completions")
+            .body(body)
+    };
     let one = json!([{"role": "user", "content": "hi"}]);
     let cases = [
         (chat(json!([])), 400, "bad_request"),
@@ -63,49 +67,49 @@
             "body_too_large",
         ),
         (
-            bench
+            fixture
                 .chat("base", "hi", 4, false)
                 .header("x-deadline-ms", "soon"),
             400,
             "bad_request",
         ),
         (
-            bench
+            fixture
                 .chat("base", "hi", 4, false)
                 .header("x-priority", "highest"),
             400,
             "bad_request",
         ),
         (
-            bench
+            fixture
                 .chat("base", "hi", 4, false)
                 .header("x-pad", &"x".repeat(4000)),
             431,
             "headers_too_large",
         ),
         (
-            bench.chat("base", "hi", 1_000_001, false),
+            fixture.chat("base", "hi", 1_000_001, false),
             400,
             "larger_than_burst",
         ),
-        (bench.call(Method::GET, "/v1/nothing"), 404, "not_found"),
+        (fixture.call(Method::GET, "/v1/nothing"), 404, "not_found"),
         (
-            bench.call(Method::GET, "/services/nobody/x"),
+            fixture.call(Method::GET, "/services/nobody/x"),
             404,
             "service_not_found",
         ),
         (
-            bench.call(Method::DELETE, "/services/phones/phones/17"),
+            fixture.call(Method::DELETE, "/services/phones/phones/17"),
             404,
             "service_not_found",
         ),
         (
-            bench.call(Method::GET, "/services/phones/phones/%2e%2e"),
+            fixture.call(Method::GET, "/services/phones/phones/%2e%2e"),
             400,
             "bad_request",
         ),
         (
-            bench.call(Method::GET, "/services/phones/phones/a%2fb"),
+            fixture.call(Method::GET, "/services/phones/phones/a%2fb"),
             400,
             "bad_request",
         ),
@@ -116,7 +120,7 @@
         assert!(!answer.header("x-request-id").is_empty());
         assert_eq!(answer.json["error"]["execution"], "not_run");
     }
-    let good = support::answer(&bench.chat("base", "hi", 4, false)).await;
+    let good = support::answer(&fixture.chat("base", "hi", 4, false)).await;
     assert!(good.is_whole(), "{good:?}");
 }
 
@@ -124,19 +128,19 @@
 async fn slow_senders() {
     // Callers on bad lines send the head and then hardly anything. Each holds a place; together they
     // would keep everybody else out.
-    let bench = Bench::start(small()).await;
+    let fixture = GatewayFixture::start(strict_limits()).await;
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 100\r\n\r\n{{"
     );
     let sender = || {
-        let mut stream = TcpStream::connect(bench.gateway.port("callers")).expect("connected");
+        let mut stream = TcpStream::connect(fixture.gateway.port("callers")).expect("connected");
         stream.write_all(head.as_bytes()).expect("sent");
         stream
     };
     let slow = RefCell::new(vec![sender()]);
     let full = || async {
-        let answer = support::answer(&bench.chat("base", "hi", 4, false)).await;
+        let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
         // One more each time: a place may have been taken by the request that looks.
         slow.borrow_mut().push(sender());
         (answer.code() == "queue_full")
@@ -147,7 +151,7 @@
         .await
         .expect("full");
     let free = || async {
-        let answer = support::answer(&bench.chat("base", "hi", 4, false)).await;
+        let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
         answer
             .is_whole()
             .then_some(())
@@ -178,13 +182,13 @@
 async fn rate_used_up() {
     // An account sends more than its rate. What is over has to be refused at once, with the time after
     // which it will be served.
-    let bench = Bench::start(BenchSpec {
+    let fixture = GatewayFixture::start(FixtureSettings {
         rate: 500,
         burst: 500,
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     })
     .await;
-    let call = bench.chat("base", "hello", 200, false);
+    let call = fixture.chat("base", "hello", 200, false);
     let answers = futures::future::join_all((0..6).map(|_| support::answer(&call))).await;
     let refused: Vec<_> = answers.iter().filter(|answer| !answer.is_whole()).collect();
     assert!(!refused.is_empty());
@@ -202,9 +206,9 @@
 #[actix_rt::test]
 async fn slow_reader() {
     // A caller asks for a long answer and doesn't read it. What piles up for it must be bounded.
-    let mut spec = BenchSpec::default();
+    let mut spec = FixtureSettings::default();
     spec.engine.step_us = 100;
-    let bench = Bench::start(spec).await;
+    let fixture = GatewayFixture::start(spec).await;
     let body =
         json!({"model": "base", "prompt": "x", "max_tokens": 64, "stream": true}).to_string();
     let head = format!(
@@ -214,12 +218,13 @@
     );
     let mut idle: Vec<_> = (0..50)
         .map(|_| {
-            let mut stream = TcpStream::connect(bench.gateway.port("callers")).expect("connected");
+            let mut stream =
+                TcpStream::connect(fixture.gateway.port("callers")).expect("connected");
             stream.write_all(head.as_bytes()).expect("sent");
             stream
         })
         .collect();
-    let answer = support::answer(&bench.chat("base", "hi", 4, false)).await;
+    let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
     assert!(answer.is_whole(), "{answer:?}");
     idle.clear();
 }
--- a/crates/gateway/tests/gateway/broken_streams.rs
+++ b/crates/gateway/tests/gateway/broken_streams.rs
@@ -1,7 +1,7 @@
 //! Streams that break off, go silent, cross or lose their engine.
 
 use {
-    crate::support::{self, Bench, BenchSpec},
+    crate::support::{self, FixtureSettings, GatewayFixture},
     jasmine_testkit::{
         client::EndOfStream,
         engine::{Ended, answer as expected},
@@ -22,12 +22,12 @@
 /// Long enough an answer for things to happen in the middle of it.
 const PROMPT: &str = "a long tale";
 
-fn whole_text() -> String {
+fn expected_text() -> String {
     expected("", &format!("user: {PROMPT}\n"), 64).concat()
 }
 
-fn slow() -> BenchSpec {
-    let mut spec = BenchSpec::default();
+fn slow_engine_settings() -> FixtureSettings {
+    let mut spec = FixtureSettings::default();
     spec.engine.step_us = 30_000;
     spec
 }
@@ -36,16 +36,16 @@
 async fn cut_connections() {
     // An engine's host resets each connection after a few tokens, as an overloaded balancer does. A
     // caller would see its answer end in the middle of a sentence.
-    let bench = Bench::start(BenchSpec::default()).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for engine in 0..2 {
-        bench
+        fixture
             .engine_fault(engine, json!({"cut_streams_after": 3}))
             .await;
     }
     for stream in [true, false] {
-        let answer = support::answer(&bench.chat("base", PROMPT, 64, stream)).await;
+        let answer = support::answer(&fixture.chat("base", PROMPT, 64, stream)).await;
         assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.text, whole_text());
+        assert_eq!(answer.text, expected_text());
     }
 }
 
@@ -53,22 +53,22 @@
 async fn silent_connections() {
     // Something between gateway and engine loses track of the open connections: nothing arrives on
     // them any more, no error either, while new ones work. A caller would wait for ever.
-    let bench = Bench::start(slow()).await;
+    let fixture = GatewayFixture::start(slow_engine_settings()).await;
     for stream in [true, false] {
-        let call = bench.chat("base", PROMPT, 64, stream);
+        let call = fixture.chat("base", PROMPT, 64, stream);
         let silence = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            for link in &bench.engine_links {
+            for link in &fixture.engine_links {
                 link.set_mode(Fault::Silent);
             }
         };
         let (answer, ()) = futures::future::join(support::answer(&call), silence).await;
         assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.text, whole_text());
+        assert_eq!(answer.text, expected_text());
         assert!(answer.took < Duration::from_secs(8), "{:?}", answer.took);
     }
     // Resumed, not run anew.
-    let ran = bench.record(0).await.requests.len() + bench.record(1).await.requests.len();
+    let ran = fixture.record(0).await.requests.len() + fixture.record(1).await.requests.len();
     assert_eq!(ran, 2);
 }
 
@@ -76,16 +76,16 @@
 async fn crossed_answers() {
     // An engine's front end hands out the answer of another request. The caller would read another
     // client account's text.
-    let bench = Bench::start(BenchSpec::default()).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for stream in [true, false] {
         for engine in 0..2 {
-            bench
+            fixture
                 .engine_fault(engine, json!({"crossed_answers": 1}))
                 .await;
         }
-        let answer = support::answer(&bench.chat("base", PROMPT, 64, stream)).await;
+        let answer = support::answer(&fixture.chat("base", PROMPT, 64, stream)).await;
         assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.text, whole_text());
+        assert_eq!(answer.text, expected_text());
     }
 }
 
@@ -94,22 +94,22 @@
     // An engine restarts cold in the middle of an answer; its streams are gone with it. A streamed
     // answer can't be made whole any more, and must not look as if it were; one that was to
     // come in one piece is run anew elsewhere.
-    let bench = Bench::start(slow()).await;
+    let fixture = GatewayFixture::start(slow_engine_settings()).await;
     for stream in [true, false] {
-        let call = bench.chat("base", PROMPT, 64, stream);
+        let call = fixture.chat("base", PROMPT, 64, stream);
         let restart = async {
             tokio::time::sleep(Duration::from_millis(400)).await;
             for engine in 0..2 {
-                bench.engine_fault(engine, json!({"restart": true})).await;
+                fixture.engine_fault(engine, json!({"restart": true})).await;
             }
         };
         let (answer, ()) = futures::future::join(support::answer(&call), restart).await;
         if stream {
             assert_eq!(answer.end, EndOfStream::Error("answer_cut".to_owned()));
-            assert!(whole_text().starts_with(&answer.text) && !answer.text.is_empty());
+            assert!(expected_text().starts_with(&answer.text) && !answer.text.is_empty());
         } else {
             assert!(answer.is_whole(), "{answer:?}");
-            assert_eq!(answer.text, whole_text());
+            assert_eq!(answer.text, expected_text());
         }
     }
 }
@@ -118,26 +118,26 @@
 async fn adapter_gone() {
     // An engine restarts and has lost its adapters, and the gateway has not heard of it yet. A request
     // for one of them must neither fail nor run on other weights.
-    let bench = Bench::start(BenchSpec::default()).await;
-    let call = bench.chat("notes", PROMPT, 32, true);
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let call = fixture.chat("notes", PROMPT, 32, true);
     assert!(support::answer(&call).await.is_whole());
     for engine in 0..2 {
-        bench.engine_fault(engine, json!({"restart": true})).await;
+        fixture.engine_fault(engine, json!({"restart": true})).await;
     }
     let answer = support::answer(&call).await;
     assert!(answer.is_whole(), "{answer:?}");
     let prompt = format!("user: {PROMPT}\n");
     assert_eq!(answer.text, expected("notes-v1", &prompt, 32).concat());
-    assert_eq!(bench.controller.told().loads.len(), 2);
+    assert_eq!(fixture.controller.state().loaded_instances.len(), 2);
 }
 
 #[actix_rt::test]
 async fn engine_unreachable() {
     // One engine's host is down: connections to it are refused. Its part of the requests would fail.
-    let mut bench = Bench::start(BenchSpec::default()).await;
-    bench.engine_links.remove(0);
+    let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.engine_links.remove(0);
     for _ in 0..6 {
-        let answer = support::answer(&bench.chat("base", PROMPT, 16, true)).await;
+        let answer = support::answer(&fixture.chat("base", PROMPT, 16, true)).await;
         assert!(answer.is_whole(), "{answer:?}");
     }
 }
@@ -145,13 +145,13 @@
 #[actix_rt::test]
 async fn caller_gone() {
     // A caller closes its connection in the middle of an answer. The engine would go on for nobody.
-    let bench = Bench::start(slow()).await;
-    let call = bench.chat("base", PROMPT, 64, true);
+    let fixture = GatewayFixture::start(slow_engine_settings()).await;
+    let call = fixture.chat("base", PROMPT, 64, true);
     let early = tokio::time::timeout(Duration::from_millis(400), call.send()).await;
     assert!(early.is_err());
     let cancelled = || async {
-        let mut ran = bench.record(0).await.requests;
-        ran.extend(bench.record(1).await.requests);
+        let mut ran = fixture.record(0).await.requests;
+        ran.extend(fixture.record(1).await.requests);
         let ended = ran.first().and_then(|ran| ran.ended);
         (ended == Some(Ended::Cancelled))
             .then_some(())
@@ -163,9 +163,9 @@
 }
 
 /// A server that answers each connection with these bytes and closes it.
-fn answering(bytes: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
-    let asked = Arc::new(AtomicU32::new(0));
-    let count = Arc::clone(&asked);
+fn serve_raw_response(bytes: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
+    let request_count = Arc::new(AtomicU32::new(0));
+    let count = Arc::clone(&request_count);
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -176,19 +176,19 @@
             assert!(got && stream.write_all(bytes.as_bytes()).is_ok());
         }
     });
-    (address, asked)
+    (address, request_count)
 }
 
 #[actix_rt::test]
 async fn cut_between_chunks() {
     // A server of a plain service dies between two chunks of its answer, or before any of it. awc takes the
     // closed connection for the end of the body, and for a failure to connect.
-    let bench = Bench::start(BenchSpec {
+    let fixture = GatewayFixture::start(FixtureSettings {
         servers: 1,
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     })
     .await;
-    let enrol = bench
+    let enrolment = fixture
         .call(
             awc::http::Method::POST,
             "/services/phones/phones/17/enrolment",
@@ -201,9 +201,9 @@
         .enumerate()
     {
         let name = format!("odd-{n}");
-        let (address, asked) = answering(bytes);
+        let (address, request_count) = serve_raw_response(bytes);
         let address = address.to_string();
-        bench.controller.edit(json!([
+        fixture.controller.edit(json!([
             {"op": "delete", "path": format!("/upstreams/{before}")},
             {
                 "op": "create", "path": format!("/upstreams/{name}"), "kind": "server",
@@ -212,12 +212,12 @@
         ]));
         before = name;
         // Until the edit is in force the call reaches the server before.
-        let look = || async {
-            let answer = support::answer(&enrol).await;
-            let reached = asked.load(Ordering::SeqCst) > 0;
+        let check = || async {
+            let answer = support::answer(&enrolment).await;
+            let reached = request_count.load(Ordering::SeqCst) > 0;
             reached.then_some(answer).ok_or("another server".to_owned())
         };
-        let (_, answer) = jasmine_testkit::harness::poll("reached", Duration::from_secs(3), look)
+        let (_, answer) = jasmine_testkit::harness::poll("reached", Duration::from_secs(3), check)
             .await
             .expect("reached");
         assert_eq!(answer.code(), "upstream_lost", "{answer:?}");
@@ -229,54 +229,54 @@
 async fn redirected_call() {
     // A server answers a call that may not be repeated with a redirect. A client library that follows it
     // runs the call a second time.
-    let bench = Bench::start(BenchSpec {
+    let fixture = GatewayFixture::start(FixtureSettings {
         servers: 0,
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     })
     .await;
-    let (address, asked) = answering(
+    let (address, request_count) = serve_raw_response(
         "HTTP/1.1 307 Temporary Redirect\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n",
     );
-    bench.controller.edit(json!([{
+    fixture.controller.edit(json!([{
         "op": "create", "path": "/upstreams/odd", "kind": "server",
         "settings": {"address": address.to_string(), "service": "phones", "data_centre": "dc-1"},
     }]));
-    let enrol = bench
+    let enrolment = fixture
         .call(
             awc::http::Method::POST,
             "/services/phones/phones/17/enrolment",
         )
         .body(json!({}));
-    let look = || async {
+    let check = || async {
         let client = awc::Client::builder().disable_redirects().finish();
-        let answer = enrol.send_with(&client).await.expect("an answer");
+        let answer = enrolment.send_with(&client).await.expect("an answer");
         (answer.status == 307)
             .then_some(())
             .ok_or(format!("{answer:?}"))
     };
-    jasmine_testkit::harness::poll("redirect", Duration::from_secs(3), look)
+    jasmine_testkit::harness::poll("redirect", Duration::from_secs(3), check)
         .await
         .expect("the service's own answer");
-    assert_eq!(asked.load(Ordering::SeqCst), 1);
+    assert_eq!(request_count.load(Ordering::SeqCst), 1);
 }
 
 #[actix_rt::test]
 async fn short_body() {
     // A server of a plain service dies while it writes its answer. awc takes the closed connection for the
     // end of the body: a caller would read half a confirmation as if it were whole.
-    let bench = Bench::start(BenchSpec::default()).await;
-    for link in &bench.server_links {
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    for link in &fixture.server_links {
         // The head passes, the body doesn't.
         let short: Link = serde_json::from_value(json!({"close_after": 150})).expect("a link");
         link.set(short);
     }
-    let enrol = bench
+    let enrolment = fixture
         .call(
             awc::http::Method::POST,
             "/services/phones/phones/17/enrolment",
         )
         .body(json!({}));
-    let answer = support::answer(&enrol).await;
+    let answer = support::answer(&enrolment).await;
     assert_eq!(answer.code(), "upstream_lost", "{answer:?}");
     assert_eq!(answer.json["error"]["execution"], "outcome_unknown");
 }
--- a/crates/gateway/tests/gateway/caller_keys.rs
+++ b/crates/gateway/tests/gateway/caller_keys.rs
@@ -1,7 +1,7 @@
 //! Keys: unknown, withdrawn, and never shown to an upstream.
 
 use {
-    crate::support::{self, Bench, BenchSpec, KEY},
+    crate::support::{self, FixtureSettings, GatewayFixture, KEY},
     awc::http::Method,
     jasmine_testkit::client::{Call, EndOfStream},
     serde_json::json,
@@ -10,8 +10,8 @@
 
 #[actix_rt::test]
 async fn unknown_keys() {
-    let bench = Bench::start(BenchSpec::default()).await;
-    let port = bench.gateway.port("callers");
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let port = fixture.gateway.port("callers");
     let cases = [
         (None, "key_missing"),
         (Some("Bearer"), "key_missing"),
@@ -37,17 +37,17 @@
 async fn withdrawn_midway() {
     // An operator withdraws a key whose holder is reading an answer. Whoever has the key would
     // otherwise go on getting work done with it.
-    let mut spec = BenchSpec::default();
+    let mut spec = FixtureSettings::default();
     spec.engine.step_us = 50_000;
-    let bench = Bench::start(spec).await;
+    let fixture = GatewayFixture::start(spec).await;
     let withdrawal = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
-        bench.controller.edit(json!([
+        fixture.controller.edit(json!([
             {"op": "set", "path": "/accounts/clinic/first", "setting": "withdrawn", "value": true},
         ]));
         Instant::now()
     };
-    let call = bench.chat("base", "a long tale", 64, true);
+    let call = fixture.chat("base", "a long tale", 64, true);
     let (answer, withdrawn) = futures::future::join(call.send(), withdrawal).await;
     let answer = answer.expect("an answer");
     let took = withdrawn.elapsed();
@@ -66,27 +66,27 @@
 async fn key_in_request() {
     // A careless client puts its key into other places too. An upstream, its logs and whoever reads
     // those would have it.
-    let bench = Bench::start(BenchSpec::default()).await;
-    let port = bench.gateway.port("callers");
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let port = fixture.gateway.port("callers");
     let escaped = KEY.replace('c', "%63");
     let refused = [
-        bench.chat("base", &format!("my key is {KEY}, thanks"), 8, false),
-        bench.call(Method::GET, &format!("/services/phones/phones/{KEY}")),
-        bench.call(
+        fixture.chat("base", &format!("my key is {KEY}, thanks"), 8, false),
+        fixture.call(Method::GET, &format!("/services/phones/phones/{KEY}")),
+        fixture.call(
             Method::GET,
             &format!("/services/phones/phones/17?key={KEY}"),
         ),
-        bench.call(
+        fixture.call(
             Method::GET,
             &format!("/services/phones/phones/17?key={escaped}"),
         ),
-        bench
+        fixture
             .call(Method::GET, "/services/phones/phones/17")
             .header("accept-language", KEY),
-        bench
+        fixture
             .call(Method::POST, "/services/phones/phones/17/enrolment")
             .body(json!({"token": KEY})),
-        bench
+        fixture
             .call(Method::POST, "/services/phones/phones/17/enrolment")
             .header("idempotency-key", KEY),
     ];
@@ -112,8 +112,8 @@
     assert_eq!(answer.status().as_u16(), 400);
     // What does go on holds it nowhere, whatever else the caller's headers say.
     let allowed = [
-        bench.chat("base", "hello", 8, true),
-        bench.call(Method::GET, "/services/phones/phones/17"),
+        fixture.chat("base", "hello", 8, true),
+        fixture.call(Method::GET, "/services/phones/phones/17"),
     ];
     for call in allowed {
         let call = call
@@ -124,32 +124,32 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_ne!(answer.header("x-request-id"), KEY);
     }
-    let mut seen = format!("{:?}", bench.served().await);
+    let mut seen = format!("{:?}", fixture.served_calls().await);
     for engine in 0..2 {
-        seen.extend(bench.record(engine).await.seen);
+        seen.extend(fixture.record(engine).await.seen);
     }
     assert!(seen.contains("clinic"));
     assert!(!seen.contains(KEY));
-    let log = bench.gateway.lines().join("\n");
+    let log = fixture.gateway.lines().join("\n");
     assert!(log.contains("event=request") && !log.contains(KEY) && !log.contains("hello"));
 }
 
 #[actix_rt::test]
 async fn closed_adapters() {
-    let bench = Bench::start(BenchSpec::default()).await;
-    bench.controller.edit(json!([
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.controller.edit(json!([
         {"op": "set", "path": "/adapters/notes", "setting": "access", "value": ["courier"]},
     ]));
-    let call = bench.chat("notes", "hello", 8, false);
-    let look = || async {
+    let call = fixture.chat("notes", "hello", 8, false);
+    let check = || async {
         let answer = support::answer(&call).await;
         (answer.status == 403)
             .then_some(())
             .ok_or(format!("{answer:?}"))
     };
-    jasmine_testkit::harness::poll("not permitted", Duration::from_secs(3), look)
+    jasmine_testkit::harness::poll("not permitted", Duration::from_secs(3), check)
         .await
         .expect("a refusal");
-    let models = support::answer(&bench.call(Method::GET, "/v1/models")).await;
+    let models = support::answer(&fixture.call(Method::GET, "/v1/models")).await;
     assert_eq!(models.json["data"].as_array().map(Vec::len), Some(1));
 }
--- a/crates/gateway/tests/gateway/config_bound.rs
+++ b/crates/gateway/tests/gateway/config_bound.rs
@@ -1,29 +1,29 @@
 //! How long a gateway goes on with a configuration that nobody confirms.
 
 use {
-    crate::support::{self, Bench, BenchSpec, FakeController, Told},
+    crate::support::{self, ControllerState, FakeController, FixtureSettings, GatewayFixture},
     serde_json::json,
     std::time::Duration,
 };
 
-fn short() -> BenchSpec {
-    BenchSpec {
+fn short_config_staleness() -> FixtureSettings {
+    FixtureSettings {
         config_stale_ms: 1_500,
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     }
 }
 
-async fn refused_within(
-    bench: &Bench,
+async fn is_refused_within(
+    fixture: &GatewayFixture,
     bound: Duration,
 ) -> bool {
-    let call = bench.chat("base", "hello", 4, false);
-    let look = || async {
+    let call = fixture.chat("base", "hello", 4, false);
+    let check = || async {
         let answer = support::answer(&call).await;
         let refused = answer.code() == "config_unavailable";
         refused.then_some(()).ok_or(answer.code().to_owned())
     };
-    jasmine_testkit::harness::poll("refusal", bound, look)
+    jasmine_testkit::harness::poll("refusal", bound, check)
         .await
         .is_ok()
 }
@@ -32,16 +32,16 @@
 async fn cut_off() {
     // One VM loses touch with the store and with all other VMs. A key withdrawn meanwhile would work
     // there for as long as that lasts.
-    let bench = Bench::start(short()).await;
-    bench.controller.told().fresh_ms = None;
-    assert!(refused_within(&bench, Duration::from_secs(4)).await);
-    let answer = support::answer(&bench.chat("base", "hello", 4, false)).await;
+    let fixture = GatewayFixture::start(short_config_staleness()).await;
+    fixture.controller.state().fresh_ms = None;
+    assert!(is_refused_within(&fixture, Duration::from_secs(4)).await);
+    let answer = support::answer(&fixture.chat("base", "hello", 4, false)).await;
     assert_eq!((answer.status, answer.header("retry-after")), (503, "5"));
-    bench.wait_ready(false).await;
-    bench.controller.told().fresh_ms = Some(0);
-    bench.wait_ready(true).await;
+    fixture.wait_ready(false).await;
+    fixture.controller.state().fresh_ms = Some(0);
+    fixture.wait_ready(true).await;
     assert!(
-        support::answer(&bench.chat("base", "hello", 4, false))
+        support::answer(&fixture.chat("base", "hello", 4, false))
             .await
             .is_whole()
     );
@@ -51,48 +51,48 @@
 async fn minority_cut_off() {
     // Two of five VMs are cut off together from the store and from the other three. They reach each
     // other, and would vouch for each other's configuration although the rest has moved on.
-    let bench = Bench::start(short()).await;
-    let reached = FakeController::start(Told::default());
-    let gone = FakeController::start(Told::default());
-    reached.told().fresh_ms = Some(3_600_000);
-    bench.controller.told().others = (2..=5)
+    let fixture = GatewayFixture::start(short_config_staleness()).await;
+    let reachable = FakeController::start(ControllerState::default());
+    let unreachable = FakeController::start(ControllerState::default());
+    reachable.state().fresh_ms = Some(3_600_000);
+    fixture.controller.state().other_vms = (2..=5)
         .map(|vm| {
             (
                 vm,
                 if vm == 2 {
-                    reached.address
+                    reachable.address
                 } else {
-                    gone.address
+                    unreachable.address
                 },
             )
         })
         .collect();
-    bench.controller.told().fresh_ms = Some(3_600_000);
-    assert!(refused_within(&bench, Duration::from_secs(5)).await);
+    fixture.controller.state().fresh_ms = Some(3_600_000);
+    assert!(is_refused_within(&fixture, Duration::from_secs(5)).await);
 }
 
 #[actix_rt::test]
 async fn store_down() {
     // The store is out for everybody; the VMs are in touch. Nobody can accept an edit, so nothing can
     // have changed; refusing would make each outage of the store one of the whole service.
-    let bench = Bench::start(short()).await;
-    let others = FakeController::start(Told::default());
-    others.told().fresh_ms = Some(3_600_000);
-    bench.controller.told().others = (2..=5).map(|vm| (vm, others.address)).collect();
-    bench.controller.told().fresh_ms = Some(3_600_000);
-    assert!(!refused_within(&bench, Duration::from_secs(4)).await);
+    let fixture = GatewayFixture::start(short_config_staleness()).await;
+    let others = FakeController::start(ControllerState::default());
+    others.state().fresh_ms = Some(3_600_000);
+    fixture.controller.state().other_vms = (2..=5).map(|vm| (vm, others.address)).collect();
+    fixture.controller.state().fresh_ms = Some(3_600_000);
+    assert!(!is_refused_within(&fixture, Duration::from_secs(4)).await);
 }
 
 #[actix_rt::test]
 async fn never_older() {
     // After a switch to another controller an older configuration arrives. A withdrawn key would work
     // again.
-    let bench = Bench::start(BenchSpec::default()).await;
-    let old = bench.controller.told().tree.clone();
-    bench.controller.edit(json!([
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let old = fixture.controller.state().tree.clone();
+    fixture.controller.edit(json!([
         {"op": "set", "path": "/accounts/clinic/first", "setting": "withdrawn", "value": true},
     ]));
-    let call = bench.chat("base", "hello", 4, false);
+    let call = fixture.chat("base", "hello", 4, false);
     let withdrawn = || async {
         let answer = support::answer(&call).await;
         (answer.code() == "key_withdrawn")
@@ -103,7 +103,7 @@
     jasmine_testkit::harness::poll("withdrawn", bound, withdrawn)
         .await
         .expect("withdrawn");
-    bench.controller.told().tree = old;
+    fixture.controller.state().tree = old;
     for _ in 0..20 {
         assert_eq!(support::answer(&call).await.code(), "key_withdrawn");
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/gateway/tests/gateway/idempotency_keys.rs
+++ b/crates/gateway/tests/gateway/idempotency_keys.rs
@@ -1,19 +1,19 @@
 //! `Idempotency-Key`: the answer of the first run, and what an outage of the store does.
 
 use {
-    crate::support::{self, Bench, BenchSpec},
+    crate::support::{self, FixtureSettings, GatewayFixture},
     awc::http::Method,
     jasmine_testkit::client::Call,
     serde_json::json,
     std::time::Duration,
 };
 
-fn enrol(
-    bench: &Bench,
+fn enrolment(
+    fixture: &GatewayFixture,
     key: &str,
     profile: &str,
 ) -> Call {
-    bench
+    fixture
         .call(Method::POST, "/services/phones/phones/17/enrolment")
         .header("idempotency-key", key)
         .header("x-deadline-ms", "2000")
@@ -24,11 +24,11 @@
 async fn repeated_calls() {
     // A caller's connection drops after its enrolment ran. It sends the call again; run twice, the
     // phone would be wiped in the middle of a shift.
-    let bench = Bench::start(BenchSpec::default()).await;
-    let first = support::answer(&enrol(&bench, "a-1", "field")).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let first = support::answer(&enrolment(&fixture, "a-1", "field")).await;
     assert_eq!(first.status, 200);
     let again = || async {
-        let answer = support::answer(&enrol(&bench, "\"a-1\"", "field")).await;
+        let answer = support::answer(&enrolment(&fixture, "\"a-1\"", "field")).await;
         (answer.status == 200)
             .then_some(answer.clone())
             .ok_or(format!("{answer:?}"))
@@ -38,31 +38,31 @@
         .expect("an answer");
     assert_eq!(again.json, first.json);
     assert_eq!(again.header("idempotency-replayed"), "true");
-    let other = support::answer(&enrol(&bench, "a-1", "office")).await;
+    let other = support::answer(&enrolment(&fixture, "a-1", "office")).await;
     assert_eq!((other.status, other.code()), (422, "claim_mismatch"));
-    assert_eq!(bench.served().await.len(), 1);
+    assert_eq!(fixture.served_calls().await.len(), 1);
 }
 
 #[actix_rt::test]
 async fn repeated_after_answer() {
     // A caller's own process dies right after its enrolment was answered, and its successor sends the call again within
     // milliseconds while the store is slow. Told that the call is still running, it would leave a new hire waiting at the counter.
-    let bench = Bench::start(BenchSpec::default()).await;
-    bench.controller.told().keeps_after = Duration::from_millis(200);
-    let first = support::answer(&enrol(&bench, "c-1", "field")).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.controller.state().claim_store_delay = Duration::from_millis(200);
+    let first = support::answer(&enrolment(&fixture, "c-1", "field")).await;
     assert_eq!(first.status, 200);
-    let again = support::answer(&enrol(&bench, "c-1", "field")).await;
+    let again = support::answer(&enrolment(&fixture, "c-1", "field")).await;
     assert_eq!((again.status, &again.json), (200, &first.json), "{again:?}");
     assert_eq!(again.header("idempotency-replayed"), "true");
-    assert_eq!(bench.served().await.len(), 1);
+    assert_eq!(fixture.served_calls().await.len(), 1);
 }
 
 #[actix_rt::test]
 async fn repeated_at_once() {
     // Two copies of one call arrive at the same moment. Only one may run.
-    let bench = Bench::start(BenchSpec::default()).await;
-    bench.server_fault(json!({"delay_ms": 300})).await;
-    let call = enrol(&bench, "b-1", "field");
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.server_fault(json!({"delay_ms": 300})).await;
+    let call = enrolment(&fixture, "b-1", "field");
     let answers = futures::future::join_all((0..8).map(|_| support::answer(&call))).await;
     let ran = answers.iter().filter(|answer| answer.status == 200).count();
     let running = answers
@@ -70,44 +70,44 @@
         .filter(|answer| answer.code() == "claim_running")
         .count();
     assert_eq!((ran, running), (1, 7));
-    assert_eq!(bench.served().await.len(), 1);
+    assert_eq!(fixture.served_calls().await.len(), 1);
 }
 
 #[actix_rt::test]
 async fn caller_lost() {
     // The caller's line breaks while the service works. The call goes on, and its answer is there when
     // the caller asks again.
-    let bench = Bench::start(BenchSpec::default()).await;
-    bench.server_fault(json!({"delay_ms": 600})).await;
-    let call = enrol(&bench, "c-1", "field");
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.server_fault(json!({"delay_ms": 600})).await;
+    let call = enrolment(&fixture, "c-1", "field");
     assert!(
         tokio::time::timeout(Duration::from_millis(200), call.send())
             .await
             .is_err()
     );
-    let look = || async {
+    let check = || async {
         let answer = support::answer(&call).await;
         (answer.status == 200)
             .then_some(())
             .ok_or(format!("{answer:?}"))
     };
-    jasmine_testkit::harness::poll("answer", Duration::from_secs(4), look)
+    jasmine_testkit::harness::poll("answer", Duration::from_secs(4), check)
         .await
         .expect("the first run's answer");
-    assert_eq!(bench.served().await.len(), 1);
+    assert_eq!(fixture.served_calls().await.len(), 1);
 }
 
 #[actix_rt::test]
 async fn store_out() {
     // The store is out. Run without a record, the call could run again when its caller repeats it.
-    let bench = Bench::start(BenchSpec::default()).await;
-    bench.controller.told().claims = false;
-    let answer = support::answer(&enrol(&bench, "d-1", "field")).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.controller.state().accepts_claims = false;
+    let answer = support::answer(&enrolment(&fixture, "d-1", "field")).await;
     assert_eq!(answer.code(), "claim_unavailable");
     assert_eq!(answer.json["error"]["execution"], "not_run");
     assert_eq!(answer.header("retry-after"), "5");
-    assert_eq!(bench.served().await.len(), 0);
-    let status = bench.call(Method::GET, "/services/phones/phones/17");
+    assert_eq!(fixture.served_calls().await.len(), 0);
+    let status = fixture.call(Method::GET, "/services/phones/phones/17");
     assert_eq!(support::answer(&status).await.status, 200);
 }
 
@@ -115,12 +115,12 @@
 async fn not_run_given_back() {
     // No server can be reached, so nothing ran and the caller is told so. When it comes back with the
     // same key, "a call is running" would be wrong for as long as claims are kept.
-    let mut bench = Bench::start(BenchSpec::default()).await;
-    bench.server_links.clear();
-    let answer = support::answer(&enrol(&bench, "e-1", "field")).await;
+    let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.server_links.clear();
+    let answer = support::answer(&enrolment(&fixture, "e-1", "field")).await;
     assert_eq!(answer.json["error"]["execution"], "not_run", "{answer:?}");
     let given_back = || async {
-        let open = bench.controller.told().claimed.len();
+        let open = fixture.controller.state().claims.len();
         (open == 0).then_some(()).ok_or(format!("{open}"))
     };
     jasmine_testkit::harness::poll("given back", Duration::from_secs(2), given_back)
@@ -132,12 +132,12 @@
 async fn unknown_outcome() {
     // The service took the call and its answer was lost. A repeat must not run, and must not be told
     // that nothing did.
-    let bench = Bench::start(BenchSpec::default()).await;
-    bench.server_fault(json!({"lose_replies": 1})).await;
-    let call = enrol(&bench, "f-1", "field");
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.server_fault(json!({"lose_replies": 1})).await;
+    let call = enrolment(&fixture, "f-1", "field");
     assert_eq!(support::answer(&call).await.code(), "upstream_lost");
     let again = support::answer(&call).await;
     assert_eq!(again.code(), "claim_running");
     assert_eq!(again.json["error"]["execution"], "outcome_unknown");
-    assert_eq!(bench.served().await.len(), 1);
+    assert_eq!(fixture.served_calls().await.len(), 1);
 }
--- a/crates/gateway/tests/gateway/overhead.rs
+++ b/crates/gateway/tests/gateway/overhead.rs
@@ -4,7 +4,7 @@
 //! `JASMINE_CALLS=4000 cargo test --release -p jasmine-gateway --test gateway overhead -- --nocapture`
 
 use {
-    crate::support::{Bench, BenchSpec, KEY},
+    crate::support::{FixtureSettings, GatewayFixture, KEY},
     awc::{Client, http::Method},
     jasmine_testkit::client::Call,
     std::{
@@ -14,50 +14,50 @@
 };
 
 /// Calls of each kind in CI, taken in turn so that both see the same machine.
-const CALLS: usize = 20;
+const CALLS_PER_KIND: usize = 20;
 /// Calls that warm both ways up.
-const WARM_UP: usize = 10;
+const WARM_UP_CALLS: usize = 10;
 /// Callers at the same time, for the throughput.
-const CALLERS: usize = 48;
+const CONCURRENT_CALLERS: usize = 48;
 /// How long the throughput is measured, for each call of a kind.
-const SPELL_A_CALL: Duration = Duration::from_millis(1);
+const THROUGHPUT_TIME_PER_CALL: Duration = Duration::from_millis(1);
 
 #[actix_rt::test]
 async fn added_time() {
     let calls = env::var("JASMINE_CALLS")
         .ok()
         .and_then(|calls| calls.parse().ok())
-        .unwrap_or(CALLS);
-    let bench = Bench::start(BenchSpec {
-        proxied: false,
+        .unwrap_or(CALLS_PER_KIND);
+    let fixture = GatewayFixture::start(FixtureSettings {
+        is_proxied: false,
         servers: 1,
         engines: 1,
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     })
     .await;
-    let through = bench.call(Method::GET, "/services/phones/phones/17");
-    let straight = Call::new(bench.server_addresses()[0], Method::GET, "/phones/17").key(KEY);
-    compare("plain call", &through, &straight, calls).await;
-    let through = bench.chat("base", "hi", 1, true);
-    let straight = Call::chat(bench.engine_addresses()[0], KEY, "base", "hi", 1, true);
-    compare("streamed token", &through, &straight, calls / 10 + 1).await;
-    throughput(&bench, SPELL_A_CALL * calls as u32).await;
+    let via_gateway = fixture.call(Method::GET, "/services/phones/phones/17");
+    let direct = Call::new(fixture.server_addresses()[0], Method::GET, "/phones/17").key(KEY);
+    compare_latency("plain call", &via_gateway, &direct, calls).await;
+    let via_gateway = fixture.chat("base", "hi", 1, true);
+    let direct = Call::chat(fixture.engine_addresses()[0], KEY, "base", "hi", 1, true);
+    compare_latency("streamed token", &via_gateway, &direct, calls / 10 + 1).await;
+    throughput(&fixture, THROUGHPUT_TIME_PER_CALL * calls as u32).await;
 }
 
 /// Sends both calls in turn and prints what one has over the other.
-async fn compare(
+async fn compare_latency(
     what: &str,
-    through: &Call,
-    straight: &Call,
+    via_gateway: &Call,
+    direct: &Call,
     calls: usize,
 ) {
     let client = Client::builder().disable_timeout().finish();
     let (mut with, mut without) = (Vec::new(), Vec::new());
-    for n in 0..WARM_UP + calls {
-        for (call, took) in [(through, &mut with), (straight, &mut without)] {
+    for n in 0..WARM_UP_CALLS + calls {
+        for (call, took) in [(via_gateway, &mut with), (direct, &mut without)] {
             let answer = call.send_with(&client).await.expect("an answer");
             assert_eq!(answer.status, 200, "{answer:?}");
-            if n >= WARM_UP {
+            if n >= WARM_UP_CALLS {
                 took.push(answer.took);
             }
         }
@@ -77,15 +77,15 @@
 }
 
 async fn throughput(
-    bench: &Bench,
-    spell: Duration,
+    fixture: &GatewayFixture,
+    duration: Duration,
 ) {
-    let call = bench.call(Method::GET, "/services/phones/phones/17");
-    let (began, cpu) = (Instant::now(), cpu_of_gateway());
-    let callers = (0..CALLERS).map(|_| async {
+    let call = fixture.call(Method::GET, "/services/phones/phones/17");
+    let (started, cpu) = (Instant::now(), cpu_of_gateway());
+    let callers = (0..CONCURRENT_CALLERS).map(|_| async {
         let client = Client::builder().disable_timeout().finish();
         let mut done = 0_u32;
-        while began.elapsed() < spell {
+        while started.elapsed() < duration {
             let answer = call.send_with(&client).await.expect("an answer");
             done += u32::from(answer.status == 200);
         }
@@ -95,8 +95,8 @@
     let spent = cpu_of_gateway().saturating_sub(cpu);
     assert!(done > 0, "nothing served");
     println!(
-        "{done} answers in {:?} with {CALLERS} callers, gateway used {spent:?} of processor time: {:.0} a second a core",
-        began.elapsed(),
+        "{done} answers in {:?} with {CONCURRENT_CALLERS} callers, gateway used {spent:?} of processor time: {:.0} a second a core",
+        started.elapsed(),
         f64::from(done) / spent.as_secs_f64(),
     );
 }
--- a/crates/gateway/tests/gateway/planned_stop.rs
+++ b/crates/gateway/tests/gateway/planned_stop.rs
@@ -1,16 +1,16 @@
 //! A planned stop: nothing cut, rights given back, gone before the deadline.
 
 use {
-    crate::support::{self, Bench, BenchSpec, OTHER_KEY},
+    crate::support::{self, FixtureSettings, GatewayFixture, OTHER_KEY},
     jasmine_testkit::client::EndOfStream,
     nix::sys::signal::Signal,
     serde_json::json,
     std::time::{Duration, Instant},
 };
 
-async fn ended(bench: &mut Bench) -> bool {
+async fn exits_successfully(fixture: &mut GatewayFixture) -> bool {
     for _ in 0..400 {
-        if let Some(status) = bench.gateway.ended() {
+        if let Some(status) = fixture.gateway.ended() {
             return status.success();
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -22,17 +22,17 @@
 async fn streams_finish() {
     // A VM is replaced while callers read their answers. Cut off, each would have to ask again; without
     // the rights it held, the others would refuse what is within the accounts' rate.
-    let mut spec = BenchSpec::default();
+    let mut spec = FixtureSettings::default();
     spec.engine.step_us = 20_000;
-    let mut bench = Bench::start(spec).await;
-    let call = bench.chat("base", "a long tale", 64, true);
+    let mut fixture = GatewayFixture::start(spec).await;
+    let call = fixture.chat("base", "a long tale", 64, true);
     let stop = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert!(bench.gateway.signal(Signal::SIGTERM));
-        bench.wait_ready(false).await;
-        let early = support::answer(&bench.chat("base", "hello", 4, false)).await;
+        assert!(fixture.gateway.signal(Signal::SIGTERM));
+        fixture.wait_ready(false).await;
+        let early = support::answer(&fixture.chat("base", "hello", 4, false)).await;
         tokio::time::sleep(Duration::from_millis(150)).await;
-        let late = support::answer(&bench.chat("base", "hello", 4, false)).await;
+        let late = support::answer(&fixture.chat("base", "hello", 4, false)).await;
         (early, late)
     };
     let (answer, (early, late)) = futures::future::join(support::answer(&call), stop).await;
@@ -40,23 +40,23 @@
     assert!(early.is_whole(), "{early:?}");
     assert_eq!(late.code(), "shutting_down");
     assert_eq!(late.json["error"]["execution"], "not_run");
-    assert!(ended(&mut bench).await);
-    assert_eq!(bench.controller.told().given_back.len(), 2);
+    assert!(exits_successfully(&mut fixture).await);
+    assert_eq!(fixture.controller.state().released_accounts.len(), 2);
 }
 
 #[actix_rt::test]
 async fn left_out() {
     // A VM was frozen until the others took it for gone and shared out its rights among themselves. When it
     // thaws, what it admits comes on top of what they do, and the account is over its rate.
-    let mut bench = Bench::start(BenchSpec::default()).await;
+    let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     assert!(
-        support::answer(&bench.chat("base", "hello", 4, false))
+        support::answer(&fixture.chat("base", "hello", 4, false))
             .await
             .is_whole()
     );
-    bench.controller.told().left_out = true;
+    fixture.controller.state().is_excluded_from_epoch = true;
     let refused = || async {
-        let answer = support::answer(&bench.chat("base", "hello", 4, false)).await;
+        let answer = support::answer(&fixture.chat("base", "hello", 4, false)).await;
         (answer.code() == "shutting_down")
             .then_some(())
             .ok_or(format!("{answer:?}"))
@@ -65,21 +65,21 @@
         .await
         .expect("a refusal");
     // It ends by itself, so that a new run can join the others.
-    assert!(ended(&mut bench).await);
-    assert!(bench.controller.told().given_back.is_empty());
+    assert!(exits_successfully(&mut fixture).await);
+    assert!(fixture.controller.state().released_accounts.is_empty());
 }
 
 #[actix_rt::test]
 async fn deleted_account() {
     // An operator deletes an account, and later its VM is replaced. What the gateway still holds of it would
     // be written into the store at each change of the fleet, more with every account that ever was.
-    let mut bench = Bench::start(BenchSpec::default()).await;
-    bench.controller.edit(json!([
+    let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    fixture.controller.edit(json!([
         {"op": "delete", "path": "/accounts/courier/first"},
         {"op": "delete", "path": "/accounts/courier"},
     ]));
     let refused = || async {
-        let call = bench.chat("base", "hello", 4, false).key(OTHER_KEY);
+        let call = fixture.chat("base", "hello", 4, false).key(OTHER_KEY);
         let answer = support::answer(&call).await;
         (answer.code() == "key_unknown")
             .then_some(())
@@ -88,36 +88,36 @@
     jasmine_testkit::harness::poll("key unknown", Duration::from_secs(3), refused)
         .await
         .expect("a refusal");
-    assert!(bench.gateway.signal(Signal::SIGTERM));
-    assert!(ended(&mut bench).await);
-    assert_eq!(bench.controller.told().given_back.len(), 1);
+    assert!(fixture.gateway.signal(Signal::SIGTERM));
+    assert!(exits_successfully(&mut fixture).await);
+    assert_eq!(fixture.controller.state().released_accounts.len(), 1);
 }
 
 #[actix_rt::test]
 async fn before_deadline() {
     // A stream would go on for longer than the stop may take. The process must be gone by its
     // deadline all the same, or it is killed with its rights; the caller must not take what it has for whole.
-    let mut spec = BenchSpec {
+    let mut spec = FixtureSettings {
         stop: (50, 1_500),
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     };
     spec.engine.step_us = 200_000;
-    let mut bench = Bench::start(spec).await;
-    let call = bench.chat("base", "a long tale", 64, true);
+    let mut fixture = GatewayFixture::start(spec).await;
+    let call = fixture.chat("base", "a long tale", 64, true);
     let stop = async {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let began = Instant::now();
-        assert!(bench.gateway.signal(Signal::SIGTERM));
-        began
+        let started = Instant::now();
+        assert!(fixture.gateway.signal(Signal::SIGTERM));
+        started
     };
-    let (answer, began) = futures::future::join(call.send(), stop).await;
+    let (answer, started) = futures::future::join(call.send(), stop).await;
     let end = answer.expect("an answer").end;
     assert_eq!(end, EndOfStream::Error("answer_cut".to_owned()));
-    assert!(ended(&mut bench).await);
+    assert!(exits_successfully(&mut fixture).await);
     assert!(
-        began.elapsed() < Duration::from_millis(1_700),
+        started.elapsed() < Duration::from_millis(1_700),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
-    assert_eq!(bench.controller.told().given_back.len(), 2);
+    assert_eq!(fixture.controller.state().released_accounts.len(), 2);
 }
--- a/crates/gateway/tests/gateway/support/fake_controller.rs
+++ b/crates/gateway/tests/gateway/support/fake_controller.rs
@@ -20,37 +20,37 @@
 };
 
 /// The fencing token of everything that it owns.
-const FENCE: u64 = 7;
+const FENCING_TOKEN: u64 = 7;
 
 /// What the controller tells, and what it was told.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct ControllerState {
     /// The configuration.
     pub tree: Tree,
     /// Milliseconds since the store confirmed it; none: it answers no question about it.
     pub fresh_ms: Option<u64>,
     /// Whether the store takes claims.
-    pub claims: bool,
+    pub accepts_claims: bool,
     /// How long the store takes to keep the answer of a claimed call.
-    pub keeps_after: Duration,
+    pub claim_store_delay: Duration,
     /// Engines by number, with where they are.
     pub engines: BTreeMap<u32, SocketAddr>,
     /// Changes when the engines have restarted.
     pub boot: u64,
     /// Questions about engines.
-    pub asked: u64,
+    pub upstream_polls: u64,
     /// Those of them for all engines, from a gateway that has no number of this controller.
-    pub asked_for_all: u64,
+    pub full_upstream_polls: u64,
     /// Loads that were ordered: instance names.
-    pub loads: Vec<String>,
+    pub loaded_instances: Vec<String>,
     /// Idempotency keys with fingerprint and answer.
-    pub claimed: BTreeMap<Vec<u8>, Claimed>,
+    pub claims: BTreeMap<Vec<u8>, Claimed>,
     /// Accounts of which rights came back with the last word.
-    pub given_back: Vec<u32>,
+    pub released_accounts: Vec<u32>,
     /// Other VMs that it tells of, with their controllers.
-    pub others: BTreeMap<u32, SocketAddr>,
+    pub other_vms: BTreeMap<u32, SocketAddr>,
     /// Whether the epoch has gone on without the gateway.
-    pub left_out: bool,
+    pub is_excluded_from_epoch: bool,
     /// The part of each account's rights that it grants, of [`FULL_SHARE`].
     pub share: Option<u64>,
 }
@@ -63,34 +63,34 @@
 pub struct FakeController {
     /// Where it listens.
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<ControllerState>>,
 }
 
 impl FakeController {
     /// Starts it; it ends with the process of the test.
-    pub fn start(told: Told) -> Self {
+    pub fn start(state: ControllerState) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         listener.set_nonblocking(true).expect("a socket");
         let address = listener.local_addr().expect("an address");
-        let told = Arc::new(Mutex::new(told));
-        let shared = Arc::clone(&told);
+        let state = Arc::new(Mutex::new(state));
+        let shared = Arc::clone(&state);
         std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let listener = tokio::net::TcpListener::from_std(listener).expect("a socket");
                 let server = Server {
-                    told: shared,
+                    state: shared,
                     address,
                 };
                 let client: controller::Client = capnp_rpc::new_client(server);
                 serve(listener, client.client).await;
             });
         });
-        Self { address, told }
+        Self { address, state }
     }
 
     /// What it tells and was told.
-    pub fn told(&self) -> MutexGuard<'_, Told> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn state(&self) -> MutexGuard<'_, ControllerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Carries out an edit.
@@ -98,7 +98,7 @@
         &self,
         ops: Value,
     ) {
-        edit(&mut self.told().tree, ops);
+        edit(&mut self.state().tree, ops);
     }
 }
 
@@ -119,13 +119,13 @@
 
 #[derive(Clone)]
 struct Server {
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<ControllerState>>,
     address: SocketAddr,
 }
 
 impl Server {
-    fn told(&self) -> MutexGuard<'_, Told> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, ControllerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -140,16 +140,17 @@
         let params = params.get()?;
         let have = Revision(params.get_have());
         let mut looks = params.get_wait_ms() / 10;
-        while self.told().fresh_ms.is_none() || (looks > 0 && self.told().tree.revision() == have) {
+        while self.state().fresh_ms.is_none() || (looks > 0 && self.state().tree.revision() == have)
+        {
             looks = looks.saturating_sub(1);
             sleep(Duration::from_millis(10)).await;
         }
-        let told = self.told();
+        let state = self.state();
         let mut answer = results.get();
-        answer.set_fresh_ms(told.fresh_ms.unwrap_or_default());
-        answer.set_revision(told.tree.revision().0);
-        if told.tree.revision() != have {
-            let body = serde_json::to_vec(&TreeBody::from(&told.tree)).expect("JSON");
+        answer.set_fresh_ms(state.fresh_ms.unwrap_or_default());
+        answer.set_revision(state.tree.revision().0);
+        if state.tree.revision() != have {
+            let body = serde_json::to_vec(&TreeBody::from(&state.tree)).expect("JSON");
             answer.set_body(&body);
             answer.set_full(true);
         }
@@ -170,36 +171,40 @@
             0
         }))
         .await;
-        let told = self.told();
+        let state = self.state();
         let mut answer = results.get();
-        // Each answer tells all, as a change: what it tells depends on `told`, which counts nothing.
+        // Each answer tells all, as a change: what it tells depends on `state`, which counts nothing.
         answer.set_seq(params.get_have() + 1);
-        let mut members = answer.reborrow().init_members(1 + told.others.len() as u32);
+        let mut members = answer
+            .reborrow()
+            .init_members(1 + state.other_vms.len() as u32);
         let mut own = members.reborrow().get(0);
         own.set_vm(from.vm.0);
         own.set_controller_address(self.address.to_string());
         own.set_gateway_address(gateway);
         own.set_gateway_incarnation(from.incarnation.0);
-        for (i, (vm, address)) in (1..).zip(&told.others) {
+        for (i, (vm, address)) in (1..).zip(&state.other_vms) {
             let mut other = members.reborrow().get(i);
             other.set_vm(*vm);
             other.set_controller_address(address.to_string());
         }
-        let mut owners = answer.reborrow().init_owners(told.engines.len() as u32);
-        for (i, &upstream) in (0..).zip(told.engines.keys()) {
+        let mut owners = answer.reborrow().init_owners(state.engines.len() as u32);
+        for (i, &upstream) in (0..).zip(state.engines.keys()) {
             let mut owner = owners.reborrow().get(i);
             owner.set_upstream(upstream);
             owner.set_vm(from.vm.0);
-            owner.set_fence(FENCE);
+            owner.set_fence(FENCING_TOKEN);
         }
-        let fleet = told.tree.resolve();
+        let fleet = state.tree.resolve();
         let accounts: Vec<_> = fleet.accounts.iter().collect();
         let mut epoch = answer.init_epoch();
         // The first look finds no epoch yet.
-        epoch.set_epoch(u64::from(params.get_have() > 0 && !told.left_out));
-        epoch.set_newest(1 + u64::from(told.left_out));
-        let share = told.share.unwrap_or(FULL_SHARE);
-        if told.left_out {
+        epoch.set_epoch(u64::from(
+            params.get_have() > 0 && !state.is_excluded_from_epoch,
+        ));
+        epoch.set_newest(1 + u64::from(state.is_excluded_from_epoch));
+        let share = state.share.unwrap_or(FULL_SHARE);
+        if state.is_excluded_from_epoch {
             return Ok(());
         }
         let mut grants = epoch.init_grants(accounts.len() as u32);
@@ -230,23 +235,23 @@
     ) -> Result<(), Error> {
         let have = params.get()?.get_have();
         sleep(Duration::from_millis(if have > 0 { 100 } else { 0 })).await;
-        let mut told = self.told();
-        told.asked += 1;
-        told.asked_for_all += u64::from(have == 0);
+        let mut state = self.state();
+        state.upstream_polls += 1;
+        state.full_upstream_polls += u64::from(have == 0);
         // As the real one: each change is told once.
-        let seq = told.boot * 1000 + told.engines.len() as u64;
+        let seq = state.boot * 1000 + state.engines.len() as u64;
         let mut answer = results.get();
         answer.set_seq(seq);
         if have == seq {
             return Ok(());
         }
-        let mut views = answer.init_engines(told.engines.len() as u32);
-        for (i, &upstream) in (0..).zip(told.engines.keys()) {
+        let mut views = answer.init_engines(state.engines.len() as u32);
+        for (i, &upstream) in (0..).zip(state.engines.keys()) {
             let mut view = views.reborrow().get(i);
             view.set_upstream(upstream);
-            view.set_owner_fence(FENCE);
+            view.set_owner_fence(FENCING_TOKEN);
             view.set_healthy(true);
-            view.set_boot(told.boot);
+            view.set_boot(state.boot);
         }
         Ok(())
     }
@@ -258,23 +263,23 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let (adapter, version) = (params.get_adapter(), params.get_version());
-        let name = format!("{adapter}-{version}-{FENCE}");
+        let name = format!("{adapter}-{version}-{FENCING_TOKEN}");
         let (engine, weights) = {
-            let told = self.told();
-            let fleet = told.tree.resolve();
+            let state = self.state();
+            let fleet = state.tree.resolve();
             let known = fleet.adapters.get(jasmine_core::ids::AdapterId(adapter));
             let weights = known.map(|known| known.versions[&version].weights.clone());
             (
-                told.engines[&params.get_upstream()],
+                state.engines[&params.get_upstream()],
                 weights.unwrap_or_default(),
             )
         };
-        let order = json!({"instance": name, "weights": weights, "fence": FENCE});
+        let order = json!({"instance": name, "weights": weights, "fence": FENCING_TOKEN});
         let loaded = post_json(engine, "/v1/load_adapter", order).await;
         let is_loaded = loaded.is_ok_and(|answer| answer["loaded"] == json!(true));
-        self.told().loads.push(name);
+        self.state().loaded_instances.push(name);
         let mut answer = results.get();
-        answer.set_owner_fence(FENCE);
+        answer.set_owner_fence(FENCING_TOKEN);
         if !is_loaded {
             answer.set_outcome(AcquireOutcome::LoadFailed);
             answer.set_retry_ms(1000);
@@ -285,7 +290,7 @@
         instance.set_upstream(params.get_upstream());
         instance.set_adapter(adapter);
         instance.set_version(version);
-        instance.set_fence(FENCE);
+        instance.set_fence(FENCING_TOKEN);
         Ok(())
     }
 
@@ -307,10 +312,10 @@
             params.get_key()?.to_vec(),
             params.get_fingerprint()?.to_vec(),
         );
-        let mut told = self.told();
+        let mut state = self.state();
         let mut answer = results.get();
-        let outcome = match told.claimed.get(&key) {
-            _ if !told.claims => ClaimOutcome::Unavailable,
+        let outcome = match state.claims.get(&key) {
+            _ if !state.accepts_claims => ClaimOutcome::Unavailable,
             None => ClaimOutcome::Fresh,
             Some((first, _)) if *first != fingerprint => ClaimOutcome::Mismatch,
             Some((_, None)) => ClaimOutcome::Running,
@@ -320,8 +325,8 @@
             }
         };
         answer.set_outcome(outcome);
-        if told.claims {
-            told.claimed.entry(key).or_insert((fingerprint, None));
+        if state.accepts_claims {
+            state.claims.entry(key).or_insert((fingerprint, None));
         }
         Ok(())
     }
@@ -333,12 +338,12 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let (key, answer) = (params.get_key()?.to_vec(), params.get_answer()?.to_vec());
-        let keeps_after = self.told().keeps_after;
-        sleep(keeps_after).await;
-        let mut told = self.told();
+        let claim_store_delay = self.state().claim_store_delay;
+        sleep(claim_store_delay).await;
+        let mut state = self.state();
         if answer.is_empty() {
-            told.claimed.remove(&key);
-        } else if let Some(claim) = told.claimed.get_mut(&key) {
+            state.claims.remove(&key);
+        } else if let Some(claim) = state.claims.get_mut(&key) {
             claim.1 = Some(answer);
         }
         results.get().set_stored(true);
@@ -359,7 +364,7 @@
         _results: controller::LeaveResults,
     ) -> Result<(), Error> {
         let rights = read_rights(params.get()?.get_holdings()?);
-        self.told().given_back = rights.iter().map(|right| right.account.0).collect();
+        self.state().released_accounts = rights.iter().map(|right| right.account.0).collect();
         Ok(())
     }
 }
--- a/crates/gateway/tests/gateway/support/bench.rs
+++ b/crates/gateway/tests/gateway/support/fixture.rs
@@ -1,5 +1,5 @@
 use {
-    super::fake_controller::{FakeController, Told, edit},
+    super::fake_controller::{ControllerState, FakeController, edit},
     jasmine_conf::{fleet::KeyDigest, hex, tree::Tree},
     jasmine_testkit::{
         Running,
@@ -26,7 +26,7 @@
 
 /// What a bench is made of.
 #[derive(Clone, Debug)]
-pub struct BenchSpec {
+pub struct FixtureSettings {
     /// Engines.
     pub engines: u32,
     /// Each engine's behaviour.
@@ -38,7 +38,7 @@
     /// Tokens at once of each account.
     pub burst: u64,
     /// Whether proxies stand before the upstreams.
-    pub proxied: bool,
+    pub is_proxied: bool,
     /// The gateway's limits, as in its settings.
     pub limits: Value,
     /// How old its configuration may become.
@@ -47,7 +47,7 @@
     pub stop: (u64, u64),
 }
 
-impl Default for BenchSpec {
+impl Default for FixtureSettings {
     fn default() -> Self {
         Self {
             engines: 2,
@@ -60,7 +60,7 @@
             servers: 2,
             rate: 1_000_000,
             burst: 1_000_000,
-            proxied: true,
+            is_proxied: true,
             limits: json!({}),
             config_stale_ms: 10_000,
             stop: (100, 5_000),
@@ -70,7 +70,7 @@
 
 /// A gateway with all that it needs.
 #[derive(Debug)]
-pub struct Bench {
+pub struct GatewayFixture {
     /// The gateway process.
     pub gateway: Daemon,
     /// Its controller.
@@ -84,53 +84,61 @@
     settings: PathBuf,
 }
 
-impl Drop for Bench {
+impl Drop for GatewayFixture {
     fn drop(&mut self) {
         drop(fs::remove_file(&self.settings));
     }
 }
 
-impl Bench {
+impl GatewayFixture {
     /// Starts all of it and waits until the gateway is ready.
-    pub async fn start(spec: BenchSpec) -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    pub async fn start(spec: FixtureSettings) -> Self {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let engines: Vec<_> = (0..spec.engines)
-            .map(|_| engine::start(any, spec.engine.clone()).expect("an engine"))
+            .map(|_| engine::start(any_port, spec.engine.clone()).expect("an engine"))
             .collect();
         let servers: Vec<_> = (0..spec.servers)
-            .map(|_| service::start(any).expect("a service"))
+            .map(|_| service::start(any_port).expect("a service"))
             .collect();
-        let link = |running: &Running| Proxy::start(any, running.address()).expect("a proxy");
+        let link = |running: &Running| Proxy::start(any_port, running.address()).expect("a proxy");
         let engine_links: Vec<_> = engines.iter().map(link).collect();
         let server_links: Vec<_> = servers.iter().map(link).collect();
-        let reached_at = |links: &[Proxy], behind: &[Running]| -> Vec<SocketAddr> {
-            if spec.proxied {
+        let addresses_of = |links: &[Proxy], behind: &[Running]| -> Vec<SocketAddr> {
+            if spec.is_proxied {
                 links.iter().map(Proxy::address).collect()
             } else {
                 behind.iter().map(Running::address).collect()
             }
         };
-        let at_engines = reached_at(&engine_links, &engines);
-        let at_servers = reached_at(&server_links, &servers);
+        let engine_addresses = addresses_of(&engine_links, &engines);
+        let server_addresses = addresses_of(&server_links, &servers);
         let mut tree = Tree::default();
-        edit(&mut tree, first_ops(&spec, &at_engines, &at_servers));
+        edit(
+            &mut tree,
+            initial_ops(&spec, &engine_addresses, &server_addresses),
+        );
         let fleet = tree.resolve();
-        let reached = |name: &str| fleet.upstreams.iter().find(|known| known.name == name);
-        let owned = (1..=spec.engines).zip(&engines).map(|(n, engine)| {
-            let known = reached(&format!("engine-{n}")).expect("in the tree");
-            (known.id.0, engine.address())
+        let upstream_of = |name: &str| {
+            fleet
+                .upstreams
+                .iter()
+                .find(|upstream| upstream.name == name)
+        };
+        let owned_engines = (1..=spec.engines).zip(&engines).map(|(n, engine)| {
+            let upstream = upstream_of(&format!("engine-{n}")).expect("in the tree");
+            (upstream.id.0, engine.address())
         });
-        let controller = FakeController::start(Told {
-            engines: owned.collect(),
+        let controller = FakeController::start(ControllerState {
+            engines: owned_engines.collect(),
             tree,
             fresh_ms: Some(0),
-            claims: true,
+            accepts_claims: true,
             boot: 1,
-            ..Told::default()
+            ..ControllerState::default()
         });
         let settings = write_settings(&spec, controller.address);
         let gateway = Daemon::start("jasmine-gateway", &settings).expect("a gateway");
-        let bench = Self {
+        let fixture = Self {
             gateway,
             controller,
             engine_links,
@@ -139,8 +147,8 @@
             servers,
             settings,
         };
-        bench.wait_ready(true).await;
-        bench
+        fixture.wait_ready(true).await;
+        fixture
     }
 
     /// Waits until the gateway says that it is ready, or that it isn't.
@@ -149,7 +157,7 @@
         wanted: bool,
     ) {
         let status = self.gateway.port("status");
-        let look = || async move {
+        let check = || async move {
             let answer = Call::new(status, awc::http::Method::GET, "/readyz")
                 .send()
                 .await;
@@ -158,7 +166,7 @@
                 .then_some(())
                 .ok_or_else(|| format!("ready={ready}"))
         };
-        poll("readiness", Duration::from_secs(15), look)
+        poll("readiness", Duration::from_secs(15), check)
             .await
             .expect("readiness");
     }
@@ -210,7 +218,7 @@
     }
 
     /// All calls that took effect at any server.
-    pub async fn served(&self) -> Vec<ServedCall> {
+    pub async fn served_calls(&self) -> Vec<ServedCall> {
         let mut all = Vec::new();
         for server in &self.servers {
             let record = get_json(server.address(), "/stand-in/record").await;
@@ -251,17 +259,17 @@
 }
 
 fn write_settings(
-    spec: &BenchSpec,
+    spec: &FixtureSettings,
     controller: SocketAddr,
 ) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let n = COUNT.fetch_add(1, Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("gateway-{}-{n}.json", std::process::id()));
-    let any = "127.0.0.1:0";
+    let any_port = "127.0.0.1:0";
     let settings = json!({
         "vm": 1,
         "data_centre": "dc-1",
-        "listen": {"callers": any, "peers": any, "status": any},
+        "listen": {"callers": any_port, "peers": any_port, "status": any_port},
         "controller": controller,
         "limits": spec.limits,
         "config_stale_ms": spec.config_stale_ms,
@@ -279,8 +287,8 @@
     json!({"op": "create", "path": path, "kind": kind, "settings": settings})
 }
 
-fn first_ops(
-    spec: &BenchSpec,
+fn initial_ops(
+    spec: &FixtureSettings,
     engines: &[SocketAddr],
     servers: &[SocketAddr],
 ) -> Value {
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -1,9 +1,9 @@
 //! A gateway process between a small controller and the stand-ins.
 
-mod bench;
 mod fake_controller;
+mod fixture;
 
 pub use {
-    bench::{Bench, BenchSpec, KEY, OTHER_KEY, answer},
-    fake_controller::{FakeController, Told},
+    fake_controller::{ControllerState, FakeController},
+    fixture::{FixtureSettings, GatewayFixture, KEY, OTHER_KEY, answer},
 };
--- a/crates/gateway/tests/gateway/whole_path.rs
+++ b/crates/gateway/tests/gateway/whole_path.rs
@@ -1,7 +1,7 @@
 //! Requests through a gateway process, with nothing at fault.
 
 use {
-    crate::support::{self, Bench, BenchSpec, KEY},
+    crate::support::{self, FixtureSettings, GatewayFixture, KEY},
     awc::http::Method,
     jasmine_testkit::engine::answer as expected,
     serde_json::json,
@@ -17,10 +17,10 @@
 
 #[actix_rt::test]
 async fn streamed_and_whole() {
-    let bench = Bench::start(BenchSpec::default()).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for (model, weights) in [("notes", "notes-v1"), ("notes@2", "notes-v2"), ("base", "")] {
         for stream in [true, false] {
-            let call = bench.chat(model, "hello", 40, stream);
+            let call = fixture.chat(model, "hello", 40, stream);
             let answer = support::answer(&call).await;
             assert!(answer.is_whole(), "{answer:?}");
             assert_eq!(
@@ -31,7 +31,7 @@
             assert!(!answer.header("x-request-id").is_empty());
         }
     }
-    let call = bench
+    let call = fixture
         .chat("notes", "hello", 40, true)
         .header("x-request-id", "my-own.1");
     let answer = support::answer(&call).await;
@@ -42,21 +42,21 @@
 
 #[actix_rt::test]
 async fn one_load() {
-    let bench = Bench::start(BenchSpec::default()).await;
-    let call = bench.chat("notes", "hello", 20, true);
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let call = fixture.chat("notes", "hello", 20, true);
     let answers = futures::future::join_all((0..20).map(|_| call.send())).await;
     assert!(
         answers
             .into_iter()
             .all(|answer| answer.is_ok_and(|answer| answer.is_whole()))
     );
-    assert_eq!(bench.controller.told().loads.len(), 1);
+    assert_eq!(fixture.controller.state().loaded_instances.len(), 1);
 }
 
 #[actix_rt::test]
 async fn model_list() {
-    let bench = Bench::start(BenchSpec::default()).await;
-    let answer = support::answer(&bench.call(Method::GET, "/v1/models")).await;
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let answer = support::answer(&fixture.call(Method::GET, "/v1/models")).await;
     let ids: Vec<_> = answer.json["data"]
         .as_array()
         .expect("a list")
@@ -71,19 +71,19 @@
 
 #[actix_rt::test]
 async fn plain_service() {
-    let bench = Bench::start(BenchSpec::default()).await;
-    let status = bench.call(Method::GET, "/services/phones/phones/17?full=yes");
+    let fixture = GatewayFixture::start(FixtureSettings::default()).await;
+    let status = fixture.call(Method::GET, "/services/phones/phones/17?full=yes");
     let answer = support::answer(&status).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.json["path"], "/phones/17?full=yes");
-    let enrol = bench
+    let enrolment = fixture
         .call(Method::POST, "/services/phones/phones/17/enrolment")
         .body(json!({"profile": "field"}));
-    let answer = support::answer(&enrol).await;
+    let answer = support::answer(&enrolment).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    let served = bench.served().await;
-    assert_eq!(served.len(), 2);
-    for call in &served {
+    let served_calls = fixture.served_calls().await;
+    assert_eq!(served_calls.len(), 2);
+    for call in &served_calls {
         assert_eq!(call.account, "clinic");
         assert!(!format!("{call:?}").contains(KEY));
     }
