--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Generated input for everything that decodes bytes from outside.
+//! Property tests of all decoders of external input.
 
 use {
     jasmine_gateway::{
@@ -31,7 +31,7 @@
 
 #[test]
 fn sse_pieces() {
-    // Where the network cuts a stream into pieces must not matter.
+    // Guards against results that depend on how the stream is split into packets.
     bolero::check!()
         .with_type::<(Vec<u8>, u8)>()
         .for_each(|(bytes, at)| {
@@ -48,7 +48,7 @@
 
 #[test]
 fn sse_events() {
-    // Whatever an engine puts into an event comes out as it was.
+    // Guards against changed event data.
     bolero::check!()
         .with_type::<Vec<(u64, String)>>()
         .for_each(|inputs| {
@@ -78,7 +78,7 @@
         decoder.feed(piece.as_bytes());
         refused |= decoder.next_event().is_err();
     }
-    assert!(refused, "a line without end is taken for ever");
+    assert!(refused, "an endless line is buffered without a limit");
 }
 
 #[test]
@@ -92,7 +92,8 @@
 
 #[test]
 fn body_bounds() {
-    // The charge is never less than one token a byte, and the engine is told the bound that was charged.
+    // Guards against charging less than one token per byte, and against sending another `max_tokens`
+    // than was charged.
     bolero::check!()
         .with_type::<(String, Vec<String>, u16, bool)>()
         .for_each(|(prompt, parts, max_tokens, stream)| {
@@ -127,7 +128,7 @@
 
 #[test]
 fn key_in_body() {
-    // Wherever the key stands, and however it is written, it is found.
+    // Guards against missing a JSON-escaped key at any position.
     bolero::check!()
         .with_type::<(String, String, u8)>()
         .for_each(|(before, after, escaped)| {
--- a/crates/gateway/tests/gateway/bad_input.rs
+++ b/crates/gateway/tests/gateway/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: each gets a clear error and takes nothing else down.
+//! Invalid requests get a specific error and do not affect other requests.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture, KEY},
@@ -126,8 +126,7 @@
 
 #[actix_rt::test]
 async fn slow_senders() {
-    // Callers on bad lines send the head and then hardly anything. Each holds a place; together they
-    // would keep everybody else out.
+    // Guards against slow senders that occupy all in-flight slots for good.
     let fixture = GatewayFixture::start(strict_limits()).await;
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
@@ -141,7 +140,7 @@
     let slow = RefCell::new(vec![sender()]);
     let full = || async {
         let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
-        // One more each time: a place may have been taken by the request that looks.
+        // Adds a sender per check, since the checking request may have taken a slot.
         slow.borrow_mut().push(sender());
         (answer.code() == "queue_full")
             .then_some(())
@@ -180,8 +179,7 @@
 
 #[actix_rt::test]
 async fn rate_used_up() {
-    // An account sends more than its rate. What is over has to be refused at once, with the time after
-    // which it will be served.
+    // Guards against delaying requests over the rate instead of refusing them with a retry time.
     let fixture = GatewayFixture::start(FixtureSettings {
         rate: 500,
         burst: 500,
@@ -205,7 +203,7 @@
 
 #[actix_rt::test]
 async fn slow_reader() {
-    // A caller asks for a long answer and doesn't read it. What piles up for it must be bounded.
+    // Guards against unbounded buffering for callers that do not read their response.
     let mut spec = FixtureSettings::default();
     spec.engine.step_us = 100;
     let fixture = GatewayFixture::start(spec).await;
--- a/crates/gateway/tests/gateway/broken_streams.rs
+++ b/crates/gateway/tests/gateway/broken_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break off, go silent, cross or lose their engine.
+//! Streams that are cut, stall, are mixed up or lose their engine.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture},
@@ -19,7 +19,7 @@
     },
 };
 
-/// Long enough an answer for things to happen in the middle of it.
+/// Prompt with a response long enough to inject faults while it is streamed.
 const PROMPT: &str = "a long tale";
 
 fn expected_text() -> String {
@@ -34,8 +34,7 @@
 
 #[actix_rt::test]
 async fn cut_connections() {
-    // An engine's host resets each connection after a few tokens, as an overloaded balancer does. A
-    // caller would see its answer end in the middle of a sentence.
+    // Guards against truncated responses when connections are reset after a few tokens.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for engine in 0..2 {
         fixture
@@ -51,8 +50,7 @@
 
 #[actix_rt::test]
 async fn silent_connections() {
-    // Something between gateway and engine loses track of the open connections: nothing arrives on
-    // them any more, no error either, while new ones work. A caller would wait for ever.
+    // Guards against hanging when open connections stall without an error while new ones work.
     let fixture = GatewayFixture::start(slow_engine_settings()).await;
     for stream in [true, false] {
         let call = fixture.chat("base", PROMPT, 64, stream);
@@ -67,15 +65,14 @@
         assert_eq!(answer.text, expected_text());
         assert!(answer.took < Duration::from_secs(8), "{:?}", answer.took);
     }
-    // Resumed, not run anew.
+    // The streams were resumed, not run again.
     let ran = fixture.record(0).await.requests.len() + fixture.record(1).await.requests.len();
     assert_eq!(ran, 2);
 }
 
 #[actix_rt::test]
 async fn crossed_answers() {
-    // An engine's front end hands out the answer of another request. The caller would read another
-    // client account's text.
+    // Guards against delivering the response to another request when an engine mixes up responses.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for stream in [true, false] {
         for engine in 0..2 {
@@ -91,9 +88,8 @@
 
 #[actix_rt::test]
 async fn engine_restart() {
-    // An engine restarts cold in the middle of an answer; its streams are gone with it. A streamed
-    // answer can't be made whole any more, and must not look as if it were; one that was to
-    // come in one piece is run anew elsewhere.
+    // Guards against a truncated stream that looks complete after an engine restart. A buffered
+    // completion is run again on another engine.
     let fixture = GatewayFixture::start(slow_engine_settings()).await;
     for stream in [true, false] {
         let call = fixture.chat("base", PROMPT, 64, stream);
@@ -116,8 +112,8 @@
 
 #[actix_rt::test]
 async fn adapter_gone() {
-    // An engine restarts and has lost its adapters, and the gateway has not heard of it yet. A request
-    // for one of them must neither fail nor run on other weights.
+    // Guards against failures and wrong weights when an engine has lost its adapters in a restart that
+    // the gateway does not know of yet.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let call = fixture.chat("notes", PROMPT, 32, true);
     assert!(support::answer(&call).await.is_whole());
@@ -133,7 +129,7 @@
 
 #[actix_rt::test]
 async fn engine_unreachable() {
-    // One engine's host is down: connections to it are refused. Its part of the requests would fail.
+    // Guards against failed requests when one engine refuses connections.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.engine_links.remove(0);
     for _ in 0..6 {
@@ -144,7 +140,7 @@
 
 #[actix_rt::test]
 async fn caller_gone() {
-    // A caller closes its connection in the middle of an answer. The engine would go on for nobody.
+    // Guards against an engine that continues to generate after the caller disconnected.
     let fixture = GatewayFixture::start(slow_engine_settings()).await;
     let call = fixture.chat("base", PROMPT, 64, true);
     let early = tokio::time::timeout(Duration::from_millis(400), call.send()).await;
@@ -162,7 +158,7 @@
         .expect("a cancelled stream");
 }
 
-/// A server that answers each connection with these bytes and closes it.
+/// Starts a server that sends `bytes` on each connection and closes it.
 fn serve_raw_response(bytes: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
     let request_count = Arc::new(AtomicU32::new(0));
     let count = Arc::clone(&request_count);
@@ -181,8 +177,8 @@
 
 #[actix_rt::test]
 async fn cut_between_chunks() {
-    // A server of a plain service dies between two chunks of its answer, or before any of it. awc takes the
-    // closed connection for the end of the body, and for a failure to connect.
+    // Guards against a truncated body that looks complete, and a lost call that is reported as not run:
+    // `awc` treats the closed connection as the end of the body or as a connect error.
     let fixture = GatewayFixture::start(FixtureSettings {
         servers: 1,
         ..FixtureSettings::default()
@@ -195,7 +191,7 @@
         )
         .body(json!({}));
     let chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
-    let mut before = "server-1".to_owned();
+    let mut previous = "server-1".to_owned();
     for (n, bytes) in [chunked, "HTTP/1.1 200 OK\r\n\r\nhello", ""]
         .into_iter()
         .enumerate()
@@ -204,14 +200,14 @@
         let (address, request_count) = serve_raw_response(bytes);
         let address = address.to_string();
         fixture.controller.edit(json!([
-            {"op": "delete", "path": format!("/upstreams/{before}")},
+            {"op": "delete", "path": format!("/upstreams/{previous}")},
             {
                 "op": "create", "path": format!("/upstreams/{name}"), "kind": "server",
                 "settings": {"address": address, "service": "phones", "data_centre": "dc-1"},
             },
         ]));
-        before = name;
-        // Until the edit is in force the call reaches the server before.
+        previous = name;
+        // Until the edit takes effect, the call reaches the previous server.
         let check = || async {
             let answer = support::answer(&enrolment).await;
             let reached = request_count.load(Ordering::SeqCst) > 0;
@@ -227,8 +223,7 @@
 
 #[actix_rt::test]
 async fn redirected_call() {
-    // A server answers a call that may not be repeated with a redirect. A client library that follows it
-    // runs the call a second time.
+    // Guards against running a non-idempotent call twice by following a redirect.
     let fixture = GatewayFixture::start(FixtureSettings {
         servers: 0,
         ..FixtureSettings::default()
@@ -262,11 +257,10 @@
 
 #[actix_rt::test]
 async fn short_body() {
-    // A server of a plain service dies while it writes its answer. awc takes the closed connection for the
-    // end of the body: a caller would read half a confirmation as if it were whole.
+    // Guards against a truncated body that looks complete when a server dies while writing it.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for link in &fixture.server_links {
-        // The head passes, the body doesn't.
+        // Long enough for the response head, but not for the body.
         let short: Link = serde_json::from_value(json!({"close_after": 150})).expect("a link");
         link.set(short);
     }
--- a/crates/gateway/tests/gateway/caller_keys.rs
+++ b/crates/gateway/tests/gateway/caller_keys.rs
@@ -1,4 +1,4 @@
-//! Keys: unknown, withdrawn, and never shown to an upstream.
+//! API keys: unknown and withdrawn keys are refused, and no key reaches an upstream.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture, KEY},
@@ -35,8 +35,7 @@
 
 #[actix_rt::test]
 async fn withdrawn_midway() {
-    // An operator withdraws a key whose holder is reading an answer. Whoever has the key would
-    // otherwise go on getting work done with it.
+    // Guards against streams that continue after their key has been withdrawn.
     let mut spec = FixtureSettings::default();
     spec.engine.step_us = 50_000;
     let fixture = GatewayFixture::start(spec).await;
@@ -64,8 +63,7 @@
 
 #[actix_rt::test]
 async fn key_in_request() {
-    // A careless client puts its key into other places too. An upstream, its logs and whoever reads
-    // those would have it.
+    // Guards against leaking a key to upstreams and logs when a client also sends it in other places.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let port = fixture.gateway.port("callers");
     let escaped = KEY.replace('c', "%63");
@@ -110,7 +108,7 @@
         .await
         .expect("an answer");
     assert_eq!(answer.status().as_u16(), 400);
-    // What does go on holds it nowhere, whatever else the caller's headers say.
+    // Forwarded requests do not contain the key, even if other headers do.
     let allowed = [
         fixture.chat("base", "hello", 8, true),
         fixture.call(Method::GET, "/services/phones/phones/17"),
--- a/crates/gateway/tests/gateway/config_bound.rs
+++ b/crates/gateway/tests/gateway/config_bound.rs
@@ -1,4 +1,4 @@
-//! How long a gateway goes on with a configuration that nobody confirms.
+//! How long a gateway serves with a configuration that is no longer confirmed.
 
 use {
     crate::support::{self, ControllerState, FakeController, FixtureSettings, GatewayFixture},
@@ -30,8 +30,7 @@
 
 #[actix_rt::test]
 async fn cut_off() {
-    // One VM loses touch with the store and with all other VMs. A key withdrawn meanwhile would work
-    // there for as long as that lasts.
+    // Guards against accepting withdrawn keys on a VM that is isolated from the store and other VMs.
     let fixture = GatewayFixture::start(short_config_staleness()).await;
     fixture.controller.state().fresh_ms = None;
     assert!(is_refused_within(&fixture, Duration::from_secs(4)).await);
@@ -49,8 +48,8 @@
 
 #[actix_rt::test]
 async fn minority_cut_off() {
-    // Two of five VMs are cut off together from the store and from the other three. They reach each
-    // other, and would vouch for each other's configuration although the rest has moved on.
+    // Guards against two of five VMs that confirm each other's outdated configuration while isolated
+    // from the store and the majority.
     let fixture = GatewayFixture::start(short_config_staleness()).await;
     let reachable = FakeController::start(ControllerState::default());
     let unreachable = FakeController::start(ControllerState::default());
@@ -73,8 +72,8 @@
 
 #[actix_rt::test]
 async fn store_down() {
-    // The store is out for everybody; the VMs are in touch. Nobody can accept an edit, so nothing can
-    // have changed; refusing would make each outage of the store one of the whole service.
+    // Guards against refusing requests during a store outage while the VMs reach each other: without the
+    // store the configuration can't change.
     let fixture = GatewayFixture::start(short_config_staleness()).await;
     let others = FakeController::start(ControllerState::default());
     others.state().fresh_ms = Some(3_600_000);
@@ -85,8 +84,7 @@
 
 #[actix_rt::test]
 async fn never_older() {
-    // After a switch to another controller an older configuration arrives. A withdrawn key would work
-    // again.
+    // Guards against accepting a withdrawn key again after receiving an older configuration.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let old = fixture.controller.state().tree.clone();
     fixture.controller.edit(json!([
--- a/crates/gateway/tests/gateway/idempotency_keys.rs
+++ b/crates/gateway/tests/gateway/idempotency_keys.rs
@@ -1,4 +1,4 @@
-//! `Idempotency-Key`: the answer of the first run, and what an outage of the store does.
+//! `Idempotency-Key`: retries get the response of the first run, also around store outages.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture},
@@ -22,8 +22,7 @@
 
 #[actix_rt::test]
 async fn repeated_calls() {
-    // A caller's connection drops after its enrolment ran. It sends the call again; run twice, the
-    // phone would be wiped in the middle of a shift.
+    // Guards against running a call twice when its caller retries it.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let first = support::answer(&enrolment(&fixture, "a-1", "field")).await;
     assert_eq!(first.status, 200);
@@ -45,8 +44,7 @@
 
 #[actix_rt::test]
 async fn repeated_after_answer() {
-    // A caller's own process dies right after its enrolment was answered, and its successor sends the call again within
-    // milliseconds while the store is slow. Told that the call is still running, it would leave a new hire waiting at the counter.
+    // Guards against `claim_running` for a retry right after the response while the store is slow.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.controller.state().claim_store_delay = Duration::from_millis(200);
     let first = support::answer(&enrolment(&fixture, "c-1", "field")).await;
@@ -59,7 +57,7 @@
 
 #[actix_rt::test]
 async fn repeated_at_once() {
-    // Two copies of one call arrive at the same moment. Only one may run.
+    // Guards against running concurrent copies of one call more than once.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"delay_ms": 300})).await;
     let call = enrolment(&fixture, "b-1", "field");
@@ -75,8 +73,7 @@
 
 #[actix_rt::test]
 async fn caller_lost() {
-    // The caller's line breaks while the service works. The call goes on, and its answer is there when
-    // the caller asks again.
+    // Guards against aborting a claimed call, or losing its response, when the caller disconnects.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"delay_ms": 600})).await;
     let call = enrolment(&fixture, "c-1", "field");
@@ -99,7 +96,7 @@
 
 #[actix_rt::test]
 async fn store_out() {
-    // The store is out. Run without a record, the call could run again when its caller repeats it.
+    // Guards against running a call without a recorded claim while the store is unavailable.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.controller.state().accepts_claims = false;
     let answer = support::answer(&enrolment(&fixture, "d-1", "field")).await;
@@ -113,8 +110,7 @@
 
 #[actix_rt::test]
 async fn not_run_given_back() {
-    // No server can be reached, so nothing ran and the caller is told so. When it comes back with the
-    // same key, "a call is running" would be wrong for as long as claims are kept.
+    // Guards against `claim_running` for retries of a call that did not run.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_links.clear();
     let answer = support::answer(&enrolment(&fixture, "e-1", "field")).await;
@@ -130,8 +126,7 @@
 
 #[actix_rt::test]
 async fn unknown_outcome() {
-    // The service took the call and its answer was lost. A repeat must not run, and must not be told
-    // that nothing did.
+    // Guards against running a call again, or reporting `not_run`, after its response was lost.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"lose_replies": 1})).await;
     let call = enrolment(&fixture, "f-1", "field");
--- a/crates/gateway/tests/gateway/late_listing.rs
+++ b/crates/gateway/tests/gateway/late_listing.rs
@@ -1,4 +1,4 @@
-//! An engine of which its owner tells before the gateway has the configuration that lists it.
+//! An engine that its owner reports before the gateway has the configuration that contains it.
 
 use {
     crate::support::{FixtureSettings, GatewayFixture},
@@ -9,7 +9,7 @@
 
 const POLL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits for so many more questions, of which the controller answers at most ten a second.
+/// Waits for `more` upstream polls; the controller answers at most ten per second.
 async fn wait_for_polls(
     fixture: &GatewayFixture,
     more: u64,
@@ -23,15 +23,13 @@
             Err(format!("{polls} of {wanted}"))
         }
     };
-    poll("questions", POLL_TIMEOUT, check)
+    poll("upstream polls", POLL_TIMEOUT, check)
         .await
-        .expect("questions");
+        .expect("upstream polls");
 }
 
-/// An operator adds an engine. Its owner has the new configuration first and tells of the engine at
-/// once; the gateway can do nothing with that yet. Changes are told once: without asking again it
-/// would know nothing of the engine's health and residents until the next change, and callers would
-/// be sent to an engine that can't serve them or wait for loads of what is there.
+/// Guards against a missing state of an engine that was reported before its configuration arrived:
+/// changes are reported once, so the gateway must poll all engines again.
 #[actix_rt::test]
 async fn asked_again() {
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
@@ -44,7 +42,7 @@
         let numbers = fleet.upstreams.iter().map(|upstream| upstream.id.0);
         numbers.max().expect("an upstream") + 1
     };
-    // The gateway serves before it has asked for the first time.
+    // The gateway is ready before its first poll.
     wait_for_polls(&fixture, 3).await;
     let before = full_polls();
     controller.state().engines.insert(next, at);
@@ -52,7 +50,7 @@
     assert_eq!(
         full_polls(),
         before,
-        "asked for what no configuration lists"
+        "full poll for an engine that is not configured"
     );
 
     controller.edit(json!([{
@@ -67,14 +65,18 @@
     assert_eq!(listed.expect("listed").id.0, next);
     let check = || async {
         match full_polls() - before {
-            0 => Err("not asked again".to_owned()),
+            0 => Err("no full poll yet".to_owned()),
             _ => Ok(()),
         }
     };
-    poll("asked for all engines", POLL_TIMEOUT, check)
+    poll("full poll", POLL_TIMEOUT, check)
         .await
-        .expect("asked again");
-    let once = full_polls();
+        .expect("full poll");
+    let polls_after_edit = full_polls();
     wait_for_polls(&fixture, 20).await;
-    assert_eq!(full_polls(), once, "asked although it has been told");
+    assert_eq!(
+        full_polls(),
+        polls_after_edit,
+        "repeated full poll without a change"
+    );
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! A gateway process between a small controller and the stand-ins.
+//! Tests of a gateway process with a fake controller and simulated upstreams.
 
 mod bad_input;
 mod broken_streams;
--- a/crates/gateway/tests/gateway/once_only.rs
+++ b/crates/gateway/tests/gateway/once_only.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, and the truth of `not_run`.
+//! Non-idempotent calls run at most once, and `not_run` is reported only if nothing ran.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture},
@@ -17,8 +17,7 @@
 
 #[actix_rt::test]
 async fn lost_reply() {
-    // The service takes a call and its answer is lost. Sent again, the call would wipe a phone that has
-    // just been set up; told "not run", the caller would send it again itself.
+    // Guards against running a call again, or reporting `not_run`, after its response was lost.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"lose_replies": 2})).await;
     let answer = support::answer(&enrolment(&fixture)).await;
@@ -29,7 +28,7 @@
 
 #[actix_rt::test]
 async fn silent_service() {
-    // The connection goes silent after the call has left. Nobody knows whether it ran.
+    // Guards against reporting `not_run` when the service stops responding after the call was sent.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"delay_ms": 60_000})).await;
     let answer = support::answer(&enrolment(&fixture)).await;
@@ -40,11 +39,10 @@
 
 #[actix_rt::test]
 async fn silent_pool() {
-    // Connections that were used before have silently died; new ones work. Sent over an old one, a call
-    // that may not be repeated is lost, and its caller can't know whether it ran.
+    // Guards against sending a non-idempotent call over a pooled connection that was dropped silently.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let status = fixture.call(Method::GET, "/services/phones/phones/17");
-    // Enough for each worker to have used a connection to each server.
+    // Enough calls for each worker to pool a connection to each server.
     for _ in 0..60 {
         assert_eq!(support::answer(&status).await.status, 200);
     }
@@ -54,13 +52,13 @@
     for _ in 0..12 {
         assert_eq!(support::answer(&enrolment(&fixture)).await.status, 200);
     }
-    // An idempotent one is tried again on a fresh connection.
+    // An idempotent call is retried on a new connection.
     assert_eq!(support::answer(&status).await.status, 200);
 }
 
 #[actix_rt::test]
 async fn nothing_sent() {
-    // All servers are down. The call has not run, and saying so lets the caller come back safely.
+    // Guards against an unknown outcome for a call when no server is reachable.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_links.clear();
     let answer = support::answer(&enrolment(&fixture)).await;
@@ -71,7 +69,7 @@
 
 #[actix_rt::test]
 async fn another_server() {
-    // One of two servers is down. An idempotent call and one of which nothing has left go to the other.
+    // Guards against failed calls while one of two servers is down and nothing was sent to it.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_links.remove(0);
     let status = fixture.call(Method::GET, "/services/phones/phones/17");
@@ -89,8 +87,8 @@
 
 #[actix_rt::test]
 async fn frozen_service() {
-    // A service freezes with a call on its way and thaws after the caller was answered. Whatever
-    // the caller was told, the call must have taken effect at most once.
+    // Guards against running a call twice, or after `not_run`, when connections to the service recover
+    // after the response.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for link in &fixture.server_links {
         link.set_mode(Fault::Cut);
--- a/crates/gateway/tests/gateway/overhead.rs
+++ b/crates/gateway/tests/gateway/overhead.rs
@@ -1,6 +1,6 @@
-//! What the gateway adds to a call, measured against the stand-in called straight.
+//! Latency and throughput of the gateway, compared with direct calls of the simulated upstream.
 //!
-//! CI sees that both ways serve. The measurement wants a release build and an idle machine:
+//! CI only checks that both paths respond. To measure, use a release build on an idle machine:
 //! `JASMINE_CALLS=4000 cargo test --release -p jasmine-gateway --test gateway overhead -- --nocapture`
 
 use {
@@ -13,13 +13,13 @@
     },
 };
 
-/// Calls of each kind in CI, taken in turn so that both see the same machine.
+/// Number of calls per path in CI; the paths alternate to run under the same load.
 const CALLS_PER_KIND: usize = 20;
-/// Calls that warm both ways up.
+/// Number of unmeasured calls per path.
 const WARM_UP_CALLS: usize = 10;
-/// Callers at the same time, for the throughput.
+/// Number of concurrent callers of the throughput measurement.
 const CONCURRENT_CALLERS: usize = 48;
-/// How long the throughput is measured, for each call of a kind.
+/// Duration of the throughput measurement per configured call.
 const THROUGHPUT_TIME_PER_CALL: Duration = Duration::from_millis(1);
 
 #[actix_rt::test]
@@ -44,7 +44,7 @@
     throughput(&fixture, THROUGHPUT_TIME_PER_CALL * calls as u32).await;
 }
 
-/// Sends both calls in turn and prints what one has over the other.
+/// Alternates both calls and prints their latencies and the difference.
 async fn compare_latency(
     what: &str,
     via_gateway: &Call,
@@ -106,7 +106,7 @@
     (all[all.len() / 2], all[all.len() * 99 / 100])
 }
 
-/// Processor time of the only child process, user and system.
+/// Returns the user and system CPU time of the only child process.
 fn cpu_of_gateway() -> Duration {
     let children = fs::read_dir("/proc/self/task")
         .expect("Linux")
@@ -120,6 +120,6 @@
         .skip(1)
         .map(|field| field.parse().unwrap_or_default())
         .collect();
-    // Fields 14 and 15 of the line, in hundredths of a second.
+    // utime and stime (fields 14 and 15), in clock ticks of 10 ms.
     Duration::from_millis((fields[10] + fields[11]) * 10)
 }
--- a/crates/gateway/tests/gateway/planned_stop.rs
+++ b/crates/gateway/tests/gateway/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: nothing cut, rights given back, gone before the deadline.
+//! Planned shutdown: streams finish, rights are released, and the process exits before the deadline.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture, OTHER_KEY},
@@ -20,8 +20,7 @@
 
 #[actix_rt::test]
 async fn streams_finish() {
-    // A VM is replaced while callers read their answers. Cut off, each would have to ask again; without
-    // the rights it held, the others would refuse what is within the accounts' rate.
+    // Guards against aborted streams and unreleased rights when a VM is replaced.
     let mut spec = FixtureSettings::default();
     spec.engine.step_us = 20_000;
     let mut fixture = GatewayFixture::start(spec).await;
@@ -46,8 +45,7 @@
 
 #[actix_rt::test]
 async fn left_out() {
-    // A VM was frozen until the others took it for gone and shared out its rights among themselves. When it
-    // thaws, what it admits comes on top of what they do, and the account is over its rate.
+    // Guards against exceeding account rates when a VM resumes after the others redistributed its rights.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     assert!(
         support::answer(&fixture.chat("base", "hello", 4, false))
@@ -64,15 +62,14 @@
     jasmine_testkit::harness::poll("refused", Duration::from_secs(3), refused)
         .await
         .expect("a refusal");
-    // It ends by itself, so that a new run can join the others.
+    // The process exits, so that a restarted one can join the membership.
     assert!(exits_successfully(&mut fixture).await);
     assert!(fixture.controller.state().released_accounts.is_empty());
 }
 
 #[actix_rt::test]
 async fn deleted_account() {
-    // An operator deletes an account, and later its VM is replaced. What the gateway still holds of it would
-    // be written into the store at each change of the fleet, more with every account that ever was.
+    // Guards against releasing rights of deleted accounts, which would accumulate in the store.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.controller.edit(json!([
         {"op": "delete", "path": "/accounts/courier/first"},
@@ -95,8 +92,8 @@
 
 #[actix_rt::test]
 async fn before_deadline() {
-    // A stream would go on for longer than the stop may take. The process must be gone by its
-    // deadline all the same, or it is killed with its rights; the caller must not take what it has for whole.
+    // Guards against exceeding the shutdown deadline with a long stream, and against a truncated stream
+    // that looks complete.
     let mut spec = FixtureSettings {
         stop: (50, 1_500),
         ..FixtureSettings::default()
--- a/crates/gateway/tests/gateway/support/fake_controller.rs
+++ b/crates/gateway/tests/gateway/support/fake_controller.rs
@@ -19,55 +19,55 @@
     tokio::time::sleep,
 };
 
-/// The fencing token of everything that it owns.
+/// Fencing token of all engines and instances.
 const FENCING_TOKEN: u64 = 7;
 
-/// What the controller tells, and what it was told.
+/// Responses of the fake controller, and a record of the requests to it.
 #[derive(Debug, Default)]
 pub struct ControllerState {
     /// The configuration.
     pub tree: Tree,
-    /// Milliseconds since the store confirmed it; none: it answers no question about it.
+    /// Milliseconds since the store confirmed the configuration; with `None`, config polls get no response.
     pub fresh_ms: Option<u64>,
-    /// Whether the store takes claims.
+    /// Whether the store accepts claims.
     pub accepts_claims: bool,
-    /// How long the store takes to keep the answer of a claimed call.
+    /// Delay of storing the response of a claimed call.
     pub claim_store_delay: Duration,
-    /// Engines by number, with where they are.
+    /// Addresses of the engines by upstream number.
     pub engines: BTreeMap<u32, SocketAddr>,
-    /// Changes when the engines have restarted.
+    /// Boot number of the engines, which changes with a restart.
     pub boot: u64,
-    /// Questions about engines.
+    /// Number of upstream polls.
     pub upstream_polls: u64,
-    /// Those of them for all engines, from a gateway that has no number of this controller.
+    /// Number of upstream polls that request all engines (sequence number 0).
     pub full_upstream_polls: u64,
-    /// Loads that were ordered: instance names.
+    /// Names of the instances whose load was requested.
     pub loaded_instances: Vec<String>,
-    /// Idempotency keys with fingerprint and answer.
+    /// Claims by digest of the idempotency key.
     pub claims: BTreeMap<Vec<u8>, Claimed>,
-    /// Accounts of which rights came back with the last word.
+    /// Accounts whose rights the gateway released when it left.
     pub released_accounts: Vec<u32>,
-    /// Other VMs that it tells of, with their controllers.
+    /// Controller addresses of other VMs.
     pub other_vms: BTreeMap<u32, SocketAddr>,
-    /// Whether the epoch has gone on without the gateway.
+    /// Whether a newer membership epoch excludes the gateway.
     pub is_excluded_from_epoch: bool,
-    /// The part of each account's rights that it grants, of [`FULL_SHARE`].
+    /// Share of each account's rights that is granted; `None` for [`FULL_SHARE`].
     pub share: Option<u64>,
 }
 
-/// Fingerprint and answer of an idempotency key.
+/// Fingerprint of a claimed call, and its response once stored.
 type Claimed = (Vec<u8>, Option<Vec<u8>>);
 
-/// A controller that runs on a thread of its own.
+/// A fake controller on its own thread.
 #[derive(Clone, Debug)]
 pub struct FakeController {
-    /// Where it listens.
+    /// Address of the RPC server.
     pub address: SocketAddr,
     state: Arc<Mutex<ControllerState>>,
 }
 
 impl FakeController {
-    /// Starts it; it ends with the process of the test.
+    /// Starts the controller, which runs until the test process exits.
     pub fn start(state: ControllerState) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         listener.set_nonblocking(true).expect("a socket");
@@ -88,12 +88,12 @@
         Self { address, state }
     }
 
-    /// What it tells and was told.
+    /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Carries out an edit.
+    /// Applies an edit to the configuration.
     pub fn edit(
         &self,
         ops: Value,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Carries out an edit on a tree.
+/// Applies an edit to a tree.
 pub fn edit(
     tree: &mut Tree,
     ops: Value,
@@ -139,10 +139,11 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let have = Revision(params.get_have());
-        let mut looks = params.get_wait_ms() / 10;
-        while self.state().fresh_ms.is_none() || (looks > 0 && self.state().tree.revision() == have)
+        let mut remaining_checks = params.get_wait_ms() / 10;
+        while self.state().fresh_ms.is_none()
+            || (remaining_checks > 0 && self.state().tree.revision() == have)
         {
-            looks = looks.saturating_sub(1);
+            remaining_checks = remaining_checks.saturating_sub(1);
             sleep(Duration::from_millis(10)).await;
         }
         let state = self.state();
@@ -173,7 +174,7 @@
         .await;
         let state = self.state();
         let mut answer = results.get();
-        // Each answer tells all, as a change: what it tells depends on `state`, which counts nothing.
+        // Each response reports everything as changed, since `state` has no sequence number.
         answer.set_seq(params.get_have() + 1);
         let mut members = answer
             .reborrow()
@@ -198,7 +199,7 @@
         let fleet = state.tree.resolve();
         let accounts: Vec<_> = fleet.accounts.iter().collect();
         let mut epoch = answer.init_epoch();
-        // The first look finds no epoch yet.
+        // The first poll gets no epoch.
         epoch.set_epoch(u64::from(
             params.get_have() > 0 && !state.is_excluded_from_epoch,
         ));
@@ -238,7 +239,7 @@
         let mut state = self.state();
         state.upstream_polls += 1;
         state.full_upstream_polls += u64::from(have == 0);
-        // As the real one: each change is told once.
+        // Like the real controller, reports each change once.
         let seq = state.boot * 1000 + state.engines.len() as u64;
         let mut answer = results.get();
         answer.set_seq(seq);
--- a/crates/gateway/tests/gateway/support/fixture.rs
+++ b/crates/gateway/tests/gateway/support/fixture.rs
@@ -19,31 +19,31 @@
     },
 };
 
-/// The key of the account `clinic`.
+/// API key of the account `clinic`.
 pub const KEY: &str = "clinic-key-0123456789abcdef";
-/// The key of the account `courier`.
+/// API key of the account `courier`.
 pub const OTHER_KEY: &str = "courier-key-0123456789abcdef";
 
-/// What a bench is made of.
+/// Settings of a [`GatewayFixture`].
 #[derive(Clone, Debug)]
 pub struct FixtureSettings {
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
-    /// Each engine's behaviour.
+    /// Settings of each engine.
     pub engine: EngineSettings,
-    /// Servers of the service `phones`.
+    /// Number of servers of the service `phones`.
     pub servers: u32,
-    /// Tokens a second of each account.
+    /// Rate of each account, in tokens per second.
     pub rate: u64,
-    /// Tokens at once of each account.
+    /// Burst of each account, in tokens.
     pub burst: u64,
-    /// Whether proxies stand before the upstreams.
+    /// Whether upstreams are reached through fault-injecting proxies.
     pub is_proxied: bool,
-    /// The gateway's limits, as in its settings.
+    /// Value of the gateway's `limits` setting.
     pub limits: Value,
-    /// How old its configuration may become.
+    /// Value of the gateway's `config_stale_ms` setting.
     pub config_stale_ms: u64,
-    /// Milliseconds of its planned stop: until admission ends, until the end.
+    /// Grace period and deadline of a planned shutdown, in milliseconds.
     pub stop: (u64, u64),
 }
 
@@ -68,16 +68,16 @@
     }
 }
 
-/// A gateway with all that it needs.
+/// A gateway process with its controller and upstreams.
 #[derive(Debug)]
 pub struct GatewayFixture {
     /// The gateway process.
     pub gateway: Daemon,
-    /// Its controller.
+    /// The fake controller.
     pub controller: FakeController,
-    /// Links to the engines.
+    /// Proxies in front of the engines.
     pub engine_links: Vec<Proxy>,
-    /// Links to the servers.
+    /// Proxies in front of the servers.
     pub server_links: Vec<Proxy>,
     engines: Vec<Running>,
     servers: Vec<Running>,
@@ -91,7 +91,7 @@
 }
 
 impl GatewayFixture {
-    /// Starts all of it and waits until the gateway is ready.
+    /// Starts all processes and waits until the gateway is ready.
     pub async fn start(spec: FixtureSettings) -> Self {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let engines: Vec<_> = (0..spec.engines)
@@ -151,7 +151,7 @@
         fixture
     }
 
-    /// Waits until the gateway says that it is ready, or that it isn't.
+    /// Waits until the gateway reports the readiness `wanted`.
     pub async fn wait_ready(
         &self,
         wanted: bool,
@@ -171,7 +171,7 @@
             .expect("readiness");
     }
 
-    /// A streamed or whole chat.
+    /// Returns a streamed or buffered chat completion request.
     pub fn chat(
         &self,
         model: &str,
@@ -189,7 +189,7 @@
         )
     }
 
-    /// A call with a key.
+    /// Returns a request with the key of `clinic`.
     pub fn call(
         &self,
         method: awc::http::Method,
@@ -198,17 +198,17 @@
         Call::new(self.gateway.port("callers"), method, path).key(KEY)
     }
 
-    /// Where the servers themselves listen.
+    /// Returns the addresses of the servers, without proxies.
     pub fn server_addresses(&self) -> Vec<SocketAddr> {
         self.servers.iter().map(Running::address).collect()
     }
 
-    /// Where the engines themselves listen.
+    /// Returns the addresses of the engines, without proxies.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         self.engines.iter().map(Running::address).collect()
     }
 
-    /// What an engine remembers.
+    /// Returns an engine's record of its requests.
     pub async fn record(
         &self,
         engine: usize,
@@ -217,7 +217,7 @@
         serde_json::from_value(record.expect("an engine")).expect("a record")
     }
 
-    /// All calls that took effect at any server.
+    /// Returns all calls executed by any server.
     pub async fn served_calls(&self) -> Vec<ServedCall> {
         let mut all = Vec::new();
         for server in &self.servers {
@@ -229,7 +229,7 @@
         all
     }
 
-    /// Makes engines faulty, or sound with `{}`.
+    /// Sets the faults of an engine; `{}` clears them.
     pub async fn engine_fault(
         &self,
         engine: usize,
@@ -240,7 +240,7 @@
             .expect("an engine");
     }
 
-    /// Makes servers faulty, or sound with `{}`.
+    /// Sets the faults of all servers; `{}` clears them.
     pub async fn server_fault(
         &self,
         faults: Value,
@@ -253,7 +253,7 @@
     }
 }
 
-/// Sends a call that has to be answered.
+/// Sends a call and returns its response.
 pub async fn answer(call: &Call) -> Answer {
     call.send().await.expect("an answer")
 }
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway process between a small controller and the stand-ins.
+//! A gateway process with a fake controller and simulated upstreams.
 
 mod fake_controller;
 mod fixture;
--- a/crates/gateway/tests/gateway/whole_path.rs
+++ b/crates/gateway/tests/gateway/whole_path.rs
@@ -1,4 +1,4 @@
-//! Requests through a gateway process, with nothing at fault.
+//! Requests through a gateway process without faults.
 
 use {
     crate::support::{self, FixtureSettings, GatewayFixture, KEY},
