--- a/crates/gateway/src/forward/upstream_response.rs
+++ b/crates/gateway/src/forward/upstream_response.rs
@@ -195,13 +195,13 @@
 }
 
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = HeaderMap::new();
+    let mut forwarded = HeaderMap::new();
     for name in FORWARDED_HEADERS {
         if let Some(value) = headers.get(&name) {
-            kept.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 fn is_valid_stream_name(name: &str) -> bool {
--- a/crates/gateway/src/http/admit.rs
+++ b/crates/gateway/src/http/admit.rs
@@ -87,13 +87,13 @@
         }
         let fleet = shared.fleet();
         let digest = key.digest();
-        let known = fleet.key(digest).ok_or(ErrorKind::KeyUnknown)?;
-        if known.withdrawn {
+        let key_settings = fleet.key(digest).ok_or(ErrorKind::KeyUnknown)?;
+        if key_settings.withdrawn {
             return Err(ErrorKind::KeyWithdrawn.into());
         }
         let account = fleet
             .accounts
-            .get(known.account)
+            .get(key_settings.account)
             .cloned()
             .ok_or(ErrorKind::KeyUnknown)?;
         Ok(Authenticated {
--- a/crates/gateway/src/http/completions.rs
+++ b/crates/gateway/src/http/completions.rs
@@ -170,8 +170,8 @@
             if !has_access(&adapter.access, account) {
                 return Err(ErrorKind::NotPermitted);
             }
-            let full = format!("{}@{}", adapter.name, version.version);
-            Ok((Target::Adapter(model, version), Some(full)))
+            let versioned_name = format!("{}@{}", adapter.name, version.version);
+            Ok((Target::Adapter(model, version), Some(versioned_name)))
         }
     }
 }
--- a/crates/gateway/src/http/models.rs
+++ b/crates/gateway/src/http/models.rs
@@ -31,7 +31,7 @@
     fleet: &Fleet,
     account: AccountId,
 ) -> Vec<Value> {
-    let row = |id: String| json!({"id": id, "object": "model", "owned_by": "jasminespan"});
+    let to_json = |id: String| json!({"id": id, "object": "model", "owned_by": "jasminespan"});
     let bases = fleet.models.iter().map(|model| model.name.clone());
     let adapters = fleet
         .adapters
@@ -43,5 +43,5 @@
             live.into_iter()
                 .chain(versions.map(move |version| format!("{}@{version}", adapter.name)))
         });
-    bases.chain(adapters).map(row).collect()
+    bases.chain(adapters).map(to_json).collect()
 }
--- a/crates/gateway/src/http/services.rs
+++ b/crates/gateway/src/http/services.rs
@@ -209,15 +209,15 @@
     req: &HttpRequest,
     key: &CallerKey,
 ) -> Result<HeaderMap, Problem> {
-    let mut kept = HeaderMap::new();
+    let mut forwarded = HeaderMap::new();
     let idempotency_key = HeaderName::from_static(IDEMPOTENCY_KEY);
     for name in FORWARDED_HEADERS.into_iter().chain([idempotency_key]) {
         for value in req.headers().get_all(&name) {
             if key.is_in(value.as_bytes()) {
                 return Err(Problem::bad_request("A header contains the caller's key."));
             }
-            kept.append(name.clone(), HeaderValue::clone(value));
+            forwarded.append(name.clone(), HeaderValue::clone(value));
         }
     }
-    Ok(kept)
+    Ok(forwarded)
 }
--- a/crates/gateway/tests/gateway/bad_input.rs
+++ b/crates/gateway/tests/gateway/bad_input.rs
@@ -120,8 +120,8 @@
         assert!(!answer.header("x-request-id").is_empty());
         assert_eq!(answer.json["error"]["execution"], "not_run");
     }
-    let good = support::answer(&fixture.chat("base", "hi", 4, false)).await;
-    assert!(good.is_whole(), "{good:?}");
+    let valid_answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
+    assert!(valid_answer.is_whole(), "{valid_answer:?}");
 }
 
 #[actix_rt::test]
@@ -137,30 +137,30 @@
         stream.write_all(head.as_bytes()).expect("sent");
         stream
     };
-    let slow = RefCell::new(vec![sender()]);
-    let full = || async {
+    let slow_streams = RefCell::new(vec![sender()]);
+    let until_full = || async {
         let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
         // Adds a sender per check, since the checking request may have taken a slot.
-        slow.borrow_mut().push(sender());
+        slow_streams.borrow_mut().push(sender());
         (answer.code() == "queue_full")
             .then_some(())
             .ok_or(answer.code().to_owned())
     };
-    jasmine_testkit::harness::poll("full", Duration::from_millis(1200), full)
+    jasmine_testkit::harness::poll("full", Duration::from_millis(1200), until_full)
         .await
         .expect("full");
-    let free = || async {
+    let until_free = || async {
         let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
         answer
             .is_whole()
             .then_some(())
             .ok_or(answer.code().to_owned())
     };
-    jasmine_testkit::harness::poll("free", Duration::from_secs(4), free)
+    jasmine_testkit::harness::poll("free", Duration::from_secs(4), until_free)
         .await
         .expect("free");
     let mut text = String::new();
-    let mut first = slow.borrow_mut().swap_remove(0);
+    let mut first = slow_streams.borrow_mut().swap_remove(0);
     first
         .set_read_timeout(Some(Duration::from_secs(2)))
         .expect("a socket");
@@ -204,9 +204,9 @@
 #[actix_rt::test]
 async fn slow_reader() {
     // Guards against unbounded buffering for callers that do not read their response.
-    let mut spec = FixtureSettings::default();
-    spec.engine.step_us = 100;
-    let fixture = GatewayFixture::start(spec).await;
+    let mut settings = FixtureSettings::default();
+    settings.engine.step_us = 100;
+    let fixture = GatewayFixture::start(settings).await;
     let body =
         json!({"model": "base", "prompt": "x", "max_tokens": 64, "stream": true}).to_string();
     let head = format!(
@@ -214,7 +214,7 @@
          x-deadline-ms: 800\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut idle: Vec<_> = (0..50)
+    let mut unread_streams: Vec<_> = (0..50)
         .map(|_| {
             let mut stream =
                 TcpStream::connect(fixture.gateway.port("callers")).expect("connected");
@@ -224,5 +224,5 @@
         .collect();
     let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
     assert!(answer.is_whole(), "{answer:?}");
-    idle.clear();
+    unread_streams.clear();
 }
--- a/crates/gateway/tests/gateway/broken_streams.rs
+++ b/crates/gateway/tests/gateway/broken_streams.rs
@@ -27,9 +27,9 @@
 }
 
 fn slow_engine_settings() -> FixtureSettings {
-    let mut spec = FixtureSettings::default();
-    spec.engine.step_us = 30_000;
-    spec
+    let mut settings = FixtureSettings::default();
+    settings.engine.step_us = 30_000;
+    settings
 }
 
 #[actix_rt::test]
@@ -167,9 +167,9 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut buf = [0; 4096];
-            let got = stream.read(&mut buf).is_ok();
+            let was_read = stream.read(&mut buf).is_ok();
             count.fetch_add(1, Ordering::SeqCst);
-            assert!(got && stream.write_all(bytes.as_bytes()).is_ok());
+            assert!(was_read && stream.write_all(bytes.as_bytes()).is_ok());
         }
     });
     (address, request_count)
--- a/crates/gateway/tests/gateway/caller_keys.rs
+++ b/crates/gateway/tests/gateway/caller_keys.rs
@@ -36,9 +36,9 @@
 #[actix_rt::test]
 async fn withdrawn_midway() {
     // Guards against streams that continue after their key has been withdrawn.
-    let mut spec = FixtureSettings::default();
-    spec.engine.step_us = 50_000;
-    let fixture = GatewayFixture::start(spec).await;
+    let mut settings = FixtureSettings::default();
+    settings.engine.step_us = 50_000;
+    let fixture = GatewayFixture::start(settings).await;
     let withdrawal = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
         fixture.controller.edit(json!([
--- a/crates/gateway/tests/gateway/config_bound.rs
+++ b/crates/gateway/tests/gateway/config_bound.rs
@@ -75,9 +75,9 @@
     // Guards against refusing requests during a store outage while the VMs reach each other: without the
     // store the configuration can't change.
     let fixture = GatewayFixture::start(short_config_staleness()).await;
-    let others = FakeController::start(ControllerState::default());
-    others.state().fresh_ms = Some(3_600_000);
-    fixture.controller.state().other_vms = (2..=5).map(|vm| (vm, others.address)).collect();
+    let reachable = FakeController::start(ControllerState::default());
+    reachable.state().fresh_ms = Some(3_600_000);
+    fixture.controller.state().other_vms = (2..=5).map(|vm| (vm, reachable.address)).collect();
     fixture.controller.state().fresh_ms = Some(3_600_000);
     assert!(!is_refused_within(&fixture, Duration::from_secs(4)).await);
 }
--- a/crates/gateway/tests/gateway/late_listing.rs
+++ b/crates/gateway/tests/gateway/late_listing.rs
@@ -14,13 +14,13 @@
     fixture: &GatewayFixture,
     more: u64,
 ) {
-    let wanted = fixture.controller.state().upstream_polls + more;
+    let target = fixture.controller.state().upstream_polls + more;
     let check = || async {
         let polls = fixture.controller.state().upstream_polls;
-        if polls >= wanted {
+        if polls >= target {
             Ok(())
         } else {
-            Err(format!("{polls} of {wanted}"))
+            Err(format!("{polls} of {target}"))
         }
     };
     poll("upstream polls", POLL_TIMEOUT, check)
@@ -34,37 +34,40 @@
 async fn asked_again() {
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let controller = &fixture.controller;
-    let known = controller.state().engines.values().next().copied();
-    let at = known.expect("an engine");
+    let first_engine = controller.state().engines.values().next().copied();
+    let engine_address = first_engine.expect("an engine");
     let full_polls = || controller.state().full_upstream_polls;
-    let next = {
+    let next_upstream_id = {
         let fleet = controller.state().tree.resolve();
         let numbers = fleet.upstreams.iter().map(|upstream| upstream.id.0);
         numbers.max().expect("an upstream") + 1
     };
     // The gateway is ready before its first poll.
     wait_for_polls(&fixture, 3).await;
-    let before = full_polls();
-    controller.state().engines.insert(next, at);
+    let polls_before = full_polls();
+    controller
+        .state()
+        .engines
+        .insert(next_upstream_id, engine_address);
     wait_for_polls(&fixture, 5).await;
     assert_eq!(
         full_polls(),
-        before,
+        polls_before,
         "full poll for an engine that is not configured"
     );
 
     controller.edit(json!([{
         "op": "create", "path": "/upstreams/engine-late", "kind": "engine",
-        "settings": {"address": at, "model": "base", "slots": 4, "max_batch": 8, "data_centre": "dc-1"},
+        "settings": {"address": engine_address, "model": "base", "slots": 4, "max_batch": 8, "data_centre": "dc-1"},
     }]));
     let fleet = controller.state().tree.resolve();
     let listed = fleet
         .upstreams
         .iter()
-        .find(|known| known.name == "engine-late");
-    assert_eq!(listed.expect("listed").id.0, next);
+        .find(|upstream| upstream.name == "engine-late");
+    assert_eq!(listed.expect("listed").id.0, next_upstream_id);
     let check = || async {
-        match full_polls() - before {
+        match full_polls() - polls_before {
             0 => Err("no full poll yet".to_owned()),
             _ => Ok(()),
         }
--- a/crates/gateway/tests/gateway/overhead.rs
+++ b/crates/gateway/tests/gateway/overhead.rs
@@ -64,7 +64,7 @@
     }
     let (with, without) = (quantiles(with), quantiles(without));
     println!(
-        "{what}, {calls} each: through p50={:?} p99={:?}, straight p50={:?} p99={:?}",
+        "{what}, {calls} each: via gateway p50={:?} p99={:?}, direct p50={:?} p99={:?}",
         with.0, with.1, without.0, without.1
     );
     println!(
@@ -95,7 +95,7 @@
     let spent = cpu_of_gateway().saturating_sub(cpu);
     assert!(done > 0, "nothing served");
     println!(
-        "{done} answers in {:?} with {CONCURRENT_CALLERS} callers, gateway used {spent:?} of processor time: {:.0} a second a core",
+        "{done} answers in {:?} with {CONCURRENT_CALLERS} callers, gateway used {spent:?} of CPU time: {:.0} per second and core",
         started.elapsed(),
         f64::from(done) / spent.as_secs_f64(),
     );
--- a/crates/gateway/tests/gateway/planned_stop.rs
+++ b/crates/gateway/tests/gateway/planned_stop.rs
@@ -21,9 +21,9 @@
 #[actix_rt::test]
 async fn streams_finish() {
     // Guards against aborted streams and unreleased rights when a VM is replaced.
-    let mut spec = FixtureSettings::default();
-    spec.engine.step_us = 20_000;
-    let mut fixture = GatewayFixture::start(spec).await;
+    let mut settings = FixtureSettings::default();
+    settings.engine.step_us = 20_000;
+    let mut fixture = GatewayFixture::start(settings).await;
     let call = fixture.chat("base", "a long tale", 64, true);
     let stop = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -94,12 +94,12 @@
 async fn before_deadline() {
     // Guards against exceeding the shutdown deadline with a long stream, and against a truncated stream
     // that looks complete.
-    let mut spec = FixtureSettings {
+    let mut settings = FixtureSettings {
         stop: (50, 1_500),
         ..FixtureSettings::default()
     };
-    spec.engine.step_us = 200_000;
-    let mut fixture = GatewayFixture::start(spec).await;
+    settings.engine.step_us = 200_000;
+    let mut fixture = GatewayFixture::start(settings).await;
     let call = fixture.chat("base", "a long tale", 64, true);
     let stop = async {
         tokio::time::sleep(Duration::from_millis(500)).await;
--- a/crates/gateway/tests/gateway/support/fake_controller.rs
+++ b/crates/gateway/tests/gateway/support/fake_controller.rs
@@ -268,8 +268,9 @@
         let (engine, weights) = {
             let state = self.state();
             let fleet = state.tree.resolve();
-            let known = fleet.adapters.get(jasmine_core::ids::AdapterId(adapter));
-            let weights = known.map(|known| known.versions[&version].weights.clone());
+            let adapter_settings = fleet.adapters.get(jasmine_core::ids::AdapterId(adapter));
+            let weights = adapter_settings
+                .map(|adapter_settings| adapter_settings.versions[&version].weights.clone());
             (
                 state.engines[&params.get_upstream()],
                 weights.unwrap_or_default(),
