--- a/crates/gateway/src/daemon/stop.rs
+++ b/crates/gateway/src/daemon/stop.rs
@@ -56,8 +56,8 @@
     readiness.stop_admitting();
     let reserved_time =
         (ABORT_TIMEOUT + RELEASE_TIMEOUT + CLOSE_TIMEOUT).min(Millis(stop.deadline_ms.0 / 2));
-    let streams_until = started + (stop.deadline_ms - reserved_time).to_std();
-    while readiness.in_flight() > 0 && Instant::now() < streams_until {
+    let stream_deadline = started + (stop.deadline_ms - reserved_time).to_std();
+    while readiness.in_flight() > 0 && Instant::now() < stream_deadline {
         sleep(DRAIN_POLL_INTERVAL.to_std()).await;
     }
     let aborted_requests = readiness.in_flight();
--- a/crates/gateway/src/forward/driver.rs
+++ b/crates/gateway/src/forward/driver.rs
@@ -38,7 +38,7 @@
 pub struct Driver {
     cx: ForwardContext,
     plan: ForwardPlan,
-    machine: ForwardMachine,
+    state_machine: ForwardMachine,
     upstream: UpstreamExchange,
     response_sender: ResponseSender,
     lease: Lease,
@@ -58,7 +58,7 @@
     ) -> std::fmt::Result {
         f.debug_struct("Driver")
             .field("request", &self.cx.request)
-            .field("machine", &self.machine)
+            .field("machine", &self.state_machine)
             .finish_non_exhaustive()
     }
 }
@@ -74,12 +74,12 @@
         routing: oneshot::Receiver<Result<Routed, Refusal>>,
     ) -> Self {
         // The first route was requested together with the admission.
-        let (machine, _route) = ForwardMachine::new(plan, cx.clock.now());
+        let (state_machine, _route) = ForwardMachine::new(plan, cx.clock.now());
         Self {
             sleep: Box::pin(tokio::time::sleep_until(cx.clock.instant(plan.deadline))),
             cx,
             plan,
-            machine,
+            state_machine,
             upstream: UpstreamExchange::new(outbound, plan.deadline, routing),
             response_sender,
             lease,
@@ -96,7 +96,7 @@
     pub async fn run(mut self) -> ForwardResult {
         let readiness = Arc::clone(&self.cx.readiness);
         let mut aborted = std::pin::pin!(readiness.until_aborted());
-        while !self.machine.is_done() {
+        while !self.state_machine.is_done() {
             let event = tokio::select! {
                 biased;
                 () = &mut aborted => DriverEvent::Forward(Event::Stopping),
@@ -104,7 +104,7 @@
             };
             let event = self.record_event(event);
             let is_timer = event == Event::Timer;
-            let mut actions = VecDeque::from(self.machine.handle(event, self.cx.clock.now()));
+            let mut actions = VecDeque::from(self.state_machine.handle(event, self.cx.clock.now()));
             if is_timer && actions.front() == Some(&Action::Abandon) {
                 self.cx.connections.discard_idle();
             }
@@ -113,11 +113,11 @@
             }
         }
         if self.lease.outcome == Outcome::Stopped {
-            self.lease.used = (!self.machine.may_have_run()).then_some(0);
+            self.lease.used = (!self.state_machine.may_have_run()).then_some(0);
         }
         ForwardResult {
             answer: self.service_answer,
-            may_have_run: self.machine.may_have_run(),
+            may_have_run: self.state_machine.may_have_run(),
         }
     }
 
@@ -145,7 +145,7 @@
 
     /// Moves the timer to an earlier wake-up only; a spurious wake-up is harmless.
     fn arm_timer(&mut self) {
-        let wake = self.machine.wake_at().unwrap_or(self.plan.deadline);
+        let wake = self.state_machine.wake_at().unwrap_or(self.plan.deadline);
         let wake = self.cx.clock.instant(wake);
         if self.sleep.is_elapsed() || wake < self.sleep.deadline() {
             self.sleep.as_mut().reset(wake);
@@ -221,7 +221,7 @@
         self.usage = chunk.usage().or(self.usage);
         let part = jasmine_core::forward::Part {
             offset: chunk.offset,
-            kind: chunk.kind(self.machine.offset()),
+            kind: chunk.kind(self.state_machine.offset()),
         };
         self.chunk = Some(chunk);
         Event::Part {
@@ -273,7 +273,8 @@
         if let Err(problem) = self.upstream.send(&self.cx, attempt, fresh) {
             // Admission has already checked for this, so it is a bug; nothing was sent.
             self.refuse(problem);
-            self.machine.handle(Event::CallerGone, self.cx.clock.now());
+            self.state_machine
+                .handle(Event::CallerGone, self.cx.clock.now());
         }
     }
 
@@ -303,7 +304,8 @@
             .response_sender
             .send_part(Bytes::from(format!("data: {text}\n\n")))
         {
-            self.machine.handle(Event::CallerSlow, self.cx.clock.now());
+            self.state_machine
+                .handle(Event::CallerSlow, self.cx.clock.now());
         }
     }
 
@@ -387,7 +389,7 @@
             | ErrorKind::AnswerCut => Outcome::Failed,
             _ => Outcome::Stopped,
         };
-        self.lease.used = (!self.machine.may_have_run()).then_some(0);
+        self.lease.used = (!self.state_machine.may_have_run()).then_some(0);
     }
 
     fn log(
@@ -409,7 +411,7 @@
             .with("status", status.as_u16())
             .with("upstream", upstream)
             .with("attempts", self.upstream.attempt)
-            .with("tokens", self.machine.offset())
+            .with("tokens", self.state_machine.offset())
             .with("ms", self.cx.arrived.elapsed().as_millis())
             .info();
     }
--- a/crates/gateway/tests/gateway/support/fake_controller.rs
+++ b/crates/gateway/tests/gateway/support/fake_controller.rs
@@ -25,7 +25,7 @@
 /// Responses of the fake controller, and a record of the requests to it.
 #[derive(Debug, Default)]
 pub struct ControllerState {
-    /// The configuration.
+    /// Configuration tree returned to gateways.
     pub tree: Tree,
     /// Milliseconds since the store confirmed the configuration; with `None`, config polls get no response.
     pub fresh_ms: Option<u64>,
