--- /dev/null
+++ b/crates/gateway/src/forward/forward_result.rs
@@ -0,0 +1,10 @@
+use super::BufferedAnswer;
+
+/// The result of forwarding a request.
+#[derive(Clone, Debug)]
+pub struct ForwardResult {
+    /// Response of a plain service; `None` for completions and failed calls.
+    pub answer: Option<BufferedAnswer>,
+    /// Whether an upstream may have executed the request.
+    pub may_have_run: bool,
+}
--- a/crates/gateway/src/forward/caller.rs
+++ b/crates/gateway/src/forward/response_sender.rs
@@ -10,22 +10,22 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Parts that wait for a caller that reads slowly. More is not read from the upstream meanwhile.
-const PARTS_AHEAD: usize = 16;
+/// Parts of a stream that are queued for a slow caller before reading from the upstream pauses.
+const MAX_QUEUED_PARTS: usize = 16;
 
-/// An answer in one piece.
+/// A complete, non-streamed response.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
-    /// The status.
+pub struct BufferedAnswer {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers of an upstream that are passed on.
+    /// Response headers, only those that are forwarded from the upstream.
     pub headers: HeaderMap,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
-impl WholeAnswer {
-    /// A JSON document as an answer.
+impl BufferedAnswer {
+    /// Creates a `200 OK` response with a JSON body.
     pub fn from_json(json: &Value) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -37,21 +37,21 @@
     }
 }
 
-/// How an answer begins.
+/// The response to a caller, complete or streamed.
 #[derive(Debug)]
 pub enum Answer {
-    /// It is there in one piece.
-    Whole(WholeAnswer),
-    /// Its parts come through the receiver.
+    /// A complete response.
+    Buffered(BufferedAnswer),
+    /// A stream whose parts arrive through the receiver.
     Stream(mpsc::Receiver<Result<Bytes, Infallible>>),
 }
 
-/// The way back to the caller.
+/// Sends the response of one request to its HTTP handler.
 #[derive(Debug)]
-pub struct Caller {
+pub struct ResponseSender {
     state: State,
-    /// Whether the work goes on when the caller has gone.
-    outlasts: bool,
+    /// Whether the request continues after the caller disconnects.
+    is_detached: bool,
 }
 
 #[derive(Debug)]
@@ -64,44 +64,43 @@
     Ended,
 }
 
-impl Caller {
-    /// A caller that waits for what comes through the receiver.
+impl ResponseSender {
+    /// Creates a sender and the receiver of its response.
     pub fn new() -> (Self, oneshot::Receiver<Result<Answer, Problem>>) {
         let (tx, rx) = oneshot::channel();
-        let caller = Self {
+        let sender = Self {
             state: State::Waiting(tx),
-            outlasts: false,
+            is_detached: false,
         };
-        (caller, rx)
+        (sender, rx)
     }
 
-    /// Lets the work go on when the caller has gone.
+    /// Lets the request continue after the caller disconnects.
     ///
-    /// A call that is recorded under an idempotency key is finished for the caller's next attempt:
-    /// cut off in the middle, nobody could say any more whether it ran.
-    pub const fn outlasted(mut self) -> Self {
-        self.outlasts = true;
+    /// Used for calls with an idempotency key: their result is stored for the caller's next attempt.
+    pub const fn detached(mut self) -> Self {
+        self.is_detached = true;
         self
     }
 
-    /// Answers in one piece, or with an error.
+    /// Sends a complete response or an error.
     pub fn answer(
         &mut self,
-        answer: Result<WholeAnswer, Problem>,
+        answer: Result<BufferedAnswer, Problem>,
     ) {
         if let State::Waiting(tx) = mem::replace(&mut self.state, State::Ended) {
-            // A caller that has gone is noticed where its absence matters.
-            drop(tx.send(answer.map(Answer::Whole)));
+            // A dropped receiver means that the caller disconnected, which `closed` reports.
+            drop(tx.send(answer.map(Answer::Buffered)));
         }
     }
 
-    /// Passes a part on; false when the caller doesn't take it yet.
-    pub fn stream(
+    /// Sends a part of a stream; returns false if the queue is full and the part was kept as backlog.
+    pub fn send_part(
         &mut self,
         part: Bytes,
     ) -> bool {
         if let State::Waiting(_) = self.state {
-            self.begin();
+            self.begin_stream();
         }
         let State::Streaming { tx, backlog } = &mut self.state else {
             return true;
@@ -115,8 +114,8 @@
         }
     }
 
-    /// Whether a part waits to be taken.
-    pub const fn is_slow(&self) -> bool {
+    /// Whether a part is waiting for space in the queue.
+    pub const fn has_backlog(&self) -> bool {
         matches!(
             self.state,
             State::Streaming {
@@ -126,8 +125,8 @@
         )
     }
 
-    /// Waits until the caller has taken what it didn't take at once; false when it has gone.
-    pub async fn taken(&mut self) -> bool {
+    /// Waits until the backlog is queued; returns false if the caller has disconnected.
+    pub async fn flush(&mut self) -> bool {
         let State::Streaming { tx, backlog } = &mut self.state else {
             return false;
         };
@@ -140,35 +139,33 @@
         true
     }
 
-    /// Waits until the caller has closed its connection.
-    pub async fn gone(&mut self) {
+    /// Waits until the caller disconnects; never returns for a detached request or an ended response.
+    pub async fn closed(&mut self) {
         match &mut self.state {
-            State::Waiting(tx) if !self.outlasts => tx.closed().await,
+            State::Waiting(tx) if !self.is_detached => tx.closed().await,
             State::Streaming { tx, .. } => tx.closed().await,
             State::Waiting(_) | State::Ended => std::future::pending().await,
         }
     }
 
-    /// Sends the last part and ends the answer, however slowly the caller reads.
-    ///
-    /// Only a caller that still reads can get it: the wait is bounded by `limit`.
+    /// Sends the last part and ends the stream, waiting until `deadline` for a slow caller.
     pub async fn end(
         &mut self,
         last: Bytes,
-        limit: tokio::time::Instant,
+        deadline: tokio::time::Instant,
     ) {
-        self.stream(last);
-        while self.is_slow() {
-            let taken = tokio::time::timeout_at(limit, self.taken()).await;
-            if taken != Ok(true) {
+        self.send_part(last);
+        while self.has_backlog() {
+            let flushed = tokio::time::timeout_at(deadline, self.flush()).await;
+            if flushed != Ok(true) {
                 break;
             }
         }
         self.state = State::Ended;
     }
 
-    fn begin(&mut self) {
-        let (body, rx) = mpsc::channel(PARTS_AHEAD);
+    fn begin_stream(&mut self) {
+        let (body, rx) = mpsc::channel(MAX_QUEUED_PARTS);
         let streaming = State::Streaming {
             tx: body,
             backlog: None,
--- a/crates/gateway/src/http/admit.rs
+++ b/crates/gateway/src/http/admit.rs
@@ -20,12 +20,12 @@
     tokio::time::Instant,
 };
 
-/// The longest deadline that a caller may name.
+/// Longest deadline that a caller may request.
 const MAX_DEADLINE: Millis = Millis::from_secs(3600);
 
-/// A request as it came in, before anything is known of its caller.
+/// A request whose caller is not yet authenticated.
 #[derive(Debug)]
-pub(super) struct Arrival {
+pub(super) struct IncomingRequest {
     pub(super) worker: Worker,
     pub(super) request: RequestId,
     pub(super) name: RequestName,
@@ -33,7 +33,7 @@
     key: Result<CallerKey, ErrorKind>,
 }
 
-/// A request whose caller is known.
+/// The authenticated caller of a request.
 #[derive(Debug)]
 pub(super) struct Authenticated {
     pub(super) key: CallerKey,
@@ -42,8 +42,8 @@
     pub(super) fleet: Arc<Fleet>,
 }
 
-impl Arrival {
-    /// Notes a request, and its name before all else: every answer carries it.
+impl IncomingRequest {
+    /// Assigns the request its id, which every response carries; `None` without a [`Worker`].
     pub(super) fn new(req: &HttpRequest) -> Option<Self> {
         let worker = req.app_data::<Worker>()?.clone();
         let request = worker.shared.next_request();
@@ -54,7 +54,7 @@
             .headers()
             .get(REQUEST_ID)
             .and_then(|value| RequestName::from_caller(value.as_bytes(), key.as_ref().ok()))
-            .unwrap_or_else(|| worker.shared.name_for(request));
+            .unwrap_or_else(|| worker.shared.generate_name(request));
         Some(Self {
             worker,
             request,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Finds out whose key came with the request.
+    /// Authenticates the caller by its API key.
     pub(super) fn authenticate(
         &self,
         req: &HttpRequest,
@@ -87,13 +87,13 @@
         }
         let fleet = shared.fleet();
         let digest = key.digest();
-        let known = fleet.key(digest).ok_or(ErrorKind::KeyUnknown)?;
-        if known.withdrawn {
+        let key_settings = fleet.key(digest).ok_or(ErrorKind::KeyUnknown)?;
+        if key_settings.withdrawn {
             return Err(ErrorKind::KeyWithdrawn.into());
         }
         let account = fleet
             .accounts
-            .get(known.account)
+            .get(key_settings.account)
             .cloned()
             .ok_or(ErrorKind::KeyUnknown)?;
         Ok(Authenticated {
@@ -105,39 +105,41 @@
     }
 }
 
-/// How long the caller waits: what it says, or `otherwise`.
+/// Returns the deadline of the `x-deadline-ms` header, or `default`.
 pub(super) fn deadline_of(
     req: &HttpRequest,
-    otherwise: Millis,
+    default: Millis,
 ) -> Result<Millis, Problem> {
     let Some(value) = req.headers().get("x-deadline-ms") else {
-        return Ok(otherwise);
+        return Ok(default);
     };
-    let asked = value.to_str().ok().and_then(|text| text.parse().ok());
-    match asked {
+    let requested = value.to_str().ok().and_then(|text| text.parse().ok());
+    match requested {
         Some(ms) if (1..=MAX_DEADLINE.0).contains(&ms) => Ok(Millis(ms)),
-        _ => Err(Problem::bad(
+        _ => Err(Problem::bad_request(
             "x-deadline-ms must be a number from 1 to 3600000.",
         )),
     }
 }
 
-/// The priority class that the caller names, or `otherwise`.
+/// Returns the priority class of the `x-priority` header, or `default`.
 pub(super) fn priority(
     req: &HttpRequest,
-    otherwise: Priority,
+    default: Priority,
 ) -> Result<Priority, Problem> {
     match req.headers().get("x-priority").map(HeaderValue::as_bytes) {
-        None => Ok(otherwise),
+        None => Ok(default),
         Some(b"high") => Ok(Priority::High),
         Some(b"normal") => Ok(Priority::Normal),
         Some(b"low") => Ok(Priority::Low),
-        Some(_) => Err(Problem::bad("x-priority must be high, normal or low.")),
+        Some(_) => Err(Problem::bad_request(
+            "x-priority must be high, normal or low.",
+        )),
     }
 }
 
-/// The name of a priority class.
-pub(super) const fn class_name(priority: Priority) -> &'static str {
+/// Returns the name of a priority class in headers, logs and metrics.
+pub(super) const fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::High => "high",
         Priority::Normal => "normal",
@@ -145,21 +147,21 @@
     }
 }
 
-/// What makes a caller known that comes back with the same request.
+/// Returns a tag that recognizes a caller that retries the same request.
 pub(super) fn caller_tag<T>(
     digest: KeyDigest,
-    what: &T,
+    request: &T,
 ) -> CallerTag
 where
     T: Hash + ?Sized,
 {
     let mut hasher = DefaultHasher::new();
     digest.hash(&mut hasher);
-    what.hash(&mut hasher);
+    request.hash(&mut hasher);
     CallerTag(hasher.finish())
 }
 
-/// The refusal of a request for which there is no place.
-pub(super) const fn no_room() -> Refusal {
+/// Returns the refusal of a request over the in-flight limit.
+pub(super) const fn queue_full() -> Refusal {
     Refusal::after(ErrorKind::QueueFull, Millis::from_secs(1))
 }
--- a/crates/gateway/src/http/answers.rs
+++ b/crates/gateway/src/http/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: in one piece, as a stream, as an error.
+//! HTTP responses: buffered, streamed and errors.
 
 use {
     super::shared::Shared,
@@ -16,31 +16,31 @@
     futures::stream,
 };
 
-/// The header under which every answer names its request.
+/// Header with the request id, present in every response.
 pub(super) const REQUEST_ID: &str = "x-request-id";
-/// The header that names the adapter version which ran.
-const ADAPTER: &str = "x-jasmine-adapter";
+/// Header with the adapter version that was used.
+const ADAPTER_VERSION: &str = "x-jasmine-adapter";
 
-/// An answer that has begun, or is there as a whole.
-pub(super) fn answered(
+/// Builds the response of a successful request.
+pub(super) fn answer_response(
     shared: &Shared,
     name: &RequestName,
     adapter: Option<&str>,
     answer: Answer,
 ) -> HttpResponse {
     match answer {
-        Answer::Whole(whole) => {
-            let mut res = start(shared, whole.status, name, adapter);
-            for (header, value) in &whole.headers {
+        Answer::Buffered(buffered) => {
+            let mut res = response_builder(shared, buffered.status, name, adapter);
+            for (header, value) in &buffered.headers {
                 res.append_header((header.clone(), value.clone()));
             }
-            res.body(whole.body)
+            res.body(buffered.body)
         }
         Answer::Stream(rx) => {
             let parts = stream::unfold(rx, |mut rx| async move {
                 rx.recv().await.map(|part| (part, rx))
             });
-            start(shared, StatusCode::OK, name, adapter)
+            response_builder(shared, StatusCode::OK, name, adapter)
                 .insert_header((CONTENT_TYPE, "text/event-stream"))
                 .insert_header((CACHE_CONTROL, "no-store"))
                 .streaming(parts)
@@ -48,8 +48,8 @@
     }
 }
 
-/// An error, counted by its kind.
-pub(super) fn refused(
+/// Builds an error response and counts the refusal.
+pub(super) fn error_response(
     shared: &Shared,
     name: &RequestName,
     account: &str,
@@ -59,7 +59,7 @@
     shared.refusals.count(kind, account);
     let status =
         StatusCode::from_u16(kind.answer().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut res = start(shared, status, name, None);
+    let mut res = response_builder(shared, status, name, None);
     if let Some(secs) = problem.refusal.retry_after_secs() {
         res.insert_header((RETRY_AFTER, secs.to_string()));
     }
@@ -69,7 +69,7 @@
     res.json(error_body(problem, name))
 }
 
-fn start(
+fn response_builder(
     shared: &Shared,
     status: StatusCode,
     name: &RequestName,
@@ -78,10 +78,10 @@
     let mut res = HttpResponse::build(status);
     res.insert_header((REQUEST_ID, name.as_str()));
     if let Some(adapter) = adapter {
-        res.insert_header((ADAPTER, adapter));
+        res.insert_header((ADAPTER_VERSION, adapter));
     }
-    if shared.readiness.is_leaving() {
-        // A kept connection would bring the next request to a daemon that is about to stop.
+    if shared.readiness.is_draining() {
+        // A kept-alive connection would send its next request to a daemon that is shutting down.
         res.force_close();
     }
     res
--- a/crates/gateway/src/http/app.rs
+++ b/crates/gateway/src/http/app.rs
@@ -1,11 +1,13 @@
 use {
-    super::{admit::Arrival, answers::refused, completions, models, services, status},
+    super::{
+        admit::IncomingRequest, answers::error_response, completions, models, services, status,
+    },
     crate::request::Problem,
     actix_web::{HttpRequest, HttpResponse, web},
     jasmine_core::error::ErrorKind,
 };
 
-/// The routes of the callers' port; the worker has to be among the app's data.
+/// Configures the routes of the callers' port; requires a `Worker` in the app data.
 pub fn caller_routes(cfg: &mut web::ServiceConfig) {
     cfg.route("/v1/chat/completions", web::post().to(completions::chat))
         .route("/v1/completions", web::post().to(completions::plain))
@@ -14,21 +16,21 @@
             "/services/{service}/{path:.*}",
             web::route().to(services::call),
         )
-        .default_service(web::route().to(nothing));
+        .default_service(web::route().to(not_found));
 }
 
-/// The routes of the status port.
+/// Configures the routes of the status port.
 pub fn status_routes(cfg: &mut web::ServiceConfig) {
     cfg.route("/healthz", web::get().to(status::health))
         .route("/readyz", web::get().to(status::ready))
         .route("/metrics", web::get().to(status::metrics));
 }
 
-async fn nothing(req: HttpRequest) -> HttpResponse {
-    match Arrival::new(&req) {
-        Some(arrival) => refused(
-            &arrival.worker.shared,
-            &arrival.name,
+async fn not_found(req: HttpRequest) -> HttpResponse {
+    match IncomingRequest::new(&req) {
+        Some(incoming) => error_response(
+            &incoming.worker.shared,
+            &incoming.name,
             "",
             &Problem::from(ErrorKind::NotFound),
         ),
--- a/crates/gateway/src/http/shared.rs
+++ b/crates/gateway/src/http/shared.rs
@@ -16,62 +16,62 @@
     tokio::sync::watch,
 };
 
-/// What all workers share.
+/// State shared by all worker threads.
 #[derive(Debug)]
 pub struct Shared {
-    /// The way to the brain.
+    /// Handle for messages to the brain.
     pub brain: BrainHandle,
-    /// The configuration in force.
+    /// The current configuration.
     pub fleet: watch::Receiver<Arc<Fleet>>,
-    /// Whether requests are taken.
+    /// Readiness and shutdown state.
     pub readiness: Arc<Readiness>,
-    /// Bounds on callers.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// The clock.
+    /// The process-wide clock.
     pub clock: Clock,
-    /// All figures.
+    /// All metrics of the process.
     pub metrics: Metrics,
-    /// Figures of requests.
+    /// Metrics of requests.
     pub requests: RequestMetrics,
-    /// Counters of refusals.
+    /// Counters of refused requests.
     pub refusals: Refusals,
-    /// What makes ids of this process unlike those of all others.
-    pub origin: String,
-    /// The last request's number.
-    pub last: AtomicU64,
+    /// Prefix of request ids that is unique to this process.
+    pub id_prefix: String,
+    /// Number of the last request.
+    pub last_request_id: AtomicU64,
 }
 
 impl Shared {
-    /// A number that no other request of this process has.
+    /// Returns a request number that is unique within the process.
     pub fn next_request(&self) -> RequestId {
-        RequestId(self.last.fetch_add(1, Ordering::Relaxed) + 1)
+        RequestId(self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// A name for a request whose caller gave none.
-    pub fn name_for(
+    /// Returns a name for a request whose caller sent none.
+    pub fn generate_name(
         &self,
         request: RequestId,
     ) -> RequestName {
-        RequestName::new(&self.origin, request.0)
+        RequestName::new(&self.id_prefix, request.0)
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn fleet(&self) -> Arc<Fleet> {
         Arc::clone(&self.fleet.borrow())
     }
 }
 
-/// What one worker thread has.
+/// State of one worker thread.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it shares with the others.
+    /// State shared with the other workers.
     pub shared: Arc<Shared>,
-    /// Its own connections to upstreams.
+    /// The thread's connections to upstreams.
     pub connections: Rc<Connections>,
 }
 
 impl Worker {
-    /// A worker without open connections.
+    /// Creates a worker without open connections.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
@@ -80,26 +80,26 @@
     }
 }
 
-/// One request's place among those worked on at a time.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
-pub(super) struct InFlight {
+pub(super) struct InFlightGuard {
     readiness: Arc<Readiness>,
 }
 
-impl InFlight {
-    /// Takes a place; none when all are taken.
-    pub(super) fn enter(shared: &Shared) -> Option<Self> {
+impl InFlightGuard {
+    /// Counts a request; `None` if the in-flight limit is reached.
+    pub(super) fn try_acquire(shared: &Shared) -> Option<Self> {
         shared
             .readiness
-            .enter(shared.limits.max_in_flight)
+            .try_begin_request(shared.limits.max_in_flight)
             .then(|| Self {
                 readiness: Arc::clone(&shared.readiness),
             })
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.readiness.leave();
+        self.readiness.end_request();
     }
 }
--- a/crates/gateway/src/http/status.rs
+++ b/crates/gateway/src/http/status.rs
@@ -3,17 +3,17 @@
     actix_web::{HttpResponse, web::Data},
 };
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: whether the process responds.
 pub(super) async fn health() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
 }
 
-/// `GET /readyz`: whether a balancer may send requests.
+/// `GET /readyz`: whether load balancers may send requests.
 pub(super) async fn ready(shared: Data<Shared>) -> HttpResponse {
     let readiness = &shared.readiness;
     match () {
         () if readiness.is_ready() => HttpResponse::Ok().body("ready\n"),
-        () if readiness.is_leaving() => HttpResponse::ServiceUnavailable().body("stopping\n"),
+        () if readiness.is_draining() => HttpResponse::ServiceUnavailable().body("stopping\n"),
         () if readiness.is_confirmed() => {
             HttpResponse::ServiceUnavailable().body("rights not settled\n")
         }
--- a/crates/gateway/src/request/idempotency_key.rs
+++ b/crates/gateway/src/request/idempotency_key.rs
@@ -4,25 +4,25 @@
     sha2::{Digest, Sha256},
 };
 
-/// Bytes that an idempotency key has at most.
-const MAX_BYTES: usize = 255;
+/// Maximum length in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
 /// The value of an `Idempotency-Key` header.
 ///
-/// The draft has it as a string in double quotes; many clients leave the quotes out, so both are
-/// taken and mean the same.
+/// The IETF draft requires a string in double quotes; many clients omit the quotes, so both forms are
+/// accepted and equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey(String);
 
 impl IdempotencyKey {
-    /// Reads the header's value.
+    /// Parses the header value.
     ///
     /// # Errors
     ///
-    /// `bad_request` when it is empty, too long, or holds other than visible ASCII.
+    /// `bad_request` if the key is empty, too long, or contains other than visible ASCII.
     pub fn parse(value: &[u8]) -> Result<Self, Problem> {
         let malformed =
-            Problem::bad("The Idempotency-Key is not 1 to 255 visible ASCII characters.");
+            Problem::bad_request("The Idempotency-Key must be 1 to 255 visible ASCII characters.");
         let text = std::str::from_utf8(value)
             .map_err(|_not_utf8| malformed)?
             .trim();
@@ -30,23 +30,23 @@
             Some(quoted) => quoted.strip_suffix('"').ok_or(malformed)?,
             None => text,
         };
-        let well_formed = (1..=MAX_BYTES).contains(&text.len())
+        let is_well_formed = (1..=MAX_KEY_BYTES).contains(&text.len())
             && text
                 .bytes()
                 .all(|b| b.is_ascii_graphic() && b != b'"' && b != b'\\');
-        if well_formed {
+        if is_well_formed {
             Ok(Self(text.to_owned()))
         } else {
             Err(malformed)
         }
     }
 
-    /// The key as it is sent on.
+    /// Returns the key without quotes.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// What the store knows the key by: accounts can't meet each other's keys.
+    /// Returns the digest that identifies the key in the store, distinct per account.
     pub fn digest(
         &self,
         account: AccountId,
--- a/crates/gateway/src/request/service_path.rs
+++ b/crates/gateway/src/request/service_path.rs
@@ -4,7 +4,7 @@
     jasmine_core::error::ErrorKind,
 };
 
-/// The part of a path that goes to a plain service, checked.
+/// The validated path and query of a call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServicePath {
     path: String,
@@ -12,12 +12,12 @@
 }
 
 impl ServicePath {
-    /// Takes path and query as they came.
+    /// Validates the undecoded path and query.
     ///
     /// # Errors
     ///
-    /// `bad_request` when the path steps up, hides a separator, or holds the caller's key: a server that
-    /// decodes it could run another call than the one that the operators' row describes.
+    /// `bad_request` if the path contains a dot segment or an encoded separator, with which a server
+    /// could execute another call than the configured one, or if it contains the caller's key.
     pub fn parse(
         path: &str,
         query: &str,
@@ -25,16 +25,19 @@
     ) -> Result<Self, Problem> {
         let path = format!("/{}", path.trim_start_matches('/'));
         let lower = path.to_ascii_lowercase();
-        let steps = lower
+        let has_dot_segment = lower
             .replace("%2e", ".")
             .split('/')
             .any(|segment| segment == "." || segment == "..");
-        let hides = lower.contains("%2f") || lower.contains("%5c") || lower.contains('\\');
+        let has_encoded_separator =
+            lower.contains("%2f") || lower.contains("%5c") || lower.contains('\\');
         match () {
-            () if steps || hides => Err(Problem::bad("The path steps up or hides a separator.")),
-            () if key.is_in(path.as_bytes()) || key.is_in(query.as_bytes()) => {
-                Err(Problem::bad("The path or query holds the caller's key."))
-            }
+            () if has_dot_segment || has_encoded_separator => Err(Problem::bad_request(
+                "The path contains a dot segment or an encoded separator.",
+            )),
+            () if key.is_in(path.as_bytes()) || key.is_in(query.as_bytes()) => Err(
+                Problem::bad_request("The path or query contains the caller's key."),
+            ),
             () => Ok(Self {
                 path,
                 query: query.to_owned(),
@@ -42,11 +45,11 @@
         }
     }
 
-    /// The operators' row for this path.
+    /// Returns the configured call for this method and path.
     ///
     /// # Errors
     ///
-    /// `service_not_found` when there is none.
+    /// `service_not_found` if none matches.
     pub fn call<'a>(
         &self,
         service: &'a Service,
@@ -55,11 +58,11 @@
         service
             .calls
             .iter()
-            .find(|call| call.method == method && matches(&call.path, &self.path))
+            .find(|call| call.method == method && path_matches(&call.path, &self.path))
             .ok_or(ErrorKind::ServiceNotFound)
     }
 
-    /// Path and query as the service gets them.
+    /// Returns path and query for the request to the service.
     pub fn target(&self) -> String {
         if self.query.is_empty() {
             self.path.clone()
@@ -69,14 +72,14 @@
     }
 }
 
-fn matches(
+fn path_matches(
     pattern: &str,
     path: &str,
 ) -> bool {
-    let mut wanted = pattern.trim_start_matches('/').split('/');
-    let mut found = path.trim_start_matches('/').split('/');
+    let mut pattern_segments = pattern.trim_start_matches('/').split('/');
+    let mut segments = path.trim_start_matches('/').split('/');
     loop {
-        match (wanted.next(), found.next()) {
+        match (pattern_segments.next(), segments.next()) {
             (None, None) => return true,
             (Some("{}"), Some(segment)) if !segment.is_empty() => {}
             (Some(wanted), Some(found)) if wanted == found => {}
--- a/crates/gateway/src/upstream/client.rs
+++ b/crates/gateway/src/upstream/client.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BytesLeft, UpstreamIo},
+    super::{BytesWritten, UpstreamIo},
     actix_rt::net::TcpStream,
     actix_service::fn_service,
     actix_tls::connect::{ConnectError, ConnectInfo, Connection},
@@ -9,29 +9,29 @@
     std::{cell::RefCell, io, net::SocketAddr, time::Duration},
 };
 
-/// How long connecting may take; upstreams stand a few milliseconds away.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// An idle connection older than this is not used again: long idle ones die unnoticed most often.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
-/// No connection is used for longer.
-const LIFETIME: Duration = Duration::from_mins(5);
+/// Idle time after which a pooled connection is not reused, since it may have been dropped silently.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum age of a pooled connection.
+const MAX_CONNECTION_AGE: Duration = Duration::from_mins(5);
 
-/// An upstream's answer as it begins.
-pub type Sent = ClientResponse;
+/// A response of an upstream whose body is not read yet.
+pub type UpstreamResponse = ClientResponse;
 
-/// Why a request has no answer.
+/// Why no response head was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum SendFailure {
-    /// No connection came about: no byte of the request left.
-    #[display("not connected, nothing was sent")]
+    /// No connection was established, so no byte of the request was sent.
+    #[display("connection failed before the request was sent")]
     NotSent,
-    /// Bytes may have left.
-    #[display("lost after the request had been sent")]
+    /// The request may have been sent in part or completely.
+    #[display("connection lost after the request may have been sent")]
     Lost,
 }
 
-/// The connections of one worker thread.
+/// Upstream connections of one worker thread.
 pub struct Connections {
     pooled: RefCell<Client>,
 }
@@ -48,31 +48,31 @@
 impl Default for Connections {
     fn default() -> Self {
         Self {
-            pooled: RefCell::new(client(&BytesLeft::default())),
+            pooled: RefCell::new(client(&BytesWritten::default())),
         }
     }
 }
 
 impl Connections {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
-    /// A `fresh` one gets a connection of its own that nobody has used before.
+    /// With `force_new_connection` the request uses a new connection outside the pool.
     ///
     /// # Errors
     ///
-    /// [`SendFailure::NotSent`] only with proof that no byte left.
+    /// [`SendFailure::NotSent`] only if certainly no byte was sent, otherwise [`SendFailure::Lost`].
     pub async fn send(
         &self,
-        fresh: bool,
+        force_new_connection: bool,
         address: SocketAddr,
         method: Method,
         target: &str,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<Sent, SendFailure> {
-        let left = BytesLeft::default();
-        let client = if fresh {
-            client(&left)
+    ) -> Result<UpstreamResponse, SendFailure> {
+        let written = BytesWritten::default();
+        let client = if force_new_connection {
+            client(&written)
         } else {
             self.pooled.borrow().clone()
         };
@@ -82,28 +82,30 @@
         for (name, value) in headers {
             req = req.append_header((name, value));
         }
-        if fresh {
+        if force_new_connection {
             req = req.force_close();
         }
         req.send_body(body).await.map_err(|e| match e {
-            _ if fresh && !left.any() => SendFailure::NotSent,
-            SendRequestError::Connect(e) if !fresh && is_before_sending(&e) => SendFailure::NotSent,
+            _ if force_new_connection && !written.any() => SendFailure::NotSent,
+            SendRequestError::Connect(e) if !force_new_connection && is_before_sending(&e) => {
+                SendFailure::NotSent
+            }
             _ => SendFailure::Lost,
         })
     }
 
-    /// Forgets all idle connections; those in use go on.
+    /// Discards all idle connections; those in use are not affected.
     ///
-    /// When one connection has gone silent, others that went the same way are likely to be dead too,
-    /// and each would cost a request the whole wait before that is noticed.
-    pub fn renew(&self) {
-        self.pooled.replace(client(&BytesLeft::default()));
+    /// Called after a connection timed out, since other idle connections may have been dropped silently
+    /// too.
+    pub fn discard_idle(&self) {
+        self.pooled.replace(client(&BytesWritten::default()));
     }
 }
 
-/// The connect errors that come before a pooled connection is written to.
+/// Whether a connect error occurs before anything is written to a pooled connection.
 ///
-/// `Disconnected` is not among them: awc also reports it when a sent request gets no answer.
+/// `Disconnected` does not: `awc` also returns it if a sent request gets no response.
 fn is_before_sending(e: &awc::error::ConnectError) -> bool {
     use awc::error::ConnectError as E;
     matches!(
@@ -112,20 +114,20 @@
     )
 }
 
-fn client(left: &BytesLeft) -> Client {
-    let left = left.clone();
-    let dial = fn_service(move |info: ConnectInfo<Uri>| dial(info, left.clone()));
+fn client(written: &BytesWritten) -> Client {
+    let written = written.clone();
+    let dial = fn_service(move |info: ConnectInfo<Uri>| dial(info, written.clone()));
     let connector = Connector::new()
         .connector(dial)
         .timeout(CONNECT_TIMEOUT)
-        .conn_keep_alive(IDLE_LIMIT)
-        .conn_lifetime(LIFETIME)
+        .conn_keep_alive(IDLE_TIMEOUT)
+        .conn_lifetime(MAX_CONNECTION_AGE)
         .limit(0);
     Client::builder()
         .connector(connector)
-        // A redirect would run a call a second time at another address.
+        // Following a redirect could run a call a second time.
         .disable_redirects()
-        // The driver of the request has its own, finer limits.
+        // The driver of the request enforces its own timeouts.
         .disable_timeout()
         .no_default_headers()
         .finish()
@@ -133,7 +135,7 @@
 
 async fn dial(
     info: ConnectInfo<Uri>,
-    left: BytesLeft,
+    written: BytesWritten,
 ) -> Result<Connection<Uri, UpstreamIo>, ConnectError> {
     let mut info = info;
     let address = info.take_addrs().next().ok_or(ConnectError::Unresolved)?;
@@ -141,7 +143,7 @@
         .await
         .map_err(ConnectError::Io)?;
     stream.set_nodelay(true).map_err(ConnectError::Io)?;
-    let io: io::Result<UpstreamIo> = Ok(UpstreamIo::new(stream, left));
+    let io: io::Result<UpstreamIo> = Ok(UpstreamIo::new(stream, written));
     Ok(Connection::new(
         info.request().clone(),
         io.map_err(ConnectError::Io)?,
--- a/crates/gateway/tests/gateway/bad_input.rs
+++ b/crates/gateway/tests/gateway/bad_input.rs
@@ -1,7 +1,7 @@
-//! Bad input: each gets a clear error and takes nothing else down.
+//! Invalid requests get a specific error and do not affect other requests.
 
 use {
-    crate::support::{self, Bench, BenchSpec, KEY},
+    crate::support::{self, FixtureSettings, GatewayFixture, KEY},
     awc::http::Method,
     serde_json::json,
     std::{
@@ -12,20 +12,24 @@
     },
 };
 
-fn small() -> BenchSpec {
-    BenchSpec {
+fn strict_limits() -> FixtureSettings {
+    FixtureSettings {
         limits: json!({
             "max_body_bytes": 2048, "max_header_bytes": 2048, "request_read_ms": 1500,
             "max_in_flight": 4,
         }),
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     }
 }
 
 #[actix_rt::test]
 async fn wrong_requests() {
-    let bench = Bench::start(small()).await;
-    let chat = |body| bench.call(Method::POST, "/v1/chat/completions").body(body);
+    let fixture = GatewayFixture::start(strict_limits()).await;
+    let chat = |body| {
+        fixture
+            .call(Method::POST, "/v1/chat/completions")
+            .body(body)
+    };
     let one = json!([{"role": "user", "content": "hi"}]);
     let cases = [
         (chat(json!([])), 400, "bad_request"),
@@ -63,49 +67,49 @@
             "body_too_large",
         ),
         (
-            bench
+            fixture
                 .chat("base", "hi", 4, false)
                 .header("x-deadline-ms", "soon"),
             400,
             "bad_request",
         ),
         (
-            bench
+            fixture
                 .chat("base", "hi", 4, false)
                 .header("x-priority", "highest"),
             400,
             "bad_request",
         ),
         (
-            bench
+            fixture
                 .chat("base", "hi", 4, false)
                 .header("x-pad", &"x".repeat(4000)),
             431,
             "headers_too_large",
         ),
         (
-            bench.chat("base", "hi", 1_000_001, false),
+            fixture.chat("base", "hi", 1_000_001, false),
             400,
             "larger_than_burst",
         ),
-        (bench.call(Method::GET, "/v1/nothing"), 404, "not_found"),
+        (fixture.call(Method::GET, "/v1/nothing"), 404, "not_found"),
         (
-            bench.call(Method::GET, "/services/nobody/x"),
+            fixture.call(Method::GET, "/services/nobody/x"),
             404,
             "service_not_found",
         ),
         (
-            bench.call(Method::DELETE, "/services/phones/phones/17"),
+            fixture.call(Method::DELETE, "/services/phones/phones/17"),
             404,
             "service_not_found",
         ),
         (
-            bench.call(Method::GET, "/services/phones/phones/%2e%2e"),
+            fixture.call(Method::GET, "/services/phones/phones/%2e%2e"),
             400,
             "bad_request",
         ),
         (
-            bench.call(Method::GET, "/services/phones/phones/a%2fb"),
+            fixture.call(Method::GET, "/services/phones/phones/a%2fb"),
             400,
             "bad_request",
         ),
@@ -116,48 +120,47 @@
         assert!(!answer.header("x-request-id").is_empty());
         assert_eq!(answer.json["error"]["execution"], "not_run");
     }
-    let good = support::answer(&bench.chat("base", "hi", 4, false)).await;
-    assert!(good.is_whole(), "{good:?}");
+    let valid_answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
+    assert!(valid_answer.is_whole(), "{valid_answer:?}");
 }
 
 #[actix_rt::test]
 async fn slow_senders() {
-    // Callers on bad lines send the head and then hardly anything. Each holds a place; together they
-    // would keep everybody else out.
-    let bench = Bench::start(small()).await;
+    // Guards against slow senders that occupy all in-flight slots for good.
+    let fixture = GatewayFixture::start(strict_limits()).await;
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 100\r\n\r\n{{"
     );
     let sender = || {
-        let mut stream = TcpStream::connect(bench.gateway.port("callers")).expect("connected");
+        let mut stream = TcpStream::connect(fixture.gateway.port("callers")).expect("connected");
         stream.write_all(head.as_bytes()).expect("sent");
         stream
     };
-    let slow = RefCell::new(vec![sender()]);
-    let full = || async {
-        let answer = support::answer(&bench.chat("base", "hi", 4, false)).await;
-        // One more each time: a place may have been taken by the request that looks.
-        slow.borrow_mut().push(sender());
+    let slow_streams = RefCell::new(vec![sender()]);
+    let until_full = || async {
+        let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
+        // Adds a sender per check, since the checking request may have taken a slot.
+        slow_streams.borrow_mut().push(sender());
         (answer.code() == "queue_full")
             .then_some(())
             .ok_or(answer.code().to_owned())
     };
-    jasmine_testkit::harness::poll("full", Duration::from_millis(1200), full)
+    jasmine_testkit::harness::poll("full", Duration::from_millis(1200), until_full)
         .await
         .expect("full");
-    let free = || async {
-        let answer = support::answer(&bench.chat("base", "hi", 4, false)).await;
+    let until_free = || async {
+        let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
         answer
             .is_whole()
             .then_some(())
             .ok_or(answer.code().to_owned())
     };
-    jasmine_testkit::harness::poll("free", Duration::from_secs(4), free)
+    jasmine_testkit::harness::poll("free", Duration::from_secs(4), until_free)
         .await
         .expect("free");
     let mut text = String::new();
-    let mut first = slow.borrow_mut().swap_remove(0);
+    let mut first = slow_streams.borrow_mut().swap_remove(0);
     first
         .set_read_timeout(Some(Duration::from_secs(2)))
         .expect("a socket");
@@ -176,15 +179,14 @@
 
 #[actix_rt::test]
 async fn rate_used_up() {
-    // An account sends more than its rate. What is over has to be refused at once, with the time after
-    // which it will be served.
-    let bench = Bench::start(BenchSpec {
+    // Guards against delaying requests over the rate instead of refusing them with a retry time.
+    let fixture = GatewayFixture::start(FixtureSettings {
         rate: 500,
         burst: 500,
-        ..BenchSpec::default()
+        ..FixtureSettings::default()
     })
     .await;
-    let call = bench.chat("base", "hello", 200, false);
+    let call = fixture.chat("base", "hello", 200, false);
     let answers = futures::future::join_all((0..6).map(|_| support::answer(&call))).await;
     let refused: Vec<_> = answers.iter().filter(|answer| !answer.is_whole()).collect();
     assert!(!refused.is_empty());
@@ -201,10 +203,10 @@
 
 #[actix_rt::test]
 async fn slow_reader() {
-    // A caller asks for a long answer and doesn't read it. What piles up for it must be bounded.
-    let mut spec = BenchSpec::default();
-    spec.engine.step_us = 100;
-    let bench = Bench::start(spec).await;
+    // Guards against unbounded buffering for callers that do not read their response.
+    let mut settings = FixtureSettings::default();
+    settings.engine.step_us = 100;
+    let fixture = GatewayFixture::start(settings).await;
     let body =
         json!({"model": "base", "prompt": "x", "max_tokens": 64, "stream": true}).to_string();
     let head = format!(
@@ -212,14 +214,15 @@
          x-deadline-ms: 800\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut idle: Vec<_> = (0..50)
+    let mut unread_streams: Vec<_> = (0..50)
         .map(|_| {
-            let mut stream = TcpStream::connect(bench.gateway.port("callers")).expect("connected");
+            let mut stream =
+                TcpStream::connect(fixture.gateway.port("callers")).expect("connected");
             stream.write_all(head.as_bytes()).expect("sent");
             stream
         })
         .collect();
-    let answer = support::answer(&bench.chat("base", "hi", 4, false)).await;
+    let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
     assert!(answer.is_whole(), "{answer:?}");
-    idle.clear();
+    unread_streams.clear();
 }
