--- a/crates/conf/examples/tree_cost.rs
+++ b/crates/conf/examples/tree_cost.rs
@@ -9,7 +9,7 @@
         fleet::Fleet,
         store_layout::{Head, load, plan, shard_key},
         tree::{
-            Accepted, Edit, EditId, EditLog, EditOp, NodeKind, Path, Setting, Settings, Tree,
+            AcceptedEdit, Edit, EditId, EditLog, EditOp, NodeKind, Path, Setting, Settings, Tree,
             TreeBody, Value,
         },
     },
@@ -128,7 +128,7 @@
 fn edit(
     tree: &Tree,
     ops: Vec<EditOp>,
-) -> Accepted {
+) -> AcceptedEdit {
     let edit = Edit {
         id: EditId::random(),
         author: "ana".to_owned(),
--- a/crates/conf/src/api/edit_answer.rs
+++ b/crates/conf/src/api/edit_response.rs
@@ -1,5 +1,5 @@
 use {
-    crate::tree::Accepted,
+    crate::tree::AcceptedEdit,
     jasmine_core::ids::Revision,
     serde::{Deserialize, Serialize},
 };
@@ -7,11 +7,11 @@
 /// The response to a submitted edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct EditAnswer {
+pub struct EditResponse {
     /// The revision that the edit made, or would make in a dry run.
     pub revision: Revision,
     /// Whether this was a dry run, which writes nothing.
     pub dry_run: bool,
     /// The edit as accepted.
-    pub accepted: Accepted,
+    pub accepted: AcceptedEdit,
 }
--- a/crates/conf/src/api/history.rs
+++ b/crates/conf/src/api/history.rs
@@ -1,5 +1,5 @@
 use {
-    crate::tree::Accepted,
+    crate::tree::AcceptedEdit,
     serde::{Deserialize, Serialize},
 };
 
@@ -8,5 +8,5 @@
 #[derive(Serialize, Deserialize)]
 pub struct History {
     /// The edits, newest first.
-    pub edits: Vec<Accepted>,
+    pub edits: Vec<AcceptedEdit>,
 }
--- a/crates/conf/src/api/mod.rs
+++ b/crates/conf/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! JSON types of the operators' HTTP API, shared by the controller and its client.
 
 mod daemon_state;
-mod edit_answer;
 mod edit_progress;
+mod edit_response;
 mod error_body;
 mod fleet_status;
 mod history;
@@ -12,8 +12,8 @@
 
 pub use {
     daemon_state::DaemonState,
-    edit_answer::EditAnswer,
     edit_progress::{EditProgress, VmProgress},
+    edit_response::EditResponse,
     error_body::{ErrorBody, ErrorDetail},
     fleet_status::FleetStatus,
     history::History,
--- a/crates/conf/src/settings/controller_settings.rs
+++ b/crates/conf/src/settings/controller_settings.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Advertise, ControllerListen, InvalidSetting, LogSettings, OperatorsSettings,
-        PlatformSettings, Stop, Validate, range::check_range,
+        PlatformSettings, StopSettings, Validate, range::check_range,
     },
     jasmine_core::{clock::Millis, ids::VmId},
     serde::{Deserialize, Serialize},
@@ -33,7 +33,7 @@
     pub lease_ms: Millis,
     /// The graceful shutdown.
     #[serde(default)]
-    pub stop: Stop,
+    pub stop: StopSettings,
     /// The logging.
     #[serde(default)]
     pub log: LogSettings,
--- a/crates/conf/src/settings/gateway_settings.rs
+++ b/crates/conf/src/settings/gateway_settings.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Advertise, GatewayListen, InvalidSetting, Limits, LogSettings, Stop, Validate,
+        Advertise, GatewayListen, InvalidSetting, Limits, LogSettings, StopSettings, Validate,
         range::check_range,
     },
     jasmine_core::{clock::Millis, ids::VmId},
@@ -35,7 +35,7 @@
     pub config_stale_ms: Millis,
     /// The graceful shutdown.
     #[serde(default)]
-    pub stop: Stop,
+    pub stop: StopSettings,
     /// The logging.
     #[serde(default)]
     pub log: LogSettings,
--- a/crates/conf/src/settings/mod.rs
+++ b/crates/conf/src/settings/mod.rs
@@ -15,7 +15,7 @@
 mod read;
 mod retry_budget_settings;
 mod settings_error;
-mod stop;
+mod stop_settings;
 mod vm_resources;
 
 pub use {
@@ -30,6 +30,6 @@
     read::{Validate, check_settings, parse_settings, read_settings},
     retry_budget_settings::RetryBudgetSettings,
     settings_error::{InvalidSetting, SettingsError},
-    stop::Stop,
+    stop_settings::StopSettings,
     vm_resources::VmResources,
 };
--- a/crates/conf/src/settings/stop.rs
+++ b/crates/conf/src/settings/stop_settings.rs
@@ -8,14 +8,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Stop {
+pub struct StopSettings {
     /// How long readiness is false before new requests are refused, so the load balancer can react.
     pub grace_ms: Millis,
     /// The maximum time from the signal until the process exits.
     pub deadline_ms: Millis,
 }
 
-impl Default for Stop {
+impl Default for StopSettings {
     fn default() -> Self {
         Self {
             grace_ms: Millis(2_000),
@@ -24,7 +24,7 @@
     }
 }
 
-impl Stop {
+impl StopSettings {
     /// Checks that all values are in range.
     pub(super) fn validate(&self) -> Result<(), InvalidSetting> {
         check_range("stop.deadline_ms", self.deadline_ms.0, &(1..=3_600_000))?;
--- a/crates/conf/src/store_layout/head.rs
+++ b/crates/conf/src/store_layout/head.rs
@@ -99,7 +99,7 @@
     /// The revision of the first edit record to load, for stale shards and for the log.
     ///
     /// The log starts no earlier than the newest bulk edit, which bounds the bytes read at startup.
-    pub fn edits_from(&self) -> Revision {
+    pub fn first_edit_to_load(&self) -> Revision {
         let log = Revision((self.revision.0 + 1).saturating_sub(MAX_LOG_EDITS as u64));
         let log = log
             .max(self.oldest_edit)
--- a/crates/conf/src/store_layout/layout_error.rs
+++ b/crates/conf/src/store_layout/layout_error.rs
@@ -19,7 +19,7 @@
     #[display(
         "shard {shard} does not match the head: an edit was stored during the load, load again"
     )]
-    Moved {
+    ShardMismatch {
         /// The shard.
         shard: u16,
     },
--- a/crates/conf/src/store_layout/load.rs
+++ b/crates/conf/src/store_layout/load.rs
@@ -1,13 +1,13 @@
 use {
     super::{Head, LayoutError, SHARDS, Shard, shard_key},
-    crate::tree::{Accepted, EditLog, Tree},
+    crate::tree::{AcceptedEdit, EditLog, Tree},
     jasmine_core::ids::Revision,
     std::{collections::BTreeMap, sync::Arc},
 };
 
 /// The configuration as loaded from the store.
 #[derive(Clone, Debug)]
-pub struct Loaded {
+pub struct LoadedConfig {
     /// The tree at the head's revision.
     pub tree: Tree,
     /// The newest edits.
@@ -17,7 +17,7 @@
 /// Builds the tree at the revision of `head`.
 ///
 /// `shards` holds the values below [`super::SHARD_PREFIX`] by key; `edits` holds the edit records
-/// from [`Head::edits_from`] up to the head's revision, in key order.
+/// from [`Head::first_edit_to_load`] up to the head's revision, in key order.
 ///
 /// # Errors
 ///
@@ -26,7 +26,7 @@
     head: &Head,
     shards: &BTreeMap<String, String>,
     edits: &[String],
-) -> Result<Loaded, LayoutError> {
+) -> Result<LoadedConfig, LayoutError> {
     let edits = read_edits(head, edits)?;
     let nodes = read_shards(head, shards)?
         .into_iter()
@@ -35,14 +35,14 @@
     let lacks_from = head.lacks_from().unwrap_or_else(|| head.revision.next());
     let before = Revision(lacks_from.0 - 1);
     let mut tree = Tree::from_parts(before, head.next_numbers.clone(), nodes);
-    let mut log = EditLog::new(Revision(head.edits_from().0 - 1));
+    let mut log = EditLog::new(Revision(head.first_edit_to_load().0 - 1));
     for accepted in edits {
         if accepted.revision > before {
             tree.apply(&accepted).map_err(LayoutError::OutOfOrder)?;
         }
         log.push(Arc::new(accepted));
     }
-    Ok(Loaded { tree, log })
+    Ok(LoadedConfig { tree, log })
 }
 
 fn read_shards(
@@ -62,7 +62,7 @@
             },
         };
         if value.at != head.state(shard).at {
-            return Err(LayoutError::Moved { shard });
+            return Err(LayoutError::ShardMismatch { shard });
         }
         read.push(value);
     }
@@ -73,11 +73,11 @@
 fn read_edits(
     head: &Head,
     edits: &[String],
-) -> Result<Vec<Accepted>, LayoutError> {
+) -> Result<Vec<AcceptedEdit>, LayoutError> {
     let mut read = Vec::new();
-    let mut next = head.edits_from();
+    let mut next = head.first_edit_to_load();
     for text in edits {
-        let accepted: Accepted = serde_json::from_str(text)
+        let accepted: AcceptedEdit = serde_json::from_str(text)
             .map_err(|source| LayoutError::malformed(super::EDIT_PREFIX, source))?;
         if accepted.revision > head.revision {
             break;
--- a/crates/conf/src/store_layout/plan.rs
+++ b/crates/conf/src/store_layout/plan.rs
@@ -1,6 +1,6 @@
 use {
     super::{HEAD_KEY, Head, LayoutError, SHARDS, Shard, ShardState, shard_key, shard_of},
-    crate::tree::{Accepted, EditOp, NodeKind, Path, Tree},
+    crate::tree::{AcceptedEdit, EditOp, NodeKind, Path, Tree},
     jasmine_core::ids::Revision,
     std::collections::BTreeSet,
 };
@@ -22,7 +22,7 @@
 
 /// One transaction: if the head's value is still `expect`, applies all `puts` and `deletes`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
+pub struct Transaction {
     /// The expected value of the head; `None` if the key must not exist.
     pub expect: Option<String>,
     /// Keys and values to write, including the head.
@@ -51,8 +51,8 @@
     head_value: Option<&str>,
     before: &Tree,
     after: &Tree,
-    accepted: &Accepted,
-) -> Result<Write, LayoutError> {
+    accepted: &AcceptedEdit,
+) -> Result<Transaction, LayoutError> {
     let mut head = Head::read(head_value)?;
     let revision = accepted.revision;
     head.revision = revision;
@@ -73,7 +73,7 @@
     puts.push((edit_key(revision), record));
     let deletes = prune_history(&mut head);
     puts.push((HEAD_KEY.to_owned(), head.text()));
-    Ok(Write {
+    Ok(Transaction {
         expect: head_value.map(str::to_owned),
         puts,
         deletes,
@@ -84,7 +84,7 @@
 /// The shards of all nodes that an edit changes.
 fn changed_shards(
     before: &Tree,
-    accepted: &Accepted,
+    accepted: &AcceptedEdit,
 ) -> BTreeSet<u16> {
     let mut shards = BTreeSet::new();
     for op in &accepted.edit.ops {
--- a/crates/conf/src/store_layout/settle.rs
+++ b/crates/conf/src/store_layout/write_outcome.rs
@@ -1,17 +1,17 @@
 use {
     super::LayoutError,
-    crate::tree::{Accepted, EditId},
+    crate::tree::{AcceptedEdit, EditId},
 };
 
 /// The outcome of an edit whose reply was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum WriteOutcome {
     /// The edit was stored.
-    Accepted,
+    AcceptedEdit,
     /// Another edit made the revision, so this transaction can no longer succeed.
-    Overtaken(Box<Accepted>),
+    Superseded(Box<AcceptedEdit>),
     /// No edit has made the revision yet; the same transaction may be sent again.
-    Open,
+    Pending,
 }
 
 /// Determines the outcome of edit `id` from the record of the revision that it should have made.
@@ -19,17 +19,17 @@
 /// # Errors
 ///
 /// [`LayoutError::Malformed`] if the record cannot be parsed.
-pub fn settle(
+pub fn write_outcome(
     id: &EditId,
     record: Option<&str>,
-) -> Result<Settled, LayoutError> {
+) -> Result<WriteOutcome, LayoutError> {
     let Some(text) = record else {
-        return Ok(Settled::Open);
+        return Ok(WriteOutcome::Pending);
     };
-    let accepted: Accepted = serde_json::from_str(text)
+    let accepted: AcceptedEdit = serde_json::from_str(text)
         .map_err(|source| LayoutError::malformed(super::EDIT_PREFIX, source))?;
     if accepted.edit.id == *id {
-        return Ok(Settled::Accepted);
+        return Ok(WriteOutcome::AcceptedEdit);
     }
-    Ok(Settled::Overtaken(Box::new(accepted)))
+    Ok(WriteOutcome::Superseded(Box::new(accepted)))
 }
--- a/crates/conf/src/tree/accepted.rs
+++ b/crates/conf/src/tree/accepted_edit.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Accepted {
+pub struct AcceptedEdit {
     /// The revision that the edit made.
     pub revision: Revision,
     /// When the edit was accepted, in milliseconds since the Unix epoch, by the clock of the accepting VM.
--- a/crates/conf/src/tree/bodies.rs
+++ b/crates/conf/src/tree/bodies.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Accepted, Family, Node, Path, Tree},
+    super::{AcceptedEdit, Family, Node, Path, Tree},
     imbl::OrdMap,
     jasmine_core::ids::Revision,
     serde::{Deserialize, Serialize},
@@ -43,5 +43,5 @@
 #[serde(deny_unknown_fields)]
 pub struct EditsBody {
     /// The edits, oldest first.
-    pub edits: Vec<Accepted>,
+    pub edits: Vec<AcceptedEdit>,
 }
--- a/crates/conf/src/tree/commands/apply.rs
+++ b/crates/conf/src/tree/commands/apply.rs
@@ -1,7 +1,7 @@
 use {
     crate::tree::{
-        Accepted, EditError, EditOp, EntityChanges, Family, Node, NodeKind, Path, RemovedEntity,
-        Setting, Settings, Shape, Tree, tree_nodes::family_name,
+        AcceptedEdit, EditError, EditOp, EntityChanges, Family, Node, NodeKind, Path,
+        RemovedEntity, Setting, Settings, Tree, ValueType, tree_nodes::family_name,
     },
     std::collections::BTreeSet,
 };
@@ -18,7 +18,7 @@
     /// [`EditError::OutOfOrder`] if the edit does not make the next revision.
     pub fn apply(
         &mut self,
-        accepted: &Accepted,
+        accepted: &AcceptedEdit,
     ) -> Result<EntityChanges, EditError> {
         if accepted.revision != self.revision.next() {
             return Err(EditError::OutOfOrder {
@@ -151,7 +151,7 @@
         setting: Setting,
         changes: &mut EntityChanges,
     ) {
-        let kinds = setting.rule().kinds;
+        let kinds = setting.spec().kinds;
         let reached = self
             .within(path)
             .filter(|(_, node)| kinds.contains(&node.kind))
@@ -173,9 +173,9 @@
             .map(|removed| removed.family)
             .collect();
         for setting in Setting::ALL {
-            let family = match setting.rule().shape {
-                Shape::Reference(family) => family,
-                Shape::Accounts => Family::Accounts,
+            let family = match setting.spec().value_type {
+                ValueType::Reference(family) => family,
+                ValueType::Accounts => Family::Accounts,
                 _ => continue,
             };
             if renumbered.contains(&family) {
--- a/crates/conf/src/tree/commands/check.rs
+++ b/crates/conf/src/tree/commands/check.rs
@@ -2,7 +2,8 @@
 
 use crate::tree::{
     EditError, EditOp, EntityChanges, Family, NodeKind, Path, RemovedEntity, Setting, SettingScope,
-    SettingSpec, Settings, Shape, Tree, Value, queries::InheritedValues, tree_nodes::COLLECTIONS,
+    SettingSpec, Settings, Tree, Value, ValueType, queries::InheritedValues,
+    tree_nodes::COLLECTIONS,
 };
 
 /// The maximum number of a data centre, which is stored in 16 bits.
@@ -195,20 +196,20 @@
     setting: Setting,
     value: &Value,
 ) -> Result<(), EditError> {
-    if !setting.may_stand_at(kind, path.collection()) {
-        return Err(EditError::NotHere {
+    if !setting.is_allowed_on(kind, path.collection()) {
+        return Err(EditError::SettingNotAllowed {
             path: path.clone(),
             kind,
             setting,
         });
     }
-    let SettingSpec { shape, .. } = setting.rule();
-    if !shape.admits(value) {
+    let SettingSpec { value_type, .. } = setting.spec();
+    if !value_type.allows(value) {
         return Err(EditError::BadValue {
             path: path.clone(),
             setting,
             value: value.to_string().chars().take(100).collect(),
-            allowed: shape.allowed(),
+            allowed: value_type.allowed(),
         });
     }
     Ok(())
@@ -224,8 +225,8 @@
     let Some(node) = tree.node(path) else {
         return Err(EditError::NoSuchNode { path: path.clone() });
     };
-    let fixed = setting.rule().scope == SettingScope::Fixed
-        && setting.may_stand_at(node.kind, path.collection());
+    let fixed = setting.spec().scope == SettingScope::Fixed
+        && setting.is_allowed_on(node.kind, path.collection());
     // A withdrawn key may be known to others and must never become valid again.
     let withdrawn = setting == Setting::Withdrawn
         && node.settings.get(setting) == Some(&Value::Flag(true))
@@ -252,11 +253,11 @@
     setting: Setting,
     value: &Value,
 ) -> Result<(), EditError> {
-    let missing = match (setting.rule().shape, value) {
-        (Shape::Reference(family), Value::Text(name)) => {
+    let missing = match (setting.spec().value_type, value) {
+        (ValueType::Reference(family), Value::Text(name)) => {
             tree.named(family, name).is_none().then_some(name)
         }
-        (Shape::Accounts, Value::Names(names)) => names
+        (ValueType::Accounts, Value::Names(names)) => names
             .iter()
             .find(|name| tree.named(Family::Accounts, name).is_none()),
         _ => None,
@@ -316,11 +317,11 @@
     value: &Value,
     removed: &RemovedEntity,
 ) -> bool {
-    match (setting.rule().shape, value) {
-        (Shape::Reference(family), Value::Text(name)) => {
+    match (setting.spec().value_type, value) {
+        (ValueType::Reference(family), Value::Text(name)) => {
             family == removed.family && *name == removed.name
         }
-        (Shape::Accounts, Value::Names(names)) => {
+        (ValueType::Accounts, Value::Names(names)) => {
             removed.family == Family::Accounts && names.contains(&removed.name)
         }
         _ => false,
--- a/crates/conf/src/tree/commands/propose.rs
+++ b/crates/conf/src/tree/commands/propose.rs
@@ -1,6 +1,6 @@
 use {
     super::check,
-    crate::tree::{Accepted, Conflict, Edit, EditError, EditLog, EditOp, EntityChanges, Tree},
+    crate::tree::{AcceptedEdit, Conflict, Edit, EditError, EditLog, EditOp, EntityChanges, Tree},
 };
 
 /// The maximum size of an edit as JSON, so that its record, one shard and the head fit into one write.
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct Proposal {
     /// The edit with its revision and the assigned numbers.
-    pub accepted: Accepted,
+    pub accepted: AcceptedEdit,
     /// The resulting tree.
     pub tree: Tree,
     /// The entities to resolve again or remove.
@@ -49,7 +49,7 @@
         check::check_consistency(&tree, &edit.ops, &changes)?;
         tree.revision = self.revision.next();
         Ok(Proposal {
-            accepted: Accepted {
+            accepted: AcceptedEdit {
                 revision: tree.revision,
                 at_unix_ms,
                 numbers,
--- a/crates/conf/src/tree/conflict.rs
+++ b/crates/conf/src/tree/conflict.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Accepted, EditId, EditOp, NodeKind, Path},
+    super::{AcceptedEdit, EditId, EditOp, NodeKind, Path},
     jasmine_core::ids::Revision,
     serde::{Deserialize, Serialize},
     std::collections::BTreeMap,
@@ -35,7 +35,7 @@
         since: I,
     ) -> Vec<Self>
     where
-        I: IntoIterator<Item = &'a Accepted>,
+        I: IntoIterator<Item = &'a AcceptedEdit>,
     {
         let mine = OpsByPath::new(ops);
         let mut found = Vec::new();
@@ -54,7 +54,7 @@
     fn new(
         mine: &EditOp,
         theirs: &EditOp,
-        accepted: &Accepted,
+        accepted: &AcceptedEdit,
     ) -> Self {
         Self {
             mine: mine.clone(),
--- a/crates/conf/src/tree/edit_error.rs
+++ b/crates/conf/src/tree/edit_error.rs
@@ -62,7 +62,7 @@
     },
     /// The setting is not allowed on this kind of node.
     #[display("{path}: {setting} is no setting of a node of kind {kind}")]
-    NotHere {
+    SettingNotAllowed {
         /// The path.
         path: Path,
         /// The kind of the node.
--- a/crates/conf/src/tree/edit_log.rs
+++ b/crates/conf/src/tree/edit_log.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Accepted, Edit, EditError, EditId, Path},
+    super::{AcceptedEdit, Edit, EditError, EditId, Path},
     jasmine_core::ids::Revision,
     std::{collections::VecDeque, sync::Arc},
 };
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EditLog {
     base: Revision,
-    edits: VecDeque<Arc<Accepted>>,
+    edits: VecDeque<Arc<AcceptedEdit>>,
     ops: usize,
 }
 
@@ -44,7 +44,7 @@
     /// Appends the next edit; returns false if it does not follow the newest revision.
     pub fn push(
         &mut self,
-        accepted: Arc<Accepted>,
+        accepted: Arc<AcceptedEdit>,
     ) -> bool {
         if accepted.revision != self.newest().next() {
             return false;
@@ -73,7 +73,7 @@
     pub fn since(
         &self,
         base: Revision,
-    ) -> Option<impl Iterator<Item = &Accepted>> {
+    ) -> Option<impl Iterator<Item = &AcceptedEdit>> {
         let skipped = base.0.checked_sub(self.base.0)?;
         let skipped = (skipped as usize).min(self.edits.len());
         Some(self.edits.range(skipped..).map(Arc::as_ref))
@@ -83,7 +83,7 @@
     pub fn find(
         &self,
         id: &EditId,
-    ) -> Option<&Accepted> {
+    ) -> Option<&AcceptedEdit> {
         self.newest_first().find(|accepted| accepted.edit.id == *id)
     }
 
@@ -92,10 +92,10 @@
     /// # Errors
     ///
     /// [`EditError::IdTaken`] if an accepted edit has the same id but different ops.
-    pub fn sent_before(
+    pub fn find_duplicate(
         &self,
         edit: &Edit,
-    ) -> Result<Option<&Accepted>, EditError> {
+    ) -> Result<Option<&AcceptedEdit>, EditError> {
         match self.find(&edit.id) {
             Some(accepted) if accepted.edit.ops != edit.ops => Err(EditError::IdTaken {
                 id: edit.id.clone(),
@@ -106,15 +106,15 @@
     }
 
     /// All edits, newest first.
-    pub fn newest_first(&self) -> impl Iterator<Item = &Accepted> {
+    pub fn newest_first(&self) -> impl Iterator<Item = &AcceptedEdit> {
         self.edits.iter().rev().map(Arc::as_ref)
     }
 
     /// The edits that changed `path`, a node below it or a node above it, newest first.
-    pub fn about(
+    pub fn history_of(
         &self,
         path: &Path,
-    ) -> impl Iterator<Item = &Accepted> {
+    ) -> impl Iterator<Item = &AcceptedEdit> {
         self.newest_first().filter(move |accepted| {
             let about = |changed: &Path| changed.is_within(path) || path.is_within(changed);
             accepted.edit.ops.iter().any(|op| about(op.path()))
--- a/crates/conf/src/tree/mod.rs
+++ b/crates/conf/src/tree/mod.rs
@@ -26,11 +26,11 @@
 //! entity is assigned at creation and never reused, so an entity created again under an old name gets
 //! a new identity.
 //!
-//! An [`Edit`] is applied atomically. [`Tree::propose`] validates it and returns the [`Accepted`]
+//! An [`Edit`] is applied atomically. [`Tree::propose`] validates it and returns the [`AcceptedEdit`]
 //! record to store; [`Tree::apply`] applies an accepted edit without validation, with the same result
 //! on every VM; [`Tree::refresh`] updates the changed parts of the resolved [`crate::fleet::Fleet`].
 
-mod accepted;
+mod accepted_edit;
 mod bodies;
 mod commands;
 mod conflict;
@@ -49,12 +49,12 @@
 mod setting_scope;
 mod setting_spec;
 mod settings;
-mod shape;
 mod tree_nodes;
 mod value;
+mod value_type;
 
 pub use {
-    accepted::Accepted,
+    accepted_edit::AcceptedEdit,
     bodies::{EditsBody, TreeBody},
     commands::{MAX_EDIT_BYTES, Proposal},
     conflict::Conflict,
@@ -73,7 +73,7 @@
     setting_scope::SettingScope,
     setting_spec::SettingSpec,
     settings::Settings,
-    shape::Shape,
     tree_nodes::{COLLECTIONS, Tree},
     value::Value,
+    value_type::ValueType,
 };
--- a/crates/conf/src/tree/queries/entities.rs
+++ b/crates/conf/src/tree/queries/entities.rs
@@ -243,7 +243,7 @@
             path: self.path.clone(),
             setting: Setting::Address,
             value: text.to_owned(),
-            allowed: Setting::Address.rule().shape.allowed(),
+            allowed: Setting::Address.spec().value_type.allowed(),
         })
     }
 
--- a/crates/conf/src/tree/queries/explain.rs
+++ b/crates/conf/src/tree/queries/explain.rs
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// [`EditError::NoSuchNode`] or [`EditError::NotHere`] if the node does not exist or
+    /// [`EditError::NoSuchNode`] or [`EditError::SettingNotAllowed`] if the node does not exist or
     /// does not have the setting.
     pub fn explain(
         &self,
@@ -46,24 +46,24 @@
         let node = self
             .node(path)
             .ok_or_else(|| EditError::NoSuchNode { path: path.clone() })?;
-        if !setting.may_stand_at(node.kind, path.collection()) {
-            return Err(EditError::NotHere {
+        if !setting.is_allowed_on(node.kind, path.collection()) {
+            return Err(EditError::SettingNotAllowed {
                 path: path.clone(),
                 kind: node.kind,
                 setting,
             });
         }
-        let rule = setting.rule();
-        let levels = self.levels(path, rule.scope, setting);
+        let spec = setting.spec();
+        let levels = self.levels(path, spec.scope, setting);
         let found = levels.iter().find(|level| level.value.is_some());
         Ok(Explanation {
             path: path.clone(),
             setting,
             value: found
                 .and_then(|level| level.value.clone())
-                .or_else(|| rule.default.clone()),
+                .or_else(|| spec.default.clone()),
             from: found.map(|level| level.path.clone()),
-            default: rule.default.clone(),
+            default: spec.default.clone(),
             levels,
         })
     }
--- a/crates/conf/src/tree/queries/inherited_values.rs
+++ b/crates/conf/src/tree/queries/inherited_values.rs
@@ -25,15 +25,15 @@
         node: &'t Node,
         setting: Setting,
     ) -> Option<&'t Value> {
-        let rule = setting.rule();
+        let spec = setting.spec();
         if let Some(own) = node.settings.get(setting) {
             return Some(own);
         }
-        let inherited = match rule.scope {
+        let inherited = match spec.scope {
             SettingScope::Inherited => self.inherited(path, setting),
             SettingScope::NodeOnly | SettingScope::Fixed => None,
         };
-        inherited.or(rule.default.as_ref())
+        inherited.or(spec.default.as_ref())
     }
 
     /// Like [`Self::value`], but a missing value is an error.
--- a/crates/conf/src/tree/setting.rs
+++ b/crates/conf/src/tree/setting.rs
@@ -4,7 +4,7 @@
         NodeKind::{
             self, Account, Adapter, Call, DataCentre, Engine, Key, Server, Service, Version,
         },
-        SettingScope, SettingSpec, Shape, Value,
+        SettingScope, SettingSpec, Value, ValueType,
     },
     serde::{Deserialize, Serialize},
     std::sync::LazyLock,
@@ -98,7 +98,7 @@
     ];
 
     /// The definition: name, type and range, scope, node kinds and default.
-    pub fn rule(self) -> &'static SettingSpec {
+    pub fn spec(self) -> &'static SettingSpec {
         static TABLE: LazyLock<[SettingSpec; Setting::ALL.len()]> =
             LazyLock::new(|| Setting::ALL.map(Setting::row));
         &TABLE[self as usize]
@@ -108,7 +108,7 @@
     fn row(self) -> SettingSpec {
         use {
             SettingScope::{Fixed, Inherited, NodeOnly},
-            Shape::{
+            ValueType::{
                 Accounts, Address, Choice, Digest, Flag, Method, Number, Reference, Text, UrlPath,
             },
         };
@@ -226,7 +226,7 @@
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
-            .find(|setting| setting.rule().name == name)
+            .find(|setting| setting.spec().name == name)
     }
 
     /// A one-sentence description, as in the documentation.
@@ -264,22 +264,22 @@
     }
 
     /// Whether the setting may be set on a node of this kind in this collection.
-    pub fn may_stand_at(
+    pub fn is_allowed_on(
         self,
         kind: NodeKind,
         collection: &str,
     ) -> bool {
-        let rule = self.rule();
+        let spec = self.spec();
         match kind {
-            _ if rule.kinds.contains(&kind) => true,
-            NodeKind::Group if rule.scope == SettingScope::Inherited => {
+            _ if spec.kinds.contains(&kind) => true,
+            NodeKind::Group if spec.scope == SettingScope::Inherited => {
                 collection.is_empty()
-                    || rule
+                    || spec
                         .kinds
                         .iter()
                         .any(|kind| kind.collection() == Some(collection))
             }
-            Service => rule.scope == SettingScope::Inherited && rule.kinds.contains(&Call),
+            Service => spec.scope == SettingScope::Inherited && spec.kinds.contains(&Call),
             _ => false,
         }
     }
@@ -290,6 +290,6 @@
         &self,
         f: &mut std::fmt::Formatter<'_>,
     ) -> std::fmt::Result {
-        f.write_str(self.rule().name)
+        f.write_str(self.spec().name)
     }
 }
--- a/crates/conf/src/tree/setting_spec.rs
+++ b/crates/conf/src/tree/setting_spec.rs
@@ -1,4 +1,4 @@
-use super::{NodeKind, SettingScope, Shape, Value};
+use super::{NodeKind, SettingScope, Value, ValueType};
 
 /// The definition of a setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -6,7 +6,7 @@
     /// The name used by operators and in JSON.
     pub name: &'static str,
     /// The type and range of values.
-    pub shape: Shape,
+    pub value_type: ValueType,
     /// Whether the value is inherited and whether it may change.
     pub scope: SettingScope,
     /// The node kinds that use the setting; their ancestors may hold it if it is inherited.
@@ -19,14 +19,14 @@
     /// Creates the definition of one setting.
     pub(super) const fn new(
         name: &'static str,
-        shape: Shape,
+        value_type: ValueType,
         scope: SettingScope,
         kinds: &'static [NodeKind],
         default: Option<Value>,
     ) -> Self {
         Self {
             name,
-            shape,
+            value_type,
             scope,
             kinds,
             default,
--- a/crates/conf/src/tree/shape.rs
+++ b/crates/conf/src/tree/value_type.rs
@@ -13,7 +13,7 @@
 
 /// The type and range of a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum ValueType {
     /// A whole number in an inclusive range.
     Number(u64, u64),
     /// `true` or `false`.
@@ -36,9 +36,9 @@
     Digest,
 }
 
-impl Shape {
+impl ValueType {
     /// Whether `value` is of this type and in range.
-    pub fn admits(
+    pub fn allows(
         self,
         value: &Value,
     ) -> bool {
--- a/crates/conf/tests/generated_bodies.rs
+++ b/crates/conf/tests/generated_bodies.rs
@@ -7,10 +7,10 @@
     jasmine_conf::{
         fleet::Fleet,
         store_layout::{
-            EDIT_PREFIX, HEAD_KEY, Head, SHARD_PREFIX, Shard, edit_key, load, plan, settle,
+            EDIT_PREFIX, HEAD_KEY, Head, SHARD_PREFIX, Shard, edit_key, load, plan, write_outcome,
         },
         tree::{
-            Accepted, Edit, EditId, EditLog, EditOp, EditsBody, Path, Proposal, Setting, Tree,
+            AcceptedEdit, Edit, EditId, EditLog, EditOp, EditsBody, Path, Proposal, Setting, Tree,
             TreeBody,
         },
     },
@@ -20,7 +20,7 @@
 };
 
 #[test]
-fn what_is_stored_is_read_back() {
+fn a_stored_tree_loads_unchanged() {
     check!().with_type::<Vec<SmallEdit>>().for_each(|edits| {
         let mut tree = populated_tree();
         let log = EditLog::new(Revision(0));
@@ -33,7 +33,7 @@
             ops: Vec::new(),
         };
         // The edit that populates the tree is not stored; the store starts with all shards up to date.
-        let accepted = Accepted {
+        let accepted = AcceptedEdit {
             revision: tree.revision(),
             at_unix_ms: 0,
             numbers: Vec::new(),
@@ -85,7 +85,7 @@
         let head = Head::read(rows.get(HEAD_KEY).map(String::as_str)).unwrap();
         let edits: Vec<_> = under(EDIT_PREFIX)
             .into_iter()
-            .filter(|(key, _)| *key >= edit_key(head.edits_from()))
+            .filter(|(key, _)| *key >= edit_key(head.first_edit_to_load()))
             .map(|(_, value)| value)
             .collect();
         let loaded = load(&head, &under(SHARD_PREFIX), &edits).unwrap();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_tree_goes_over_the_wire_and_back() {
+fn a_tree_round_trips_through_json() {
     check!().with_type::<Vec<SmallEdit>>().for_each(|edits| {
         let mut tree = populated_tree();
         for small in edits {
@@ -128,12 +128,12 @@
         }
         drop(Path::parse(&text));
         drop(Head::read(Some(&text)));
-        drop(settle(&EditId::random(), Some(&text)));
+        drop(write_outcome(&EditId::random(), Some(&text)));
     });
 }
 
 #[test]
-fn a_tree_from_a_confused_peer_does_not_panic() {
+fn an_invalid_tree_from_a_peer_does_not_panic() {
     // Guards against panics on an invalid tree from a peer, such as an adapter without a model or a
     // version below a group.
     check!()
@@ -150,7 +150,7 @@
                 }),
             );
             tree.resolve();
-            let accepted = Accepted {
+            let accepted = AcceptedEdit {
                 revision: Revision(2),
                 at_unix_ms: 0,
                 numbers: Vec::new(),
--- a/crates/conf/tests/generated_edits.rs
+++ b/crates/conf/tests/generated_edits.rs
@@ -7,7 +7,8 @@
     jasmine_conf::{
         fleet::Fleet,
         tree::{
-            Accepted, EditLog, EditOp, Family, NodeKind, Path, Setting, Settings, Tree, TreeBody,
+            AcceptedEdit, EditLog, EditOp, Family, NodeKind, Path, Setting, Settings, Tree,
+            TreeBody,
         },
     },
     jasmine_core::ids::Revision,
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn accepted_edits_leave_a_tree_that_resolves_and_refreshes() {
+fn refreshing_after_an_edit_equals_resolving_the_tree() {
     check!().with_type::<Vec<SmallEdit>>().for_each(|edits| {
         let mut tree = populated_tree();
         let mut fleet = tree.resolve();
@@ -73,7 +74,7 @@
 
 /// Asserts that each number of a family is assigned only once.
 fn assert_numbers_are_new(
-    accepted: &Accepted,
+    accepted: &AcceptedEdit,
     assigned: &mut BTreeMap<(Family, u32), Revision>,
 ) {
     let mut numbers = accepted.numbers.iter();
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn edits_that_touch_different_things_give_the_same_tree_in_either_order() {
+fn independent_edits_give_the_same_tree_in_either_order() {
     check!()
         .with_type::<(SmallEdit, SmallEdit)>()
         .for_each(|(one, other)| {
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn pages_of_the_tree_leave_nothing_out() {
+fn tree_pages_contain_every_node() {
     check!().with_type::<Vec<SmallEdit>>().for_each(|edits| {
         let mut tree = populated_tree();
         for small in edits {
--- a/crates/conf/tests/scenarios.rs
+++ b/crates/conf/tests/scenarios.rs
@@ -151,7 +151,7 @@
             "list" => self.list(&path()?),
             "history" => {
                 let path = path()?;
-                let lines = self.log.about(&path).map(|accepted| {
+                let lines = self.log.history_of(&path).map(|accepted| {
                     let ops: Vec<_> = accepted.edit.ops.iter().map(ToString::to_string).collect();
                     format!(
                         "{} {}: {}\n",
--- a/crates/conf/tests/settings_docs.rs
+++ b/crates/conf/tests/settings_docs.rs
@@ -24,7 +24,7 @@
 }
 
 fn default(setting: Setting) -> String {
-    match &setting.rule().default {
+    match &setting.spec().default {
         None => String::new(),
         Some(Value::Text(text)) if text.is_empty() => "empty".to_owned(),
         Some(Value::Names(names)) if names.is_empty() => "nobody".to_owned(),
@@ -42,18 +42,18 @@
         "| setting | of | reach | default | allowed | meaning |\n|---|---|---|---|---|---|\n"
             .to_owned();
     for setting in Setting::ALL {
-        let rule = setting.rule();
-        let reach = match rule.scope {
+        let spec = setting.spec();
+        let reach = match spec.scope {
             SettingScope::Inherited => "inherited",
             SettingScope::NodeOnly => "own",
             SettingScope::Fixed => "fixed",
         };
         let cells = [
             format!("`{setting}`"),
-            kinds(rule.kinds),
+            kinds(spec.kinds),
             reach.to_owned(),
             default(setting),
-            rule.shape.allowed(),
+            spec.value_type.allowed(),
             setting.purpose().to_owned(),
         ];
         table.push_str(&line(&cells));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn error_codes_are_unlike_each_other() {
+fn error_codes_are_unique() {
     for kind in ErrorKind::ALL {
         assert_eq!(ErrorKind::from_code(kind.answer().code), Some(kind));
     }
--- a/crates/conf/tests/settings_files.rs
+++ b/crates/conf/tests/settings_files.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_json_is_told_with_its_line() {
+fn a_json_syntax_error_names_its_line() {
     let message = parse_settings::<GatewaySettings>("vm.json", "{\n  \"vm\": 1,,\n}").unwrap_err();
     assert!(
         message.to_string().contains("vm.json: not JSON: ")
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn check_settings_says_that_a_file_is_in_order() {
+fn check_settings_confirms_a_valid_file() {
     let file = std::env::temp_dir().join(format!("jasmine-settings-{}.json", std::process::id()));
     fs::write(&file, controller().to_string()).unwrap();
     let message = check_settings::<ControllerSettings>(&file).unwrap();
@@ -267,14 +267,14 @@
 }
 
 #[test]
-fn the_docs_tell_every_key_with_its_default_and_range() {
+fn the_docs_list_every_key_with_its_default_and_range() {
     compare::<GatewaySettings>("jasmine-gateway", &gateway());
     compare::<ControllerSettings>("jasmine-controller", &controller());
     compare::<EntrySettings>("jasmine-entry", &entry());
 }
 
 #[test]
-fn an_entry_vms_file_is_checked() {
+fn entry_settings_are_validated() {
     let rows = [
         (
             refusal::<EntrySettings>(entry(), "stop_s", json!(0)),
--- a/crates/conf/tests/store_layout.rs
+++ b/crates/conf/tests/store_layout.rs
@@ -3,8 +3,8 @@
 use {
     jasmine_conf::{
         store_layout::{
-            EDIT_PREFIX, HEAD_KEY, Head, LayoutError, Loaded, MAX_WRITE_BYTES, SHARD_PREFIX,
-            Settled, Write, edit_key, load, plan, settle,
+            EDIT_PREFIX, HEAD_KEY, Head, LayoutError, LoadedConfig, MAX_WRITE_BYTES, SHARD_PREFIX,
+            Transaction, WriteOutcome, edit_key, load, plan, write_outcome,
         },
         tree::{
             Edit, EditId, EditLog, EditOp, MAX_LOG_OPS, Node, NodeKind, Path, Proposal, Setting,
@@ -31,7 +31,7 @@
 
     fn commit(
         &mut self,
-        write: &Write,
+        write: &Transaction,
     ) -> bool {
         if self.rows.get(HEAD_KEY) != write.expect.as_ref() {
             return false;
@@ -59,7 +59,7 @@
         &self,
         head: &Head,
     ) -> Vec<String> {
-        let first = edit_key(head.edits_from());
+        let first = edit_key(head.first_edit_to_load());
         let records = self.under(EDIT_PREFIX).into_iter();
         records
             .filter(|(key, _)| *key >= first)
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    fn load(&self) -> Result<Loaded, LayoutError> {
+    fn load(&self) -> Result<LoadedConfig, LayoutError> {
         let head = Head::read(self.get(HEAD_KEY))?;
         let edits = self.edits_to_load(&head);
         load(&head, &self.under(SHARD_PREFIX), &edits)
@@ -99,7 +99,7 @@
     fn plan(
         &self,
         proposal: &Proposal,
-    ) -> Write {
+    ) -> Transaction {
         let head = self.store.get(HEAD_KEY);
         plan(head, &self.tree, &proposal.tree, &proposal.accepted).unwrap()
     }
@@ -107,7 +107,7 @@
     fn edit(
         &mut self,
         ops: Vec<EditOp>,
-    ) -> Write {
+    ) -> Transaction {
         let proposal = self.propose(ops);
         let write = self.plan(&proposal);
         assert!(self.store.commit(&write));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_bulk_edit_is_one_write_and_is_read_back_whole() {
+fn a_bulk_edit_is_one_bounded_write() {
     let mut editor = with_model();
     for bulk in 0..4 {
         let write = editor.edit(adapters(bulk * 2_000..(bulk + 1) * 2_000));
@@ -186,7 +186,7 @@
         // The loaded log starts at the bulk edit or at the first edit missing from a shard.
         let tail: Vec<_> = loaded.log.newest_first().collect();
         let head = Head::read(editor.store.get(HEAD_KEY)).unwrap();
-        assert_eq!(loaded.log.oldest_base().next(), head.edits_from());
+        assert_eq!(loaded.log.oldest_base().next(), head.first_edit_to_load());
         assert!(
             tail.iter()
                 .copied()
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_moved_adapter_is_read_back_where_it_went() {
+fn a_moved_adapter_loads_at_its_new_path() {
     // Guards against losing the name of a moved adapter on load: the shard of its old path is older
     // than that of its new path, so the deletion is replayed after the adapter was created.
     let mut editor = with_model();
@@ -236,19 +236,22 @@
 }
 
 #[test]
-fn a_lost_reply_is_settled_without_doubling() {
+fn a_write_with_a_lost_reply_is_applied_once() {
     // Guards against applying an edit twice, or reporting it as failed, after the reply was lost.
     let mut editor = with_model();
     let proposal = editor.propose(vec![create("/accounts/farm", NodeKind::Account, &[])]);
     let write = editor.plan(&proposal);
     let key = edit_key(proposal.accepted.revision);
     let id = &proposal.accepted.edit.id;
-    assert_eq!(settle(id, editor.store.get(&key)).unwrap(), Settled::Open);
+    assert_eq!(
+        write_outcome(id, editor.store.get(&key)).unwrap(),
+        WriteOutcome::Pending
+    );
     assert!(editor.store.commit(&write));
     assert!(!editor.store.commit(&write));
     assert_eq!(
-        settle(id, editor.store.get(&key)).unwrap(),
-        Settled::Accepted
+        write_outcome(id, editor.store.get(&key)).unwrap(),
+        WriteOutcome::AcceptedEdit
     );
     let loaded = editor.store.load().unwrap();
     assert_eq!(loaded.tree, proposal.tree);
@@ -256,7 +259,7 @@
 }
 
 #[test]
-fn an_overtaken_write_is_told_from_an_accepted_one() {
+fn a_superseded_write_is_not_reported_as_accepted() {
     // Guards against reporting success when a concurrent write won and the reply was lost.
     let mut editor = with_model();
     let late = editor.propose(vec![create("/accounts/farm", NodeKind::Account, &[])]);
@@ -264,12 +267,12 @@
     editor.edit(vec![create("/accounts/shop", NodeKind::Account, &[])]);
     assert!(!editor.store.commit(&late_write));
     let key = edit_key(late.accepted.revision);
-    let settled = settle(&late.accepted.edit.id, editor.store.get(&key)).unwrap();
-    assert!(matches!(settled, Settled::Overtaken(_)));
+    let settled = write_outcome(&late.accepted.edit.id, editor.store.get(&key)).unwrap();
+    assert!(matches!(settled, WriteOutcome::Superseded(_)));
 }
 
 #[test]
-fn a_version_number_is_never_used_again() {
+fn a_version_number_is_never_reused() {
     // Guards against an engine serving old weights: it identifies loaded weights by adapter number and
     // version, so a reused version number would match them.
     let mut editor = with_model();
@@ -283,18 +286,18 @@
 }
 
 #[test]
-fn a_tree_read_while_an_edit_came_is_read_again() {
+fn an_edit_during_a_load_is_detected() {
     let mut editor = with_model();
     editor.edit(adapters(0..300));
     let head = Head::read(editor.store.get(HEAD_KEY)).unwrap();
     editor.edit(adapters(300..301));
     let edits = editor.store.edits_to_load(&head);
     let loaded = load(&head, &editor.store.under(SHARD_PREFIX), &edits);
-    assert!(matches!(loaded, Err(LayoutError::Moved { .. })));
+    assert!(matches!(loaded, Err(LayoutError::ShardMismatch { .. })));
 }
 
 #[test]
-fn a_missing_record_is_noticed() {
+fn a_missing_edit_record_is_detected() {
     let mut editor = with_model();
     editor.edit(adapters(0..300));
     let head = Head::read(editor.store.get(HEAD_KEY)).unwrap();
@@ -307,7 +310,7 @@
 }
 
 #[test]
-fn a_morning_of_bulk_edits_is_not_kept_whole() {
+fn bulk_edits_do_not_exceed_the_log_limit() {
     // Guards against unbounded memory of the edit log and slow loads after many bulk edits.
     let mut editor = with_model();
     for bulk in 0..12 {
@@ -341,7 +344,7 @@
 }
 
 #[test]
-fn the_log_of_small_edits_is_read_back_whole() {
+fn a_log_of_small_edits_loads_unchanged() {
     let mut editor = with_model();
     for i in 0..50 {
         editor.edit(vec![set(
--- a/crates/conf/tests/tree_edits.rs
+++ b/crates/conf/tests/tree_edits.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_refused_with_the_reason() {
+fn invalid_edits_are_refused_with_a_reason() {
     let tree = small_fleet();
     let path = |text| Path::parse(text).unwrap();
     let rows = [
--- a/crates/controller/src/config/config_keeper.rs
+++ b/crates/controller/src/config/config_keeper.rs
@@ -3,7 +3,7 @@
     crate::clock::{OwnClock, Signal},
     jasmine_conf::{
         fleet::Fleet,
-        tree::{Accepted, EditLog, EditsBody, Tree, TreeBody},
+        tree::{AcceptedEdit, EditLog, EditsBody, Tree, TreeBody},
     },
     jasmine_core::{
         clock::Millis,
@@ -145,7 +145,7 @@
     pub fn install(
         &self,
         tree: Tree,
-        edits: Vec<Accepted>,
+        edits: Vec<AcceptedEdit>,
     ) -> Applied {
         if self.is_loaded() && tree.revision() <= self.revision() {
             return Applied::Old;
@@ -178,7 +178,7 @@
     /// Puts one edit in force if it is the next.
     pub fn apply(
         &self,
-        accepted: &Accepted,
+        accepted: &AcceptedEdit,
     ) -> Applied {
         let mut in_force = self.in_force.borrow_mut();
         let Some(in_force) = in_force.as_mut() else {
@@ -190,12 +190,12 @@
             revision if revision > have.next() => return Applied::Gap,
             _ => {}
         }
-        let Ok(touched) = in_force.tree.apply(accepted) else {
+        let Ok(changes) = in_force.tree.apply(accepted) else {
             return Applied::Gap;
         };
         in_force
             .tree
-            .refresh(Arc::make_mut(&mut in_force.fleet), &touched);
+            .refresh(Arc::make_mut(&mut in_force.fleet), &changes);
         in_force.log.push(Arc::new(accepted.clone()));
         in_force.whole.replace(None);
         Line::new("config_in_force")
--- a/crates/controller/src/config/config_store.rs
+++ b/crates/controller/src/config/config_store.rs
@@ -3,9 +3,9 @@
     crate::clock::OwnClock,
     jasmine_conf::{
         store_layout::{
-            EDIT_PREFIX, HEAD_KEY, Head, LayoutError, Loaded, SHARD_PREFIX, edit_key, load,
+            EDIT_PREFIX, HEAD_KEY, Head, LayoutError, LoadedConfig, SHARD_PREFIX, edit_key, load,
         },
-        tree::Accepted,
+        tree::AcceptedEdit,
     },
     jasmine_core::ids::Revision,
     jasmine_store::store::{KeyValue, Range, Store, StoreError},
@@ -104,7 +104,7 @@
         &self,
         kv: &KeyValue,
     ) -> Applied {
-        match serde_json::from_slice::<Accepted>(&kv.value) {
+        match serde_json::from_slice::<AcceptedEdit>(&kv.value) {
             Ok(accepted) => self.keeper.apply(&accepted),
             Err(e) => {
                 Line::new("edit_not_understood")
@@ -160,7 +160,7 @@
                     self.keeper.confirm(sent);
                     return Ok(());
                 }
-                Err(ConfigReadError::Layout(LayoutError::Moved { .. }))
+                Err(ConfigReadError::Layout(LayoutError::ShardMismatch { .. }))
                     if attempt < LOAD_ATTEMPTS =>
                 {
                     attempt += 1;
@@ -170,7 +170,7 @@
         }
     }
 
-    async fn read_whole(&self) -> Result<Loaded, ConfigReadError> {
+    async fn read_whole(&self) -> Result<LoadedConfig, ConfigReadError> {
         let head = self.head().await?.head;
         let shards = self
             .read_all(Range::prefix(SHARD_PREFIX))
@@ -178,7 +178,10 @@
             .iter()
             .map(|kv| (kv.key.clone(), text_of(kv)))
             .collect::<BTreeMap<_, _>>();
-        let edits = Range::between(edit_key(head.edits_from()), edit_key(head.revision.next()));
+        let edits = Range::between(
+            edit_key(head.first_edit_to_load()),
+            edit_key(head.revision.next()),
+        );
         let edits = self
             .read_all(edits)
             .await?
--- a/crates/controller/src/config/edit_desk.rs
+++ b/crates/controller/src/config/edit_desk.rs
@@ -2,8 +2,8 @@
     super::{Applied, ConfigKeeper, ConfigReadError, ConfigStore, EditRefusal},
     crate::clock::{OwnClock, unix_millis},
     jasmine_conf::{
-        store_layout::{HEAD_KEY, Settled, Write, plan, settle},
-        tree::{Accepted, Edit, Proposal},
+        store_layout::{HEAD_KEY, Transaction, WriteOutcome, plan, write_outcome},
+        tree::{AcceptedEdit, Edit, Proposal},
     },
     jasmine_core::clock::Millis,
     jasmine_store::store::{Compare, Op, Range, Store, StoreError, Txn},
@@ -42,7 +42,7 @@
 
 /// What one attempt came to.
 enum Attempt {
-    Accepted(Accepted),
+    AcceptedEdit(AcceptedEdit),
     /// Somebody else's edit came first: check again against the newer tree.
     Overtaken,
 }
@@ -72,13 +72,13 @@
     pub async fn submit(
         &self,
         edit: &Edit,
-    ) -> Result<Accepted, EditRefusal> {
+    ) -> Result<AcceptedEdit, EditRefusal> {
         let until = self.clock.now() + PATIENCE;
         // Edits that reach one VM together would only run into one another at the store.
         let _turn = self.turn.lock().await;
         while self.clock.now() < until {
             match self.attempt(edit, until).await? {
-                Attempt::Accepted(accepted) => return Ok(accepted),
+                Attempt::AcceptedEdit(accepted) => return Ok(accepted),
                 Attempt::Overtaken => {}
             }
         }
@@ -97,8 +97,8 @@
             .keeper
             .tree()
             .ok_or_else(|| EditRefusal::Unavailable("no configuration yet".into()))?;
-        if let Some(accepted) = log.sent_before(edit)? {
-            return Ok(Attempt::Accepted(accepted.clone()));
+        if let Some(accepted) = log.find_duplicate(edit)? {
+            return Ok(Attempt::AcceptedEdit(accepted.clone()));
         }
         if head.head.revision != before.revision() {
             return Ok(Attempt::Overtaken);
@@ -136,15 +136,15 @@
                 Err(e) => return Err(EditRefusal::Unavailable(e.to_string())),
             }
             match self.find_out(proposal, until).await? {
-                Settled::Accepted => return Ok(self.accept(&proposal.accepted)),
-                Settled::Overtaken(_) => return Ok(Attempt::Overtaken),
-                Settled::Open if self.clock.now() >= until => {
+                WriteOutcome::AcceptedEdit => return Ok(self.accept(&proposal.accepted)),
+                WriteOutcome::Superseded(_) => return Ok(Attempt::Overtaken),
+                WriteOutcome::Pending if self.clock.now() >= until => {
                     return Err(EditRefusal::OutcomeUnknown(
                         "the store answers no write".into(),
                     ));
                 }
                 // Sending it again is safe: of the two only one finds the head that it compares.
-                Settled::Open => {}
+                WriteOutcome::Pending => {}
             }
         }
     }
@@ -154,11 +154,11 @@
         &self,
         proposal: &Proposal,
         until: Millis,
-    ) -> Result<Settled, EditRefusal> {
+    ) -> Result<WriteOutcome, EditRefusal> {
         let accepted = &proposal.accepted;
         loop {
             if let Ok(record) = self.reader.record(accepted.revision).await {
-                return settle(&accepted.edit.id, record.as_deref())
+                return write_outcome(&accepted.edit.id, record.as_deref())
                     .map_err(|e| EditRefusal::OutcomeUnknown(e.to_string()));
             }
             if self.clock.now() >= until {
@@ -175,7 +175,7 @@
 
     fn accept(
         &self,
-        accepted: &Accepted,
+        accepted: &AcceptedEdit,
     ) -> Attempt {
         let applied = self.keeper.apply(accepted);
         Line::new("edit_accepted")
@@ -184,13 +184,13 @@
             .with("author", &accepted.edit.author)
             .with("in_force", applied != Applied::Gap)
             .info();
-        Attempt::Accepted(accepted.clone())
+        Attempt::AcceptedEdit(accepted.clone())
     }
 }
 
 fn to_txn(
     compare: Compare,
-    write: Write,
+    write: Transaction,
 ) -> Txn {
     let puts = write
         .puts
--- a/crates/controller/src/operators/answers.rs
+++ b/crates/controller/src/operators/answers.rs
@@ -82,6 +82,6 @@
     let top = query.path.clone().unwrap_or_else(Path::root);
     let limit = query.limit.unwrap_or(DEFAULT_HISTORY).clamp(1, MAX_PAGE);
     History {
-        edits: view.log.about(&top).take(limit).cloned().collect(),
+        edits: view.log.history_of(&top).take(limit).cloned().collect(),
     }
 }
--- a/crates/controller/src/operators/api_error.rs
+++ b/crates/controller/src/operators/api_error.rs
@@ -38,7 +38,7 @@
     pub(super) fn of_read(e: &EditError) -> Self {
         let kind = match e {
             EditError::NoSuchNode { .. } => ErrorKind::NotFound,
-            EditError::NotHere { .. } => ErrorKind::BadRequest,
+            EditError::SettingNotAllowed { .. } => ErrorKind::BadRequest,
             _ => e.kind(),
         };
         Self::new(kind, e.to_string())
--- a/crates/controller/src/operators/link.rs
+++ b/crates/controller/src/operators/link.rs
@@ -2,7 +2,7 @@
     actix::prelude::{Message, Recipient},
     jasmine_conf::{
         api::FleetStatus,
-        tree::{Accepted, Edit, EditError, EditLog, Tree},
+        tree::{AcceptedEdit, Edit, EditError, EditLog, Tree},
     },
     jasmine_core::error::ErrorKind,
 };
@@ -32,7 +32,7 @@
 /// Answer to [`ReadTree`]; an error while no configuration is in force.
 pub type TreeAnswer = Result<TreeView, ErrorKind>;
 /// Answer to [`SubmitEdit`].
-pub type SubmitAnswer = Result<Accepted, SubmitError>;
+pub type SubmitAnswer = Result<AcceptedEdit, SubmitError>;
 /// Answer to [`ReadFleet`].
 pub type FleetAnswer = Result<FleetStatus, ErrorKind>;
 
--- a/crates/controller/src/operators/routes.rs
+++ b/crates/controller/src/operators/routes.rs
@@ -12,7 +12,7 @@
         web::{self, Bytes, Data, Path as UrlPath, PayloadConfig},
     },
     jasmine_conf::{
-        api::{EditAnswer, EditProgress},
+        api::{EditProgress, EditResponse},
         settings::OperatorsSettings,
         tree::{Edit, EditId, MAX_EDIT_BYTES, Path, Setting},
     },
@@ -138,7 +138,7 @@
     } else {
         link.submit.send(SubmitEdit(edit)).await??
     };
-    Ok(HttpResponse::Ok().json(EditAnswer {
+    Ok(HttpResponse::Ok().json(EditResponse {
         revision: accepted.revision,
         dry_run: query.dry_run,
         accepted,
@@ -149,7 +149,7 @@
 async fn dry_run(
     link: &OperatorsLink,
     edit: &Edit,
-) -> Result<jasmine_conf::tree::Accepted, ApiError> {
+) -> Result<jasmine_conf::tree::AcceptedEdit, ApiError> {
     let TreeView { tree, log } = link.read.send(ReadTree).await??;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/controller/tests/config_order.rs
+++ b/crates/controller/tests/config_order.rs
@@ -2,7 +2,7 @@
 
 use {
     bolero::check,
-    jasmine_conf::tree::{Accepted, Edit, EditId, EditLog, EditsBody, Tree, TreeBody},
+    jasmine_conf::tree::{AcceptedEdit, Edit, EditId, EditLog, EditsBody, Tree, TreeBody},
     jasmine_controller::{clock::OwnClock, config::ConfigKeeper},
     jasmine_core::ids::Revision,
     serde_json::json,
@@ -11,7 +11,7 @@
 const EDITS: u64 = 12;
 
 /// Revisions 0 to `EDITS`, each with one more account, and the edits between them.
-fn history() -> (Vec<Tree>, Vec<Accepted>) {
+fn history() -> (Vec<Tree>, Vec<AcceptedEdit>) {
     let mut trees = vec![Tree::default()];
     let mut edits = Vec::new();
     let mut log = EditLog::new(Revision(0));
--- a/crates/controller/tests/fake_controller/mod.rs
+++ b/crates/controller/tests/fake_controller/mod.rs
@@ -95,8 +95,11 @@
         if self.answers_nothing {
             return Err(SubmitError::Failed(ErrorKind::EditOutcomeUnknown));
         }
-        let sent_before = self.log.sent_before(&edit).map_err(SubmitError::Refused)?;
-        if let Some(accepted) = sent_before {
+        let find_duplicate = self
+            .log
+            .find_duplicate(&edit)
+            .map_err(SubmitError::Refused)?;
+        if let Some(accepted) = find_duplicate {
             return Ok(accepted.clone());
         }
         let proposal = self
--- a/crates/ctl/src/cli/args.rs
+++ b/crates/ctl/src/cli/args.rs
@@ -1,7 +1,7 @@
 use {
     crate::CtlError,
     clap::{Arg, ArgMatches},
-    jasmine_conf::tree::{EditId, Path, Setting, Shape, Value},
+    jasmine_conf::tree::{EditId, Path, Setting, Value, ValueType},
     jasmine_core::ids::Revision,
     std::{env, fs, time::Duration},
 };
@@ -192,18 +192,18 @@
         .ok_or_else(|| CtlError::Usage(format!("{text:?}: expected setting=value")))?;
     let setting = Setting::from_name(name)
         .ok_or_else(|| CtlError::Usage(format!("there is no setting {name:?}")))?;
-    let shape = setting.rule().shape;
-    let read = match shape {
-        Shape::Number(..) => value.parse().ok().map(Value::Number),
-        Shape::Flag => value.parse().ok().map(Value::Flag),
-        Shape::Accounts if value != "all" => Some(Value::Names(names(value))),
+    let value_type = setting.spec().value_type;
+    let read = match value_type {
+        ValueType::Number(..) => value.parse().ok().map(Value::Number),
+        ValueType::Flag => value.parse().ok().map(Value::Flag),
+        ValueType::Accounts if value != "all" => Some(Value::Names(names(value))),
         _ => Some(Value::text(value)),
     };
     match read {
-        Some(read) if shape.admits(&read) => Ok((setting, read)),
+        Some(read) if value_type.allows(&read) => Ok((setting, read)),
         _ => Err(CtlError::Usage(format!(
             "{name}={value} is not allowed: {}",
-            shape.allowed()
+            value_type.allowed()
         ))),
     }
 }
--- a/crates/ctl/src/cli/read_commands.rs
+++ b/crates/ctl/src/cli/read_commands.rs
@@ -90,7 +90,7 @@
     Arg::new("setting")
         .value_name("SETTING")
         .required(true)
-        .value_parser(Setting::ALL.map(|setting| setting.rule().name))
+        .value_parser(Setting::ALL.map(|setting| setting.spec().name))
         .hide_possible_values(true)
         .help("Name of the setting, such as rate")
 }
--- a/crates/ctl/src/client/api.rs
+++ b/crates/ctl/src/client/api.rs
@@ -3,8 +3,8 @@
     crate::{CtlError, cli::GlobalArgs},
     awc::{Client, ClientRequest, Connector, http::Method},
     jasmine_conf::{
-        api::{EditAnswer, EditProgress, ErrorBody, FleetStatus, History, TreePage},
-        tree::{Accepted, Edit, EditId, Explanation, Path, Setting},
+        api::{EditProgress, EditResponse, ErrorBody, FleetStatus, History, TreePage},
+        tree::{AcceptedEdit, Edit, EditId, Explanation, Path, Setting},
     },
     jasmine_core::error::ErrorKind,
     serde::de::DeserializeOwned,
@@ -115,7 +115,7 @@
     pub async fn edit(
         &self,
         id: &EditId,
-    ) -> Result<Accepted, CtlError> {
+    ) -> Result<AcceptedEdit, CtlError> {
         self.get(&format!("/v1/edits/{id}")).await
     }
 
@@ -144,7 +144,7 @@
         &self,
         edit: &Edit,
         dry_run: bool,
-    ) -> Result<EditAnswer, CtlError> {
+    ) -> Result<EditResponse, CtlError> {
         let path = format!("/v1/edits?dry_run={dry_run}");
         let mut tried = Vec::new();
         let mut may_have_run = false;
--- a/crates/ctl/src/commands/send.rs
+++ b/crates/ctl/src/commands/send.rs
@@ -6,7 +6,7 @@
         output, queries,
     },
     jasmine_conf::{
-        api::EditAnswer,
+        api::EditResponse,
         tree::{Edit, EditOp, Path},
     },
 };
@@ -17,7 +17,7 @@
     args: &GlobalArgs,
     edit_args: &EditArgs,
     ops: Vec<EditOp>,
-) -> Result<EditAnswer, CtlError> {
+) -> Result<EditResponse, CtlError> {
     let answer = submit(api, args, edit_args, ops).await?;
     match args.output {
         OutputForm::Json => output::json(&answer)?,
@@ -33,7 +33,7 @@
     args: &GlobalArgs,
     edit_args: &EditArgs,
     ops: Vec<EditOp>,
-) -> Result<EditAnswer, CtlError> {
+) -> Result<EditResponse, CtlError> {
     let base = match edit_args.base {
         Some(base) => base,
         None => api.tree(&Path::root(), Some(0), None).await?.revision,
@@ -61,7 +61,7 @@
     }
 }
 
-fn describe(answer: &EditAnswer) -> String {
+fn describe(answer: &EditResponse) -> String {
     let id = &answer.accepted.edit.id;
     let ops = answer.accepted.edit.ops.len();
     let revision = answer.revision;
--- a/crates/ctl/src/queries/edits.rs
+++ b/crates/ctl/src/queries/edits.rs
@@ -8,7 +8,7 @@
     clap::ArgMatches,
     jasmine_conf::{
         api::{EditProgress, VmProgress},
-        tree::{Accepted, EditId},
+        tree::{AcceptedEdit, EditId},
     },
     jasmine_core::error::ErrorKind,
     std::time::{Duration, Instant},
@@ -167,7 +167,7 @@
 }
 
 fn ops_text(
-    accepted: &Accepted,
+    accepted: &AcceptedEdit,
     most: usize,
 ) -> String {
     let ops = &accepted.edit.ops;
--- a/crates/ctl/src/queries/nodes.rs
+++ b/crates/ctl/src/queries/nodes.rs
@@ -58,7 +58,7 @@
     };
     let mut values = Vec::new();
     for setting in Setting::ALL {
-        if setting.may_stand_at(row.node.kind, path.collection()) {
+        if setting.is_allowed_on(row.node.kind, path.collection()) {
             values.push(api.explain(&path, setting).await?);
         }
     }
--- a/crates/gateway/src/brain/configuration.rs
+++ b/crates/gateway/src/brain/configuration.rs
@@ -112,7 +112,7 @@
                 continue;
             }
             match tree.apply(accepted) {
-                Ok(touched) => tree.refresh(&mut self.fleet, &touched),
+                Ok(changes) => tree.refresh(&mut self.fleet, &changes),
                 Err(_) => return false,
             }
         }
--- a/crates/gateway/src/daemon/stop.rs
+++ b/crates/gateway/src/daemon/stop.rs
@@ -7,7 +7,7 @@
         status::Readiness,
     },
     actix::Addr,
-    jasmine_conf::settings::Stop,
+    jasmine_conf::settings::StopSettings,
     jasmine_core::clock::Millis,
     jasmine_telemetry::log::Line,
     std::sync::Arc,
@@ -29,7 +29,7 @@
 /// Admission continues for the grace period after readiness ends, since load balancers need time to
 /// notice. Rights are released only after admission has stopped, since other VMs may then use them.
 pub(super) async fn run_on_signal(
-    stop: Stop,
+    stop: StopSettings,
     readiness: Arc<Readiness>,
     brain: Addr<Brain>,
     servers: Servers,
