--- a/crates/controller/src/claims/claim_desk.rs
+++ b/crates/controller/src/claims/claim_desk.rs
@@ -98,7 +98,7 @@
         match self.store.txn(txn).await {
             Ok(reply) if reply.succeeded => ClaimOutcome::Fresh,
             Ok(reply) => judge(reply.reads.first().and_then(|kvs| kvs.first()), &record),
-            Err(e) if e.is_not_done() => {
+            Err(e) if e.is_not_applied() => {
                 // A lease that has lapsed is refused too: take a new one next time.
                 self.lease.set(None);
                 ClaimOutcome::Unavailable
--- a/crates/controller/src/daemon/controller_context.rs
+++ b/crates/controller/src/daemon/controller_context.rs
@@ -21,7 +21,7 @@
         ownership::OwnerSettings,
     },
     jasmine_store::{
-        etcd::{CallCounts, EtcdOptions, EtcdStore, Reach},
+        etcd::{CallCounts, EtcdOptions, EtcdStore, StoreConnectivity},
         store::Store,
         vms::VmList,
     },
@@ -87,7 +87,7 @@
     /// Calls made to the store.
     pub store_calls: CallCounts,
     /// Whether the store answers.
-    pub reach: Reach,
+    pub connectivity: StoreConnectivity,
     /// Extends what may be ordered while the store is out for everybody.
     pub outage: OutageLease,
 }
@@ -103,8 +103,8 @@
             ..EtcdOptions::new(settings.platform.kv.clone())
         });
         let store_calls = etcd.counts();
-        let reach = etcd.reach();
-        let shared = share(&settings, address, Rc::new(etcd), reach);
+        let connectivity = etcd.connectivity();
+        let shared = share(&settings, address, Rc::new(etcd), connectivity);
         let SharedParts {
             me, clock, store, ..
         } = shared.clone();
@@ -172,7 +172,7 @@
             figures: Figures::default(),
             leaving: Cell::new(false),
             store_calls,
-            reach: shared.reach,
+            connectivity: shared.connectivity,
             outage,
         }
     }
@@ -211,7 +211,7 @@
     /// Whether the store answers: every controller renews its lease there, however it follows the rest.
     pub fn is_store_up(&self) -> bool {
         let renewal = Millis(self.settings.lease_ms.0 / RENEWALS);
-        self.reach
+        self.connectivity
             .is_up(renewal + self.settings.platform.timeout_ms + Millis(500))
     }
 
@@ -230,7 +230,7 @@
     settings: &ControllerSettings,
     address: SocketAddr,
     store: Rc<dyn Store>,
-    reach: Reach,
+    connectivity: StoreConnectivity,
 ) -> SharedParts {
     let clock = OwnClock::start();
     let me = Holder {
@@ -243,7 +243,7 @@
         data_centre: Rc::from(settings.data_centre.as_str()),
         clock,
         store,
-        reach,
+        connectivity,
         fleet: Rc::default(),
         config: Rc::new(ConfigKeeper::new(clock)),
         links: Rc::new(PeerLinks::new(me, address)),
--- a/crates/controller/src/follow/config_follower.rs
+++ b/crates/controller/src/follow/config_follower.rs
@@ -60,7 +60,7 @@
                 CONFIRM_EVERY
             } else {
                 self.ask_anybody().await;
-                backoff.next_pause()
+                backoff.next_delay()
             };
             sleep(pause.to_std()).await;
         }
@@ -86,7 +86,7 @@
                 Ok(WatchEnd::Over | WatchEnd::Compacted) => backoff.reset(),
                 Err(e) => {
                     Line::new("config_watch_broken").with("error", e).warn();
-                    sleep(backoff.next_pause().to_std()).await;
+                    sleep(backoff.next_delay().to_std()).await;
                 }
             }
         }
--- a/crates/controller/src/follow/fleet_follower.rs
+++ b/crates/controller/src/follow/fleet_follower.rs
@@ -71,7 +71,7 @@
                     Line::new("fleet_not_followed").with("error", e).warn();
                     self.synced.set(false);
                     self.ask_who_reaches().await;
-                    sleep(backoff.next_pause().to_std()).await;
+                    sleep(backoff.next_delay().to_std()).await;
                 }
             }
         }
--- a/crates/controller/src/peers/peer_links.rs
+++ b/crates/controller/src/peers/peer_links.rs
@@ -8,7 +8,7 @@
         rights::{OutgoingTakeRequest, TakeResponse},
     },
     jasmine_wire::{
-        convert::{read_given, write_peer, write_take},
+        convert::{read_take_response, write_peer, write_take_request},
         jasmine_capnp::{controller, rights_holder},
         link::{Link, LinkError, LinkOptions},
     },
@@ -183,9 +183,9 @@
             .call(Millis::ZERO, move |client| async move {
                 let holder = client.cast_to::<rights_holder::Client>();
                 let mut req = holder.take_rights_request();
-                write_take(req.get(), &request);
+                write_take_request(req.get(), &request);
                 let res = req.send().promise.await?;
-                read_given(res.get()?)
+                read_take_response(res.get()?)
             })
             .await
             .ok()
--- a/crates/controller/src/peers/peer_server.rs
+++ b/crates/controller/src/peers/peer_server.rs
@@ -9,7 +9,10 @@
         ownership::{self, AcquireRequest, OwnerEvent, Poll, Release},
     },
     jasmine_wire::{
-        convert::{read_instances, read_peer, read_rights, read_take, write_given, write_instance},
+        convert::{
+            read_instances, read_peer, read_rights, read_take_request, write_instance,
+            write_take_response,
+        },
         jasmine_capnp::{
             AcquireOutcome, ClaimOutcome as WireClaimOutcome, controller, rights_holder,
         },
@@ -49,8 +52,8 @@
         let given = self
             .cx
             .budget
-            .handle_take_request(&read_take(params.get()?)?);
-        write_given(results.get(), &given);
+            .handle_take_request(&read_take_request(params.get()?)?);
+        write_take_response(results.get(), &given);
         Ok(())
     }
 }
--- a/crates/controller/src/session/lease_session.rs
+++ b/crates/controller/src/session/lease_session.rs
@@ -80,7 +80,7 @@
                 }
                 Err(e) => {
                     Line::new("lease_call_failed").with("error", &e).warn();
-                    backoff.next_pause()
+                    backoff.next_delay()
                 }
             };
             tokio::time::sleep(pause.to_std()).await;
--- a/crates/controller/src/shared/parts.rs
+++ b/crates/controller/src/shared/parts.rs
@@ -3,7 +3,7 @@
         clock::OwnClock, config::ConfigKeeper, fleet::FleetMirror, follow::Duty, peers::PeerLinks,
     },
     jasmine_core::ids::Holder,
-    jasmine_store::{etcd::Reach, store::Store},
+    jasmine_store::{etcd::StoreConnectivity, store::Store},
     std::{cell::RefCell, rc::Rc, time::Duration},
     tokio::time::sleep,
 };
@@ -23,7 +23,7 @@
     /// The platform's key-value service.
     pub store: Rc<dyn Store>,
     /// Whether the service answers.
-    pub reach: Reach,
+    pub connectivity: StoreConnectivity,
     /// The fleet as the store tells it.
     pub fleet: Rc<RefCell<FleetMirror>>,
     /// The configuration in force.
--- a/crates/controller/src/status/store_metrics.rs
+++ b/crates/controller/src/status/store_metrics.rs
@@ -1,5 +1,5 @@
 use {
-    jasmine_store::etcd::{CallCounts, CallKind},
+    jasmine_store::etcd::{CallCounts, StoreCallKind},
     opentelemetry::{KeyValue, metrics::Meter},
 };
 
@@ -13,7 +13,7 @@
         .u64_observable_counter("jasmine_store_calls")
         .with_description("Calls sent to the platform's key-value service, by kind")
         .with_callback(move |observer| {
-            for kind in CallKind::ALL {
+            for kind in StoreCallKind::ALL {
                 observer.observe(made.made(kind), &[KeyValue::new("kind", kind.to_string())]);
             }
         })
@@ -29,7 +29,7 @@
         .u64_observable_counter("jasmine_store_failures")
         .with_description("Calls to the key-value service without a usable answer, by kind")
         .with_callback(move |observer| {
-            for kind in CallKind::ALL {
+            for kind in StoreCallKind::ALL {
                 observer.observe(
                     failed.failed(kind),
                     &[KeyValue::new("kind", kind.to_string())],
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -12,7 +12,7 @@
         forward::{AttemptEnd, Repeat},
         scheduler::Outcome,
     },
-    jasmine_platform::headers::{AnswerHeaders, is_other_upstream},
+    jasmine_platform::headers::{ResponseHeaders, is_misdirected},
     jasmine_telemetry::log::Line,
     std::{io::ErrorKind, time::Duration},
     tokio::time::timeout,
@@ -101,7 +101,7 @@
         let id = self.req.caller.request_id.as_deref();
         let method = &self.req.incoming.head.method;
         let is_match = |head: &ResponseHead| {
-            let answered_id = AnswerHeaders::read(head.headers.pairs()).request_id;
+            let answered_id = ResponseHeaders::read(head.headers.pairs()).request_id;
             answered_id.is_none() || answered_id.as_deref() == id
         };
         let response_start = timeout(
@@ -209,9 +209,9 @@
         response: StartedResponse,
     ) -> Start {
         let status = response.head.status;
-        let response_headers = AnswerHeaders::read(response.head.headers.pairs());
-        let is_misdirected = is_other_upstream(status);
-        if response_headers.is_not_run || is_misdirected {
+        let response_headers = ResponseHeaders::read(response.head.headers.pairs());
+        let is_misdirected = is_misdirected(status);
+        if response_headers.is_not_executed || is_misdirected {
             let is_other = response_headers
                 .upstream
                 .is_some_and(|id| id != self.placement.upstream);
--- a/crates/entry/src/forward/encode.rs
+++ b/crates/entry/src/forward/encode.rs
@@ -4,7 +4,7 @@
     super::ForwardRequest,
     crate::{http1::Framing, scheduling::Placement},
     jasmine_core::clock::Millis,
-    jasmine_platform::headers::{SystemHeaders, is_passed_on, is_resume_point},
+    jasmine_platform::headers::{UpstreamRequestHeaders, is_forwarded, is_last_event_id},
     std::fmt::Write,
 };
 
@@ -18,16 +18,16 @@
     let head = &req.incoming.head;
     let mut out = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
     for (name, header) in head.headers.end_to_end() {
-        let is_replaced = after_event.is_some() && is_resume_point(&name);
+        let is_replaced = after_event.is_some() && is_last_event_id(&name);
         // The whole body has been read, so `Expect: 100-continue` is handled already.
         let is_expect = name == "expect";
-        if is_passed_on(&name) && !is_replaced && !is_expect {
+        if is_forwarded(&name) && !is_replaced && !is_expect {
             let value = String::from_utf8_lossy(&header.value);
             let _infallible = write!(out, "{}: {value}\r\n", header.name);
         }
     }
-    let system = SystemHeaders {
-        patience: req.deadline.since(now),
+    let system = UpstreamRequestHeaders {
+        max_wait: req.deadline.since(now),
         upstream: &placement.upstream,
         account: req.account.as_deref(),
         version: placement.version,
--- a/crates/entry/src/forward/request.rs
+++ b/crates/entry/src/forward/request.rs
@@ -72,7 +72,7 @@
             return refuse(ErrorKind::NoUpstream);
         };
         let spec = config.services.get(service);
-        let patience = caller.patience.unwrap_or(route.timeout);
+        let max_wait = caller.max_wait.unwrap_or(route.timeout);
         Ok(Self {
             service: service.to_owned(),
             is_generation: spec.is_some_and(|spec| spec.engine.is_some()),
@@ -83,7 +83,7 @@
             account: account.map(|account| account.name.clone()),
             config_version: config.version.0,
             arrived: now,
-            deadline: now + patience.min(route.timeout),
+            deadline: now + max_wait.min(route.timeout),
             route: Arc::clone(route),
             incoming,
             caller,
--- a/crates/entry/src/http1/header.rs
+++ b/crates/entry/src/http1/header.rs
@@ -86,7 +86,7 @@
         self.0.iter().filter_map(move |header| {
             let name = header.name.to_ascii_lowercase();
             let is_hop = HOP_BY_HOP.contains(&name.as_str())
-                || (named.contains(&name) && !jasmine_platform::headers::is_essential(&name));
+                || (named.contains(&name) && !jasmine_platform::headers::is_end_to_end(&name));
             (!is_hop).then_some((name, header))
         })
     }
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -39,9 +39,9 @@
     connect_timeout: Millis(300),
     call_timeout: Millis(350),
     // `ping_leader` detects a lost leader once per VM; a heartbeat per pending call would overload the leader.
-    heartbeat: Millis(60_000),
-    backoff_first: Millis(30),
-    backoff_most: Millis(200),
+    heartbeat_interval: Millis(60_000),
+    backoff_initial: Millis(30),
+    backoff_max: Millis(200),
 };
 
 /// Pause after the leader assigned an upstream that this VM knows to be leaving or removed.
--- a/crates/entry/src/scheduling/orders.rs
+++ b/crates/entry/src/scheduling/orders.rs
@@ -11,7 +11,7 @@
     },
     jasmine_platform::{
         engine::{
-            EngineOrder, EngineReport, ORDER_TARGET, OrderAnswer, OrderKind, REPORT_TARGET,
+            EngineOrder, EngineReport, ORDER_TARGET, OrderKind, OrderResponse, REPORT_TARGET,
             decode_order_status, decode_report, encode_order,
         },
         headers::write_expected_upstream,
@@ -94,16 +94,16 @@
 
     fn order_end(
         &self,
-        answer: OrderAnswer,
+        answer: OrderResponse,
     ) -> OrderResult {
         match answer {
-            OrderAnswer::Accepted => OrderResult::Accepted,
-            OrderAnswer::Holds => OrderResult::Holds,
-            OrderAnswer::Conflict => OrderResult::Conflict,
-            OrderAnswer::OtherUpstream => OrderResult::OtherUpstream,
-            OrderAnswer::Refused(_) => OrderResult::Refused,
+            OrderResponse::Accepted => OrderResult::Accepted,
+            OrderResponse::Holds => OrderResult::Holds,
+            OrderResponse::Conflict => OrderResult::Conflict,
+            OrderResponse::OtherUpstream => OrderResult::OtherUpstream,
+            OrderResponse::Refused(_) => OrderResult::Refused,
             // Another VM was elected: further orders under this token would be refused too.
-            OrderAnswer::Fenced => {
+            OrderResponse::Fenced => {
                 self.scheduling
                     .step_down("an engine has seen a higher fencing token");
                 OrderResult::Refused
--- a/crates/entry/src/store/election.rs
+++ b/crates/entry/src/store/election.rs
@@ -253,7 +253,7 @@
             Err(e) => {
                 // If the response was lost, the lease of the leader key shows the outcome. If the lease has
                 // expired, a new one is needed.
-                if e.is_not_done() {
+                if e.is_not_applied() {
                     self.membership.leader_lease.set(None);
                 }
                 return Err(e);
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -29,9 +29,9 @@
     connect_timeout: Millis(300),
     call_timeout: Millis(350),
     // Longer than a long poll, which itself shows that the VM is alive.
-    heartbeat: Millis(5_000),
-    backoff_first: Millis(30),
-    backoff_most: Millis(200),
+    heartbeat_interval: Millis(5_000),
+    backoff_initial: Millis(30),
+    backoff_max: Millis(200),
 };
 /// Long-poll timeout at another VM. A suspended VM is detected after this plus the call timeout.
 const LONG_POLL_TIMEOUT: Millis = Millis(300);
@@ -268,7 +268,7 @@
     ) {
         self.choice.store_failed(self.cx.clock.now());
         self.view.record_outage(e);
-        sleep(self.backoff.next_pause().to_std()).await;
+        sleep(self.backoff.next_delay().to_std()).await;
     }
 
     async fn poll_vm(
--- a/crates/entry/src/store/kv_store.rs
+++ b/crates/entry/src/store/kv_store.rs
@@ -3,8 +3,9 @@
     futures::stream,
     jasmine_core::clock::Millis,
     jasmine_platform::kv::{
-        Call, decode_keep, decode_lease, decode_lease_end, decode_range, decode_txn, decode_watch,
-        encode_grant, encode_keep, encode_lease_end, encode_range, encode_txn, encode_watch,
+        Call, decode_keep_alive, decode_lease, decode_range, decode_revoke, decode_txn,
+        decode_watch, encode_grant, encode_keep_alive, encode_range, encode_revoke, encode_txn,
+        encode_watch,
     },
     jasmine_store::store::{
         Lease, LeaseId, Range, RangeReply, Store, StoreError, StoreFuture, Txn, TxnReply,
@@ -65,8 +66,10 @@
         id: LeaseId,
         limit: Millis,
     ) -> Result<Option<Lease>, StoreError> {
-        let (status, body) = self.call_with_timeout(&encode_keep(id), limit).await?;
-        decode_keep(id, status, &body)
+        let (status, body) = self
+            .call_with_timeout(&encode_keep_alive(id), limit)
+            .await?;
+        decode_keep_alive(id, status, &body)
     }
 
     /// Reads one page of a prefix's keys, starting behind the key `after`.
@@ -98,11 +101,11 @@
     ) -> Result<(u16, bytes::Bytes), StoreError> {
         let call = HttpCall {
             address: self.inner.address,
-            method: &call.verb.to_string(),
+            method: &call.method.to_string(),
             target: &call.target,
             headers: "",
             body: &call.body,
-            limit: call.held + limit,
+            limit: call.hold_timeout + limit,
             fresh: false,
         };
         call.make(&self.inner.pool).await.map_err(|e| match e {
@@ -179,8 +182,8 @@
         id: LeaseId,
     ) -> StoreFuture<'_, ()> {
         Box::pin(async move {
-            let (status, body) = self.call(&encode_lease_end(id)).await?;
-            decode_lease_end(status, &body)
+            let (status, body) = self.call(&encode_revoke(id)).await?;
+            decode_revoke(status, &body)
         })
     }
 
--- a/crates/entry/src/store/lease_relay.rs
+++ b/crates/entry/src/store/lease_relay.rs
@@ -18,9 +18,9 @@
 const RELAY_LINK_OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(100),
     call_timeout: Millis(300),
-    heartbeat: Millis(60_000),
-    backoff_first: Millis(30),
-    backoff_most: Millis(200),
+    heartbeat_interval: Millis(60_000),
+    backoff_initial: Millis(30),
+    backoff_max: Millis(200),
 };
 /// VMs tried in turn for one renewal.
 const MAX_RELAY_ATTEMPTS: usize = 2;
--- a/crates/entry/src/store/member_lease.rs
+++ b/crates/entry/src/store/member_lease.rs
@@ -34,7 +34,7 @@
             }
             Err(e) => {
                 Line::new("lease_failed").with("reason", e).warn();
-                sleep(backoff.next_pause().to_std()).await;
+                sleep(backoff.next_delay().to_std()).await;
             }
         }
     }
--- a/crates/entry/tests/at_most_once.rs
+++ b/crates/entry/tests/at_most_once.rs
@@ -12,7 +12,7 @@
     behaviour: &Behaviour,
 ) {
     for upstream in upstreams {
-        upstream.usually(behaviour.clone());
+        upstream.set_default(behaviour.clone());
     }
 }
 
@@ -90,10 +90,10 @@
     ] {
         let (store, upstreams) = platform(&["s-bad", "s-good"]);
         let vm = Vm::start(&store);
-        upstreams[0].usually(behaviour.clone());
-        upstreams[1].usually(Behaviour::Answer(b"good".to_vec()));
+        upstreams[0].set_default(behaviour.clone());
+        upstreams[1].set_default(Behaviour::Answer(b"good".to_vec()));
         let mut attempts = 0;
-        while upstreams[0].ran().is_empty() {
+        while upstreams[0].executed().is_empty() {
             let request = Request::new("GET", "/read/");
             let answer = vm.ask(&request);
             assert_eq!(
@@ -107,9 +107,9 @@
                 attempts < 50,
                 "{behaviour:?}: the failing upstream is never tried"
             );
-            upstreams[1].usually(Behaviour::Slow(std::time::Duration::from_millis(60)));
+            upstreams[1].set_default(Behaviour::Slow(std::time::Duration::from_millis(60)));
             drop(vm.ask(&Request::new("GET", "/read/")));
-            upstreams[1].usually(Behaviour::Answer(b"good".to_vec()));
+            upstreams[1].set_default(Behaviour::Answer(b"good".to_vec()));
         }
     }
 }
--- a/crates/entry/tests/broken_streams.rs
+++ b/crates/entry/tests/broken_streams.rs
@@ -21,9 +21,9 @@
     // Guards against lost or duplicate events when a stream is truncated or stalls and another upstream resumes it.
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
-    for broken in [Behaviour::CutAfter(3), Behaviour::MuteAfter(3)] {
+    for broken in [Behaviour::CutAfter(3), Behaviour::SilentAfter(3)] {
         for upstream in &upstreams {
-            upstream.usually(Behaviour::Events(8));
+            upstream.set_default(Behaviour::Events(8));
         }
         upstreams[0].next(broken.clone());
         upstreams[1].next(broken.clone());
@@ -47,7 +47,7 @@
     let answer = vm.ask(&Request::new("POST", "/stream/").body(b"prompt"));
     assert!(answer.is_whole, "{answer:?}");
     assert_eq!(answer.text(), events(1..=4));
-    let resumed = upstreams[0].ran().remove(1);
+    let resumed = upstreams[0].executed().remove(1);
     assert_eq!(
         resumed.headers.get("last-event-id").map(String::as_str),
         Some("2")
@@ -73,7 +73,7 @@
     let (store, upstreams) = platform(&["s-1", "s-2"]);
     let vm = Vm::start(&store);
     for upstream in &upstreams {
-        upstream.usually(Behaviour::CutAfter(3));
+        upstream.set_default(Behaviour::CutAfter(3));
     }
     let request = Request::new("POST", "/once/").body(b"prompt");
     let answer = vm.ask(&request);
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -13,7 +13,7 @@
     // Guards against a duplicate response on a reused connection being forwarded to the next caller.
     let (store, upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
-    upstreams[0].next(Behaviour::Twice);
+    upstreams[0].next(Behaviour::DuplicateResponse);
     assert_eq!(vm.ask(&Request::new("GET", "/read/")).text(), "first");
     thread::sleep(Duration::from_millis(50));
     assert_eq!(vm.ask(&Request::new("GET", "/read/")).text(), "ok");
@@ -43,7 +43,7 @@
         let next = Request::new("POST", "/write/").body(b"next");
         assert_eq!(vm.ask(&next).text(), "ok");
     }
-    let last = upstreams[0].ran().pop().unwrap();
+    let last = upstreams[0].executed().pop().unwrap();
     assert_eq!(last.body, b"next");
 }
 
@@ -56,7 +56,7 @@
     let mut stream = std::net::TcpStream::connect(vm.callers).unwrap();
     let request = Request::new("POST", "/write/").body(b"enrol");
     std::io::Write::write_all(&mut stream, &request.bytes()).unwrap();
-    deployment::until("the request runs", || upstreams[0].ran().len() == 1);
+    deployment::until("the request runs", || upstreams[0].executed().len() == 1);
     drop(stream);
     let left = std::time::Instant::now();
     deployment::until("the request is cancelled", || upstreams[0].cancelled() == 1);
--- a/crates/entry/tests/deployment/mod.rs
+++ b/crates/entry/tests/deployment/mod.rs
@@ -472,7 +472,7 @@
     upstreams: &[UpstreamStandIn],
     id: &str,
 ) -> usize {
-    let ran = upstreams.iter().flat_map(UpstreamStandIn::ran);
+    let ran = upstreams.iter().flat_map(UpstreamStandIn::executed);
     ran.filter(|seen| seen.headers.get("x-request-id").is_some_and(|of| of == id))
         .count()
 }
--- a/crates/entry/tests/killed_leader.rs
+++ b/crates/entry/tests/killed_leader.rs
@@ -28,8 +28,8 @@
         let answer = vm.ask(&generation(adapter));
         assert_eq!(answer.status, 200, "{adapter}: {answer:?}");
     }
-    assert_eq!(engine.ran(), ["a1", "a2", "a3", "a4", "a1"]);
-    assert_eq!(engine.overfilled(), 0);
+    assert_eq!(engine.executed(), ["a1", "a2", "a3", "a4", "a1"]);
+    assert_eq!(engine.over_capacity_orders(), 0);
 }
 
 #[test]
@@ -39,12 +39,12 @@
     let engine = EngineStandIn::start("e-1").unwrap();
     store.put(&engine.key(), &engine.entry("llm", "one"));
     let vm = Vm::start(&store);
-    engine.lose_answers(2);
+    engine.lose_responses(2);
     for adapter in ["a1", "a2", "a3", "a4"] {
         let answer = vm.ask(&generation(adapter));
         assert_eq!(answer.status, 200, "{adapter}: {answer:?}");
     }
-    assert_eq!(engine.overfilled(), 0);
+    assert_eq!(engine.over_capacity_orders(), 0);
 }
 
 #[test]
@@ -80,7 +80,7 @@
         .map(|order| order["fence"].as_u64().unwrap())
         .collect();
     assert!(fences.is_sorted(), "{fences:?}");
-    assert_eq!(engine.overfilled(), 0);
+    assert_eq!(engine.over_capacity_orders(), 0);
 }
 
 #[test]
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -18,7 +18,7 @@
     let callers = vm.callers;
     let slow = Request::new("POST", "/write/").body(b"enrol");
     let running = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
-    until("the request runs", || upstreams[0].ran().len() == 1);
+    until("the request runs", || upstreams[0].executed().len() == 1);
     vm.signal(Signal::SIGTERM);
     until("the readiness probe fails", || !vm.is_ready());
     let during = vm.ask(&Request::new("GET", "/read/"));
@@ -38,13 +38,13 @@
     let callers = vm.callers;
     let slow = Request::new("POST", "/write/").body(b"enrol");
     let running = thread::spawn(move || deployment::exchange(callers, &slow.bytes()));
-    until("the request runs", || upstreams[0].ran().len() == 1);
+    until("the request runs", || upstreams[0].executed().len() == 1);
     vm.signal(Signal::SIGTERM);
     thread::sleep(Duration::from_millis(3_300));
     let late = vm.ask(&Request::new("POST", "/write/").body(b"late"));
     assert_eq!(late.status, 503);
     assert!(late.header("retry-after").is_some());
-    assert_eq!(upstreams[0].ran().len(), 1);
+    assert_eq!(upstreams[0].executed().len(), 1);
     assert_eq!(running.join().unwrap().expect("a response").status, 200);
     assert!(vm.ended().success());
 }
--- a/crates/entry/tests/request_smuggling.rs
+++ b/crates/entry/tests/request_smuggling.rs
@@ -108,7 +108,7 @@
         let closes = answer.and_then(|answer| answer.header("connection"));
         assert_eq!(closes.as_deref(), Some("close"), "{what}");
     }
-    assert_eq!(upstreams[0].ran(), [], "none of the requests ran");
+    assert_eq!(upstreams[0].executed(), [], "none of the requests ran");
     assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
 }
 
@@ -120,7 +120,7 @@
     let inner = Request::new("GET", "/write/inner").bytes();
     let outer = Request::new("GET", "/read/outer").body(&inner);
     assert_eq!(vm.ask(&outer).status, 200);
-    let ran = upstreams[0].ran();
+    let ran = upstreams[0].executed();
     assert_eq!(ran.len(), 1);
     assert_eq!(
         (ran[0].target.as_str(), &ran[0].body),
@@ -139,5 +139,5 @@
     assert_eq!(vm.ask(&big).status, 413);
     let slow = vm.send(b"GET /read/ HTTP/1.1\r\nHost: app").unwrap();
     assert_eq!(slow.status, 408);
-    assert_eq!(upstreams[0].ran(), []);
+    assert_eq!(upstreams[0].executed(), []);
 }
--- a/crates/entry/tests/soak/checks.rs
+++ b/crates/entry/tests/soak/checks.rs
@@ -6,7 +6,7 @@
         cluster::{Cluster, EVENTS},
     },
     crate::deployment::{Answer, KEY},
-    jasmine_platform_stand_in::{Seen, UpstreamStandIn},
+    jasmine_platform_stand_in::{RecordedRequest, UpstreamStandIn},
     std::collections::HashMap,
 };
 
@@ -19,11 +19,11 @@
     cluster: &Cluster,
     records: &[Record],
 ) -> Vec<String> {
-    let seen: Vec<Seen> = cluster
+    let seen: Vec<RecordedRequest> = cluster
         .upstreams
         .iter()
         .chain([&cluster.streams])
-        .flat_map(UpstreamStandIn::ran)
+        .flat_map(UpstreamStandIn::executed)
         .collect();
     let mut runs: HashMap<String, u32> = HashMap::new();
     for seen in &seen {
@@ -124,7 +124,7 @@
 }
 
 /// Upstreams get the right account and never an API key.
-fn check_headers(seen: &Seen) -> Option<String> {
+fn check_headers(seen: &RecordedRequest) -> Option<String> {
     let id = seen.headers.get("x-request-id");
     let has_key = seen.headers.values().any(|value| value.contains(KEY));
     let account = seen.headers.get("x-tenant").map(String::as_str);
@@ -140,10 +140,10 @@
 /// Engines are never overfilled, and their orders' fencing tokens never decrease.
 fn check_engine(cluster: &Cluster) -> Vec<String> {
     let mut violations = Vec::new();
-    if cluster.engine.overfilled() > 0 {
+    if cluster.engine.over_capacity_orders() > 0 {
         violations.push(format!(
             "the engine was overfilled {} times",
-            cluster.engine.overfilled()
+            cluster.engine.over_capacity_orders()
         ));
     }
     let orders = cluster.engine.orders();
--- a/crates/entry/tests/soak/cluster.rs
+++ b/crates/entry/tests/soak/cluster.rs
@@ -63,7 +63,7 @@
             .map(|upstream| start_proxy(entry_address(&upstream.entry("app", "one", "ready"))))
             .collect();
         let streams = UpstreamStandIn::start("t-1").unwrap();
-        streams.usually(Behaviour::Events(EVENTS));
+        streams.set_default(Behaviour::Events(EVENTS));
         let engine = EngineStandIn::start("e-1").unwrap();
         let mut cluster = Self {
             store,
@@ -170,9 +170,9 @@
                 self.store.set_outage(outage);
                 self.pending_ends.push((now + time, FaultTarget::Store));
             }
-            Fault::StoreHistoryLost => self.store.forget_history(),
+            Fault::StoreHistoryLost => self.store.compact_history(),
             Fault::UpstreamMisbehaves(upstream, how) => self.upstreams[upstream].next(how),
-            Fault::OrderResponsesLost(count) => self.engine.lose_answers(count),
+            Fault::OrderResponsesLost(count) => self.engine.lose_responses(count),
             Fault::NewConfig => self.put_config(),
             Fault::UpstreamDrains(upstream, time) => {
                 self.register_upstream(upstream, "draining");
--- a/crates/entry/tests/soak/fault.rs
+++ b/crates/entry/tests/soak/fault.rs
@@ -83,11 +83,11 @@
 
 fn random_outage(rng: &mut ChaCha8Rng) -> Outage {
     match rng.random_range(0..5) {
-        0 => Outage::Busy,
-        1 => Outage::Many,
+        0 => Outage::Unavailable,
+        1 => Outage::TooManyRequests,
         2 => Outage::Reset,
         3 => Outage::Silent,
-        _ => Outage::LostAnswers,
+        _ => Outage::LostResponses,
     }
 }
 
@@ -97,7 +97,7 @@
         1 => Behaviour::Shed,
         2 => Behaviour::Reset,
         3 => Behaviour::Truncate,
-        4 => Behaviour::Twice,
+        4 => Behaviour::DuplicateResponse,
         5 => Behaviour::Unsealed,
         6 => Behaviour::Misdirected,
         _ => Behaviour::Slow(Duration::from_millis(rng.random_range(50..900))),
--- a/crates/entry/tests/store_outages.rs
+++ b/crates/entry/tests/store_outages.rs
@@ -15,11 +15,11 @@
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
     for outage in [
-        Outage::Busy,
-        Outage::Many,
+        Outage::Unavailable,
+        Outage::TooManyRequests,
         Outage::Reset,
         Outage::Silent,
-        Outage::LostAnswers,
+        Outage::LostResponses,
     ] {
         store.set_outage(outage);
         thread::sleep(Duration::from_millis(300));
@@ -49,7 +49,7 @@
     let answer = vm.ask(&Request::new("GET", "/read/"));
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(upstreams[0].ran(), []);
+    assert_eq!(upstreams[0].executed(), []);
     store.set_outage(Outage::None);
     until("it is ready", || vm.is_ready());
     assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
@@ -60,12 +60,12 @@
     // Guards against missing changes for good when the store drops the history that contains them.
     let (store, _upstreams) = platform(&["s-1"]);
     let vm = Vm::start(&store);
-    store.set_outage(Outage::Busy);
+    store.set_outage(Outage::Unavailable);
     thread::sleep(Duration::from_millis(100));
     let mut next = deployment::config(3);
     next["routes"][0]["path_prefix"] = json!("/moved/");
     store.put("op/config", &next);
-    store.forget_history();
+    store.compact_history();
     store.set_outage(Outage::None);
     until("the change is applied", || {
         vm.ask(&Request::new("GET", "/moved/")).status == 200
@@ -117,7 +117,7 @@
     );
     store.remove(&upstreams[1].key());
     thread::sleep(Duration::from_millis(1_900));
-    let run_count = |upstream: &UpstreamStandIn| upstream.ran().len();
+    let run_count = |upstream: &UpstreamStandIn| upstream.executed().len();
     let (first, second) = (run_count(&upstreams[0]), run_count(&upstreams[1]));
     for _ in 0..10 {
         assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
@@ -136,17 +136,17 @@
     }
     let vm = Vm::start(&store);
     until("all were read", || !vm.logged("store_read").is_empty());
-    store.set_outage(Outage::Busy);
+    store.set_outage(Outage::Unavailable);
     thread::sleep(Duration::from_millis(100));
     store.remove(&upstreams[1].key());
-    store.forget_history();
+    store.compact_history();
     store.set_outage(Outage::None);
     until("the removal is known", || {
         !vm.logged("upstream_gone").is_empty()
     });
-    let before = upstreams[1].ran().len();
+    let before = upstreams[1].executed().len();
     for _ in 0..10 {
         assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
     }
-    assert_eq!(upstreams[1].ran().len(), before);
+    assert_eq!(upstreams[1].executed().len(), before);
 }
--- a/crates/entry/tests/unfenced_engines.rs
+++ b/crates/entry/tests/unfenced_engines.rs
@@ -137,7 +137,7 @@
     assert!(slowest < Duration::from_millis(1_500), "{slowest:?}");
     for engine in &engines {
         assert_eq!(short_order_gaps(engine), Vec::<Duration>::new());
-        assert_eq!(engine.overfilled(), 0);
+        assert_eq!(engine.over_capacity_orders(), 0);
     }
 }
 
--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -26,7 +26,7 @@
         stream.text(),
         "id: 1\ndata: piece-1\n\nid: 2\ndata: piece-2\n\nid: 3\ndata: piece-3\n\n"
     );
-    let ran = upstreams[0].ran();
+    let ran = upstreams[0].executed();
     assert_eq!(ran[0].target, "/read/a?b=c");
     assert_eq!(ran[1].body, b"enrol");
 }
@@ -47,7 +47,7 @@
         .with("Connection", "x-request-id, x-dropped")
         .with("X-Dropped", "1");
     assert_eq!(vm.ask(&request).status, 200);
-    let seen = upstreams[0].ran().remove(0).headers;
+    let seen = upstreams[0].executed().remove(0).headers;
     let got = |name: &str| seen.get(name).map(String::as_str);
     assert_eq!(got("x-tenant"), Some("one"));
     assert_eq!(got("x-expect-instance"), Some("s-1"));
@@ -87,12 +87,12 @@
         status(Request::new("GET", "/read/").without("X-Api-Key")),
         401
     );
-    assert_eq!(upstreams[0].ran(), [], "none of these ran");
+    assert_eq!(upstreams[0].executed(), [], "none of these ran");
     assert_eq!(
         status(Request::new("GET", "/open/").without("X-Api-Key")),
         200
     );
-    assert_eq!(upstreams[0].ran()[0].headers.get("x-tenant"), None);
+    assert_eq!(upstreams[0].executed()[0].headers.get("x-tenant"), None);
 }
 
 #[test]
@@ -112,14 +112,14 @@
     let refused = refused.expect("the burst ends");
     let delay: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!(delay > 0.0 && delay < 1.0, "{delay}");
-    let ran = upstreams[0].ran().len();
+    let ran = upstreams[0].executed().len();
     std::thread::sleep(std::time::Duration::from_secs_f64(delay + 0.02));
     assert_eq!(
         vm.ask(&request()).status,
         200,
         "served after the retry delay"
     );
-    assert_eq!(upstreams[0].ran().len(), ran + 1);
+    assert_eq!(upstreams[0].executed().len(), ran + 1);
 }
 
 #[test]
@@ -150,7 +150,7 @@
         .bytes();
     bytes.extend_from_slice(b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
     assert_eq!(vm.send(&bytes).unwrap().status, 200);
-    assert_eq!(upstreams[0].ran()[0].body, b"abcde");
+    assert_eq!(upstreams[0].executed()[0].body, b"abcde");
 }
 
 #[test]
--- a/crates/gateway/src/brain/core.rs
+++ b/crates/gateway/src/brain/core.rs
@@ -160,7 +160,7 @@
                 .await;
             match answer {
                 Ok(answer) => return answer,
-                Err(e) if e.is_not_begun() => {}
+                Err(e) if e.is_not_sent() => {}
                 // The claim may have been stored. Another controller would then report it as
                 // running, which is wrong because this request hasn't started.
                 Err(_) => return ClaimAnswer::Unavailable,
@@ -196,7 +196,7 @@
                 .await;
             match stored {
                 Ok(true) => return true,
-                Err(e) if e.is_not_begun() => {}
+                Err(e) if e.is_not_sent() => {}
                 // Storing the same answer twice is idempotent; a repeated release could remove the
                 // claim of the caller's next attempt.
                 _ if is_release => return false,
--- a/crates/gateway/src/brain/links.rs
+++ b/crates/gateway/src/brain/links.rs
@@ -13,7 +13,7 @@
         routing::EngineView,
     },
     jasmine_wire::{
-        convert::{read_given, read_rights, write_peer, write_rights, write_take},
+        convert::{read_rights, read_take_response, write_peer, write_rights, write_take_request},
         jasmine_capnp::{controller, gateway, rights_holder},
         link::{Link, LinkError, LinkOptions},
     },
@@ -299,9 +299,9 @@
             .call(Millis::ZERO, move |client| async move {
                 let holder: rights_holder::Client = client.cast_to();
                 let mut req = holder.take_rights_request();
-                write_take(req.get(), &request);
+                write_take_request(req.get(), &request);
                 let res = req.send().promise.await?;
-                read_given(res.get()?)
+                read_take_response(res.get()?)
             })
             .await
     }
--- a/crates/gateway/src/brain/peer_server.rs
+++ b/crates/gateway/src/brain/peer_server.rs
@@ -1,7 +1,7 @@
 use {
     super::Core,
     jasmine_wire::{
-        convert::{read_take, write_given},
+        convert::{read_take_request, write_take_response},
         jasmine_capnp::{gateway, rights_holder},
     },
     std::rc::Rc,
@@ -26,11 +26,11 @@
         params: rights_holder::TakeRightsParams,
         mut results: rights_holder::TakeRightsResults,
     ) -> Result<(), capnp::Error> {
-        let request = read_take(params.get()?)?;
+        let request = read_take_request(params.get()?)?;
         let given = self
             .core
             .update(|state| state.handle_take_request(&request));
-        write_given(results.get(), &given);
+        write_take_response(results.get(), &given);
         Ok(())
     }
 }
--- a/crates/store/src/etcd/call_counts.rs
+++ b/crates/store/src/etcd/call_counts.rs
@@ -1,5 +1,5 @@
 use {
-    super::CallKind,
+    super::StoreCallKind,
     std::sync::{
         Arc,
         atomic::{AtomicU64, Ordering},
@@ -9,7 +9,7 @@
 /// Counts sent and failed calls by kind; clones share the same counters.
 #[derive(Clone, Debug, Default)]
 pub struct CallCounts {
-    counters: Arc<[[AtomicU64; 2]; CallKind::ALL.len()]>,
+    counters: Arc<[[AtomicU64; 2]; StoreCallKind::ALL.len()]>,
     open_watches: Arc<AtomicU64>,
 }
 
@@ -29,7 +29,7 @@
     /// The number of calls of this kind that were sent.
     pub fn made(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
     ) -> u64 {
         self.counters[kind as usize][0].load(Ordering::Relaxed)
     }
@@ -37,7 +37,7 @@
     /// The number of calls of this kind that ended without a usable response.
     pub fn failed(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
     ) -> u64 {
         self.counters[kind as usize][1].load(Ordering::Relaxed)
     }
@@ -56,14 +56,14 @@
 
     pub(super) fn count_made(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
     ) {
         self.counters[kind as usize][0].fetch_add(1, Ordering::Relaxed);
     }
 
     pub(super) fn count_failed(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
     ) {
         self.counters[kind as usize][1].fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/store/src/etcd/call_kind.rs
+++ b/crates/store/src/etcd/call_kind.rs
@@ -1,7 +1,7 @@
 /// The kinds of calls to the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(derive_more::Display)]
-pub enum CallKind {
+pub enum StoreCallKind {
     /// Reads a range of keys.
     #[display("range")]
     Range,
@@ -22,7 +22,7 @@
     Watch,
 }
 
-impl CallKind {
+impl StoreCallKind {
     /// All kinds.
     pub const ALL: [Self; 6] = [
         Self::Range,
--- a/crates/store/src/etcd/reach.rs
+++ b/crates/store/src/etcd/connectivity.rs
@@ -5,7 +5,7 @@
 
 /// Tracks whether the service has answered recently; clones share the same state.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct StoreConnectivity {
     times: Rc<Times>,
 }
 
@@ -15,7 +15,7 @@
     failed: Cell<Option<Instant>>,
 }
 
-impl Reach {
+impl StoreConnectivity {
     /// Whether a call succeeded within `window` and none has failed since.
     pub fn is_up(
         &self,
--- a/crates/store/src/etcd/etcd_store.rs
+++ b/crates/store/src/etcd/etcd_store.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        CallCounts, CallKind, EtcdOptions, JsonLines, Reach,
+        CallCounts, EtcdOptions, JsonLines, StoreCallKind, StoreConnectivity,
         call_counts::OpenWatch,
         call_rate_limiter::CallRateLimiter,
         json::{
@@ -52,7 +52,7 @@
     endpoint: Cell<usize>,
     rate_limiter: CallRateLimiter,
     counts: CallCounts,
-    reach: Reach,
+    connectivity: StoreConnectivity,
 }
 
 impl EtcdStore {
@@ -63,7 +63,7 @@
             endpoint: Cell::new(0),
             rate_limiter: CallRateLimiter::new(options.calls_per_second),
             counts: CallCounts::default(),
-            reach: Reach::default(),
+            connectivity: StoreConnectivity::default(),
             options,
         }
     }
@@ -74,13 +74,13 @@
     }
 
     /// Returns the shared connectivity state of this client.
-    pub fn reach(&self) -> Reach {
-        self.reach.clone()
+    pub fn connectivity(&self) -> StoreConnectivity {
+        self.connectivity.clone()
     }
 
     async fn call(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
         body: Value,
     ) -> Result<Vec<u8>, StoreError> {
         let wait = self.rate_limiter.reserve();
@@ -91,7 +91,7 @@
         let result = timeout(self.options.timeout.to_std(), self.send(kind, body))
             .await
             .unwrap_or_else(|_| Err(StoreError::OutcomeUnknown("timeout".into())));
-        self.reach.record_result(!matches!(
+        self.connectivity.record_result(!matches!(
             result,
             Err(StoreError::Unreachable(_) | StoreError::OutcomeUnknown(_))
         ));
@@ -104,7 +104,7 @@
 
     async fn send(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
         body: Value,
     ) -> Result<Vec<u8>, StoreError> {
         let mut res = self.open(kind, body).await?;
@@ -130,7 +130,7 @@
 
     async fn open(
         &self,
-        kind: CallKind,
+        kind: StoreCallKind,
         body: Value,
     ) -> Result<
         awc::ClientResponse<impl futures::Stream<Item = Result<Bytes, PayloadError>> + use<>>,
@@ -171,16 +171,16 @@
         range: Range,
         from_revision: u64,
     ) -> Result<WatchStream, StoreError> {
-        self.counts.count_made(CallKind::Watch);
+        self.counts.count_made(StoreCallKind::Watch);
         let body = encode_watch(&range, from_revision);
         let opened = timeout(
             self.options.timeout.to_std(),
-            self.open(CallKind::Watch, body),
+            self.open(StoreCallKind::Watch, body),
         )
         .await
         .unwrap_or_else(|_| Err(StoreError::OutcomeUnknown("timeout".into())))
         .inspect_err(|e| {
-            self.counts.count_failed(CallKind::Watch);
+            self.counts.count_failed(StoreCallKind::Watch);
             self.handle_failure(e);
         })?;
         match opened.status().as_u16() {
@@ -210,7 +210,9 @@
         range: Range,
     ) -> StoreFuture<'_, RangeReply> {
         Box::pin(async move {
-            let body = self.call(CallKind::Range, encode_range(&range)).await?;
+            let body = self
+                .call(StoreCallKind::Range, encode_range(&range))
+                .await?;
             decode_range(&parse::<RangeResponse>(&body)?)
         })
     }
@@ -220,7 +222,7 @@
         txn: Txn,
     ) -> StoreFuture<'_, TxnReply> {
         Box::pin(async move {
-            let body = self.call(CallKind::Txn, encode_txn(&txn)).await?;
+            let body = self.call(StoreCallKind::Txn, encode_txn(&txn)).await?;
             decode_txn(&parse::<TxnResponse>(&body)?)
         })
     }
@@ -231,7 +233,9 @@
     ) -> StoreFuture<'_, Lease> {
         Box::pin(async move {
             let secs = ttl.0.div_ceil(1000).to_string();
-            let body = self.call(CallKind::Grant, json!({ "TTL": secs })).await?;
+            let body = self
+                .call(StoreCallKind::Grant, json!({ "TTL": secs }))
+                .await?;
             let response = parse::<LeaseResponse>(&body)?;
             match response.id.0 {
                 0 => Err(StoreError::OutcomeUnknown(
@@ -251,7 +255,7 @@
     ) -> StoreFuture<'_, Option<Lease>> {
         Box::pin(async move {
             let body = json!({ "ID": (id.0 as i64).to_string() });
-            let body = self.call(CallKind::KeepAlive, body).await?;
+            let body = self.call(StoreCallKind::KeepAlive, body).await?;
             let response = parse::<StreamResponse<LeaseResponse>>(&body)?.result;
             Ok((response.ttl.0 > 0).then_some(Lease {
                 id,
@@ -266,7 +270,7 @@
     ) -> StoreFuture<'_, ()> {
         Box::pin(async move {
             let body = json!({ "ID": (id.0 as i64).to_string() });
-            self.call(CallKind::Revoke, body).await.map(drop)
+            self.call(StoreCallKind::Revoke, body).await.map(drop)
         })
     }
 
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -3,18 +3,18 @@
 mod call_counts;
 mod call_kind;
 mod call_rate_limiter;
+mod connectivity;
 mod etcd_store;
 mod json;
 mod json_lines;
 mod options;
-mod reach;
 
 pub use {
     call_counts::CallCounts,
-    call_kind::CallKind,
+    call_kind::StoreCallKind,
+    connectivity::StoreConnectivity,
     etcd_store::EtcdStore,
     json::{decode_watch, encode_txn},
     json_lines::JsonLines,
     options::EtcdOptions,
-    reach::Reach,
 };
--- a/crates/store/src/store/error.rs
+++ b/crates/store/src/store/error.rs
@@ -23,7 +23,7 @@
 
 impl StoreError {
     /// Whether a write that failed with this error has certainly not been applied.
-    pub const fn is_not_done(&self) -> bool {
+    pub const fn is_not_applied(&self) -> bool {
         !matches!(self, Self::OutcomeUnknown(_))
     }
 }
--- a/crates/store/tests/lost_reply.rs
+++ b/crates/store/tests/lost_reply.rs
@@ -55,14 +55,14 @@
 
 /// Guards against reporting an unknown outcome when the connection was refused.
 #[actix_web::test]
-async fn not_done() {
+async fn refused_connection_is_not_applied() {
     // Keeps the port bound, so that no other test can listen on it.
     let bound_socket = tokio::net::TcpSocket::new_v4().unwrap();
     bound_socket.bind(loopback()).unwrap();
     let address = bound_socket.local_addr().unwrap();
     let store = EtcdStore::new(EtcdOptions::new(vec![format!("http://{address}")]));
     let e = store.txn(create("a")).await.unwrap_err();
-    assert!(e.is_not_done(), "{e:?}");
+    assert!(e.is_not_applied(), "{e:?}");
 }
 
 #[actix_web::test]
--- a/crates/store/tests/silent_connections.rs
+++ b/crates/store/tests/silent_connections.rs
@@ -20,7 +20,7 @@
 
 /// Guards against one timeout per dead pooled connection, during which a VM would lose its lease.
 #[actix_web::test]
-async fn one_timeout() {
+async fn silent_connections_cost_one_timeout() {
     let platform = platform::start(loopback()).unwrap();
     let proxy = Proxy::start(loopback(), platform.address()).unwrap();
     let store = EtcdStore::new(EtcdOptions {
--- a/crates/telemetry/tests/bounded_writer.rs
+++ b/crates/telemetry/tests/bounded_writer.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_reader_that_sleeps_blocks_nobody() {
+fn a_stalled_reader_does_not_block_logging() {
     // Guards against a stalled log reader blocking the daemon, and against losing warnings or the number of
     // dropped lines.
     let sink = BlockingSink::default();
--- a/crates/telemetry/tests/metrics_page.rs
+++ b/crates/telemetry/tests/metrics_page.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn one_line() {
+fn a_line_has_no_line_breaks() {
     bolero::check!()
         .with_type::<(String, String)>()
         .for_each(|(event, value)| {
--- a/crates/wire/src/convert/mod.rs
+++ b/crates/wire/src/convert/mod.rs
@@ -9,5 +9,5 @@
     instance::{read_instance, read_instances, write_instance, write_instances},
     peer::{read_peer, write_peer},
     right::{read_right, read_rights, write_right, write_rights},
-    take::{read_given, read_take, write_given, write_take},
+    take::{read_take_request, read_take_response, write_take_request, write_take_response},
 };
--- a/crates/wire/src/convert/take.rs
+++ b/crates/wire/src/convert/take.rs
@@ -12,7 +12,9 @@
 /// # Errors
 ///
 /// If the message is malformed.
-pub fn read_take(params: take_rights_params::Reader<'_>) -> Result<TakeRequest, capnp::Error> {
+pub fn read_take_request(
+    params: take_rights_params::Reader<'_>
+) -> Result<TakeRequest, capnp::Error> {
     Ok(TakeRequest {
         from: read_peer(params.get_from()?)?,
         transfer: TransferId(params.get_transfer()),
@@ -24,7 +26,7 @@
 }
 
 /// Encodes a request to transfer a rate limit share.
-pub fn write_take(
+pub fn write_take_request(
     mut params: take_rights_params::Builder<'_>,
     request: &TakeRequest,
 ) {
@@ -41,7 +43,9 @@
 /// # Errors
 ///
 /// If the message is malformed.
-pub fn read_given(results: take_rights_results::Reader<'_>) -> Result<TakeResponse, capnp::Error> {
+pub fn read_take_response(
+    results: take_rights_results::Reader<'_>
+) -> Result<TakeResponse, capnp::Error> {
     Ok(TakeResponse {
         epoch: Epoch(results.get_epoch()),
         right: read_right(results.get_right()?),
@@ -50,7 +54,7 @@
 }
 
 /// Encodes the response to a transfer request.
-pub fn write_given(
+pub fn write_take_response(
     mut results: take_rights_results::Builder<'_>,
     response: &TakeResponse,
 ) {
--- a/crates/wire/src/link/backoff.rs
+++ b/crates/wire/src/link/backoff.rs
@@ -29,7 +29,7 @@
     }
 
     /// Counts a failure and returns the delay before the next attempt: 50 to 100 % of the doubled one.
-    pub fn next_pause(&mut self) -> Millis {
+    pub fn next_delay(&mut self) -> Millis {
         let doubled = self.initial_delay.0 << self.failures.min(16);
         self.failures = self.failures.saturating_add(1);
         let ceiling = doubled.clamp(1, self.max_delay.0.max(1));
--- a/crates/wire/src/link/link_error.rs
+++ b/crates/wire/src/link/link_error.rs
@@ -21,7 +21,7 @@
 
 impl LinkError {
     /// Whether the other daemon has certainly not received the call.
-    pub const fn is_not_begun(&self) -> bool {
+    pub const fn is_not_sent(&self) -> bool {
         matches!(self, Self::Unreachable(_) | Self::BackingOff)
     }
 }
--- a/crates/wire/src/link/link_options.rs
+++ b/crates/wire/src/link/link_options.rs
@@ -8,11 +8,11 @@
     /// Timeout of a response, in addition to the time that a long-polling call asks the server to wait.
     pub call_timeout: Millis,
     /// Interval of pings on a connection with a pending call.
-    pub heartbeat: Millis,
+    pub heartbeat_interval: Millis,
     /// Delay after the first failed attempt to connect.
-    pub backoff_first: Millis,
+    pub backoff_initial: Millis,
     /// Maximum delay between attempts to connect.
-    pub backoff_most: Millis,
+    pub backoff_max: Millis,
 }
 
 impl Default for LinkOptions {
@@ -20,9 +20,9 @@
         Self {
             connect_timeout: Millis(1000),
             call_timeout: Millis(1500),
-            heartbeat: Millis(2000),
-            backoff_first: Millis(50),
-            backoff_most: Millis(2000),
+            heartbeat_interval: Millis(2000),
+            backoff_initial: Millis(50),
+            backoff_max: Millis(2000),
         }
     }
 }
--- a/crates/wire/src/link/peer_link.rs
+++ b/crates/wire/src/link/peer_link.rs
@@ -64,7 +64,7 @@
             address,
             options,
             open: RefCell::new(None),
-            backoff: RefCell::new(Backoff::new(options.backoff_first, options.backoff_most)),
+            backoff: RefCell::new(Backoff::new(options.backoff_initial, options.backoff_max)),
             retry_at: Cell::new(None),
         }
     }
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`]; unless [`LinkError::is_not_begun`], the other daemon may have executed the call.
+    /// [`LinkError`]; unless [`LinkError::is_not_sent`], the other daemon may have executed the call.
     pub async fn call<T, F, Fut>(
         &self,
         wait: Millis,
@@ -119,7 +119,7 @@
         client: C,
     ) {
         loop {
-            sleep(self.options.heartbeat.to_std()).await;
+            sleep(self.options.heartbeat_interval.to_std()).await;
             let answer = timeout(self.options.call_timeout.to_std(), client.ping()).await;
             if !matches!(answer, Ok(Ok(()))) {
                 return;
@@ -189,7 +189,7 @@
         &self,
         reason: &str,
     ) -> LinkError {
-        let delay = self.backoff.borrow_mut().next_pause();
+        let delay = self.backoff.borrow_mut().next_delay();
         self.retry_at.set(Some(Instant::now() + delay.to_std()));
         LinkError::Unreachable(reason.to_owned())
     }
--- a/crates/wire/tests/silent_link.rs
+++ b/crates/wire/tests/silent_link.rs
@@ -41,9 +41,9 @@
 const OPTIONS: LinkOptions = LinkOptions {
     connect_timeout: Millis(500),
     call_timeout: Millis(300),
-    heartbeat: Millis(200),
-    backoff_first: Millis(20),
-    backoff_most: Millis(100),
+    heartbeat_interval: Millis(200),
+    backoff_initial: Millis(20),
+    backoff_max: Millis(100),
 };
 
 async fn proxied() -> (Proxy, Link<controller::Client>) {
@@ -66,7 +66,7 @@
 
 /// Guards against calls that keep using a connection that silently stopped working.
 #[actix_web::test]
-async fn replaced() {
+async fn silent_connection_is_replaced() {
     let (proxy, link) = proxied().await;
     assert_eq!(status(&link).await, Ok(7));
     proxy.set_mode(Fault::Silent);
@@ -76,7 +76,7 @@
 
 /// Guards against a long-polling call that waits on a dead connection until its own timeout.
 #[actix_web::test]
-async fn noticed_while_waiting() {
+async fn heartbeat_detects_silent_connection() {
     let (proxy, link) = proxied().await;
     let start = Instant::now();
     let silence = async {
@@ -99,12 +99,12 @@
 
 /// Guards against reporting an unknown outcome, or skipping the backoff, when the connection is refused.
 #[actix_web::test]
-async fn refused() {
+async fn refused_connection_backs_off() {
     let (proxy, link) = proxied().await;
     let address = proxy.address();
     drop(proxy);
     let refused_link: Link<controller::Client> = Link::new(address, OPTIONS);
-    assert!(status(&refused_link).await.unwrap_err().is_not_begun());
+    assert!(status(&refused_link).await.unwrap_err().is_not_sent());
     assert_eq!(status(&refused_link).await, Err(LinkError::BackingOff));
     drop(link);
 }
