--- a/crates/entry/src/scheduling/orders.rs
+++ b/crates/entry/src/scheduling/orders.rs
@@ -77,8 +77,8 @@
             .call(&id, address, "POST", ORDER_TARGET, &encode_order(&order))
             .await;
         let end = match answer {
-            Err(CallError::Unsent) => OrderResult::Unsent,
-            Err(CallError::Unanswered) => OrderResult::Lost,
+            Err(CallError::NotSent) => OrderResult::Unsent,
+            Err(CallError::NoResponse) => OrderResult::Lost,
             Ok((status, _)) => self.order_end(decode_order_status(status)),
         };
         Line::new("order_given")
@@ -182,9 +182,9 @@
             target,
             headers: &headers,
             body,
-            limit: CALL_TIMEOUT,
-            fresh: false,
+            timeout: CALL_TIMEOUT,
+            requires_new_connection: false,
         };
-        call.make(&self.pool).await
+        call.send(&self.pool).await
     }
 }
--- a/crates/entry/src/scheduling/server.rs
+++ b/crates/entry/src/scheduling/server.rs
@@ -6,7 +6,7 @@
             write_leader, write_verdict,
         },
     },
-    crate::store::{Feed, KvStore, write_answer},
+    crate::store::{Feed, KvStore, write_reply},
     jasmine_core::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -234,7 +234,7 @@
             .feed
             .changes(params.get_after(), minor_after, wait)
             .await;
-        write_answer(results.get(), &answer);
+        write_reply(results.get(), &answer);
         Ok(())
     }
 }
--- a/crates/entry/src/store/feed/convert.rs
+++ b/crates/entry/src/store/feed/convert.rs
@@ -36,7 +36,7 @@
 }
 
 /// Writes the reply to [`ask_peer`].
-pub(crate) fn write_answer(
+pub(crate) fn write_reply(
     mut to: scheduler::changes_results::Builder<'_>,
     reply: &FeedReply,
 ) {
--- a/crates/entry/src/store/feed/mod.rs
+++ b/crates/entry/src/store/feed/mod.rs
@@ -5,5 +5,5 @@
 mod reply;
 
 pub(super) use convert::ask_peer;
-pub(crate) use convert::write_answer;
+pub(crate) use convert::write_reply;
 pub use {change_feed::Feed, reply::FeedReply};
--- a/crates/entry/src/store/kv_store.rs
+++ b/crates/entry/src/store/kv_store.rs
@@ -54,7 +54,7 @@
         self.inner.pool.close_expired();
     }
 
-    /// Renews a lease with the timeout `limit`; returns none if it has expired.
+    /// Renews a lease with the timeout `timeout`; returns none if it has expired.
     ///
     /// A renewal may take effect even if its response is lost.
     ///
@@ -64,10 +64,10 @@
     pub async fn renew(
         &self,
         id: LeaseId,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Option<Lease>, StoreError> {
         let (status, body) = self
-            .call_with_timeout(&encode_keep_alive(id), limit)
+            .call_with_timeout(&encode_keep_alive(id), timeout)
             .await?;
         decode_keep_alive(id, status, &body)
     }
@@ -93,11 +93,11 @@
         self.call_with_timeout(call, CALL_TIMEOUT).await
     }
 
-    /// Makes a call with the timeout `limit`, on top of the time for which it asks to be held.
+    /// Makes a call with the timeout `timeout`, on top of the time for which it asks to be held.
     async fn call_with_timeout(
         &self,
         call: &Call,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<(u16, bytes::Bytes), StoreError> {
         let call = HttpCall {
             address: self.inner.address,
@@ -105,12 +105,12 @@
             target: &call.target,
             headers: "",
             body: &call.body,
-            limit: call.hold_timeout + limit,
-            fresh: false,
+            timeout: call.hold_timeout + timeout,
+            requires_new_connection: false,
         };
-        call.make(&self.inner.pool).await.map_err(|e| match e {
-            CallError::Unsent => StoreError::Unreachable(e.to_string()),
-            CallError::Unanswered => StoreError::OutcomeUnknown(e.to_string()),
+        call.send(&self.inner.pool).await.map_err(|e| match e {
+            CallError::NotSent => StoreError::Unreachable(e.to_string()),
+            CallError::NoResponse => StoreError::OutcomeUnknown(e.to_string()),
         })
     }
 
--- a/crates/entry/src/store/mod.rs
+++ b/crates/entry/src/store/mod.rs
@@ -10,7 +10,7 @@
 mod view;
 mod vm_record;
 
-pub(crate) use feed::write_answer;
+pub(crate) use feed::write_reply;
 pub use {
     election::run_election,
     feed::{Feed, FeedReply},
--- a/crates/entry/src/upstream/call.rs
+++ b/crates/entry/src/upstream/call.rs
@@ -17,10 +17,10 @@
 pub enum CallError {
     /// Connecting failed; nothing was sent.
     #[display("can't connect")]
-    Unsent,
+    NotSent,
     /// The request was sent but not answered; it may have been executed or may be later.
     #[display("request sent, no valid response")]
-    Unanswered,
+    NoResponse,
 }
 
 /// An HTTP call with an optional JSON body.
@@ -37,9 +37,9 @@
     /// The body; empty for none.
     pub body: &'a [u8],
     /// Timeout of the whole call.
-    pub limit: Millis,
+    pub timeout: Millis,
     /// Whether to open a new connection instead of reusing an idle one.
-    pub fresh: bool,
+    pub requires_new_connection: bool,
 }
 
 impl HttpCall<'_> {
@@ -48,13 +48,13 @@
     /// # Errors
     ///
     /// [`CallError`].
-    pub async fn make(
+    pub async fn send(
         &self,
         pool: &Pool,
     ) -> Result<(u16, Bytes), CallError> {
-        let result = timeout(self.limit.to_std(), self.attempt(pool)).await;
-        let result = result.unwrap_or(Err(CallError::Unanswered));
-        if matches!(result, Err(CallError::Unanswered)) {
+        let result = timeout(self.timeout.to_std(), self.attempt(pool)).await;
+        let result = result.unwrap_or(Err(CallError::NoResponse));
+        if matches!(result, Err(CallError::NoResponse)) {
             pool.close_idle(self.address);
         }
         result
@@ -64,7 +64,7 @@
         &self,
         pool: &Pool,
     ) -> Result<(u16, Bytes), CallError> {
-        let reused = if self.fresh {
+        let reused = if self.requires_new_connection {
             None
         } else {
             pool.reuse(self.address, IDLE_TIMEOUT)
@@ -74,10 +74,10 @@
             None => pool
                 .open(self.address)
                 .await
-                .map_err(|_e| CallError::Unsent)?,
+                .map_err(|_e| CallError::NotSent)?,
         };
         let response = self.exchange(&mut connection).await;
-        let (head, body) = response.map_err(|_e| CallError::Unanswered)?;
+        let (head, body) = response.map_err(|_e| CallError::NoResponse)?;
         pool.release(self.address, connection, &head);
         Ok((head.status, body))
     }
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -3,63 +3,66 @@
 mod deployment;
 
 use {
-    deployment::{Request, Vm, platform},
+    deployment::{Request, Vm, start_platform},
     jasmine_platform_stand_in::Behaviour,
     std::{thread, time::Duration},
 };
 
 #[test]
-fn a_second_answer_reaches_nobody() {
+fn a_duplicate_response_is_not_forwarded() {
     // Guards against a duplicate response on a reused connection being forwarded to the next caller.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::DuplicateResponse);
-    assert_eq!(vm.ask(&Request::new("GET", "/read/")).text(), "first");
+    assert_eq!(
+        vm.send_request(&Request::new("GET", "/read/")).text(),
+        "first"
+    );
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(vm.ask(&Request::new("GET", "/read/")).text(), "ok");
+    assert_eq!(vm.send_request(&Request::new("GET", "/read/")).text(), "ok");
 }
 
 #[test]
-fn an_answer_without_a_length_arrives_whole() {
-    let (store, upstreams) = platform(&["s-1"]);
+fn a_response_without_a_length_is_forwarded() {
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Unframed(b"to the end".to_vec()));
-    let answer = vm.ask(&Request::new("GET", "/read/"));
+    let response = vm.send_request(&Request::new("GET", "/read/"));
     assert_eq!(
-        (answer.text().as_str(), answer.is_whole),
+        (response.text().as_str(), response.is_complete),
         ("to the end", true)
     );
 }
 
 #[test]
-fn an_early_answer_spoils_nothing() {
+fn an_early_response_does_not_corrupt_later_requests() {
     // Guards against reusing a connection on which the upstream still expects the rest of a body.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Early);
     let long = Request::new("POST", "/write/").body(&vec![b'x'; 60_000]);
-    assert_eq!(vm.ask(&long).text(), "early");
+    assert_eq!(vm.send_request(&long).text(), "early");
     for _ in 0..3 {
         let next = Request::new("POST", "/write/").body(b"next");
-        assert_eq!(vm.ask(&next).text(), "ok");
+        assert_eq!(vm.send_request(&next).text(), "ok");
     }
     let last = upstreams[0].executed().pop().unwrap();
     assert_eq!(last.body, b"next");
 }
 
 #[test]
-fn a_caller_that_leaves_stops_the_work() {
+fn a_caller_disconnect_cancels_the_request() {
     // Guards against an upstream working on after the caller has disconnected.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Hang);
     let mut stream = std::net::TcpStream::connect(vm.callers).unwrap();
     let request = Request::new("POST", "/write/").body(b"enrol");
     std::io::Write::write_all(&mut stream, &request.bytes()).unwrap();
-    deployment::until("the request runs", || upstreams[0].executed().len() == 1);
+    deployment::wait_until("the request runs", || upstreams[0].executed().len() == 1);
     drop(stream);
     let left = std::time::Instant::now();
-    deployment::until("the request is cancelled", || upstreams[0].cancelled() == 1);
+    deployment::wait_until("the request is cancelled", || upstreams[0].cancelled() == 1);
     assert!(
         left.elapsed() < Duration::from_millis(500),
         "{:?}",
@@ -68,15 +71,15 @@
 }
 
 #[test]
-fn the_routes_time_ends_a_wait() {
+fn a_timeout_is_reported_as_an_unknown_outcome() {
     // Guards against reporting a request as not run, or late, when its upstream never responds.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Hang);
     let request = Request::new("POST", "/write/")
         .with("X-Deadline-Ms", "700")
         .body(b"enrol");
     let began = std::time::Instant::now();
-    assert_eq!(vm.ask(&request).status, 504);
+    assert_eq!(vm.send_request(&request).status, 504);
     assert!(began.elapsed() < Duration::from_millis(1_200));
 }
--- a/crates/entry/tests/deployment/mod.rs
+++ b/crates/entry/tests/deployment/mod.rs
@@ -25,11 +25,11 @@
 };
 
 /// Timeout of every wait and read.
-pub const LIMIT: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 /// API key of the account `one`.
-pub const KEY: &str = "key-of-one";
+pub const API_KEY: &str = "key-of-one";
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
 /// A running entry daemon.
 pub struct Vm {
@@ -45,13 +45,13 @@
     /// Starts a daemon and waits until it is ready.
     pub fn start(store: &KvStandIn) -> Self {
         let vm = Self::start_unready(store);
-        until("the daemon is ready", || vm.is_ready());
+        wait_until("the daemon is ready", || vm.is_ready());
         vm
     }
 
     /// Starts a daemon and waits until it listens.
     pub fn start_unready(store: &KvStandIn) -> Self {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         Self::start_as(store, &format!("vm-{}-{number}", std::process::id()))
     }
 
@@ -60,19 +60,19 @@
         store: &KvStandIn,
         name: &str,
     ) -> Self {
-        Self::start_before(store.address(), name)
+        Self::start_with_store(store.address(), name)
     }
 
     /// Starts a daemon with this VM name and this address of the store.
-    pub fn start_before(
+    pub fn start_with_store(
         store: SocketAddr,
         name: &str,
     ) -> Self {
-        Self::start_with(store, name, |_| {})
+        Self::start_with_settings(store, name, |_| {})
     }
 
     /// Starts a daemon with settings modified by `change`.
-    pub fn start_with<F>(
+    pub fn start_with_settings<F>(
         store: SocketAddr,
         name: &str,
         change: F,
@@ -115,7 +115,7 @@
                 .find(|line| line.contains("event=started"))
                 .cloned()
         };
-        until("the daemon has started", || started().is_some());
+        wait_until("the daemon has started", || started().is_some());
         let line = started().unwrap();
         let address = |name: &str| -> SocketAddr {
             let (_, rest) = line.split_once(&format!(" {name}=")).unwrap();
@@ -133,12 +133,12 @@
 
     /// Whether the readiness probe succeeds.
     pub fn is_ready(&self) -> bool {
-        let answer = exchange(self.readiness, b"GET /-/readyz HTTP/1.1\r\nHost: r\r\n\r\n");
-        answer.is_some_and(|answer| answer.status == 200)
+        let response = exchange(self.readiness, b"GET /-/readyz HTTP/1.1\r\nHost: r\r\n\r\n");
+        response.is_some_and(|response| response.status == 200)
     }
 
     /// Returns the log lines of one event.
-    pub fn logged(
+    pub fn log_lines(
         &self,
         event: &str,
     ) -> Vec<String> {
@@ -162,35 +162,38 @@
     }
 
     /// Whether the process has exited.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
 
     /// Waits until the process exits.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(began.elapsed() < LIMIT, "the process did not exit in time");
+            assert!(
+                began.elapsed() < TIMEOUT,
+                "the process did not exit in time"
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// Sends a request over a new connection.
-    pub fn ask(
+    pub fn send_request(
         &self,
         request: &Request,
-    ) -> Answer {
+    ) -> Response {
         exchange(self.callers, &request.bytes()).expect("a response")
     }
 
     /// Sends raw bytes; returns none if the connection closes without a response.
-    pub fn send(
+    pub fn send_raw(
         &self,
         bytes: &[u8],
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         exchange(self.callers, bytes)
     }
 }
@@ -218,7 +221,7 @@
         method: &'static str,
         target: &str,
     ) -> Self {
-        let id = format!("id-{}", NEXT.fetch_add(1, Ordering::Relaxed));
+        let id = format!("id-{}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
         Self {
             method,
             target: target.to_owned(),
@@ -228,7 +231,7 @@
         .with("Host", "app.example")
         .with("X-Request-Id", &id)
         .with("X-Deadline-Ms", "5000")
-        .with("X-Api-Key", KEY)
+        .with("X-Api-Key", API_KEY)
     }
 
     /// Sets a header, replacing earlier values.
@@ -278,16 +281,16 @@
 
 /// A response as received by a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     /// The decoded body.
     pub body: Vec<u8>,
     /// Whether the body was complete according to its framing.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(
         &self,
         name: &str,
@@ -308,15 +311,15 @@
 pub fn exchange(
     address: SocketAddr,
     bytes: &[u8],
-) -> Option<Answer> {
+) -> Option<Response> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(LIMIT)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(bytes).ok()?;
-    read_answer(&mut stream)
+    read_response(&mut stream)
 }
 
 /// Reads one response; none if the connection closes before its head is complete.
-pub fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
+pub fn read_response(stream: &mut TcpStream) -> Option<Response> {
     let mut buf = Vec::new();
     let head_end = loop {
         if let Some(at) = buf.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -328,24 +331,24 @@
     };
     let head = String::from_utf8_lossy(&buf[..head_end]).into_owned();
     let mut rest = buf.split_off(head_end);
-    let mut answer = Answer {
+    let mut response = Response {
         status: head.split(' ').nth(1)?.parse().ok()?,
         body: Vec::new(),
-        is_whole: false,
+        is_complete: false,
         head,
     };
-    if let Some(length) = answer.header("content-length") {
+    if let Some(length) = response.header("content-length") {
         let length: usize = length.parse().ok()?;
         while rest.len() < length && more(stream, &mut rest) {}
-        answer.is_whole = rest.len() == length;
-        answer.body = rest;
-    } else if answer.header("transfer-encoding").is_some() {
-        (answer.body, answer.is_whole) = read_chunks(stream, rest);
+        response.is_complete = rest.len() == length;
+        response.body = rest;
+    } else if response.header("transfer-encoding").is_some() {
+        (response.body, response.is_complete) = read_chunks(stream, rest);
     } else {
         while more(stream, &mut rest) {}
-        answer.body = rest;
+        response.body = rest;
     }
-    Some(answer)
+    Some(response)
 }
 
 fn read_chunks(
@@ -390,8 +393,8 @@
     }
 }
 
-/// Waits until a condition holds, and panics after [`LIMIT`].
-pub fn until<F>(
+/// Waits until a condition holds, and panics after [`TIMEOUT`].
+pub fn wait_until<F>(
     what: &str,
     mut is_met: F,
 ) where
@@ -399,7 +402,7 @@
 {
     let began = Instant::now();
     while !is_met() {
-        assert!(began.elapsed() < LIMIT, "not in time: {what}");
+        assert!(began.elapsed() < TIMEOUT, "not in time: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -445,7 +448,7 @@
         "limits": {"max_header_bytes": 4_096, "max_body_bytes": 65_536, "header_timeout_ms": 600,
             "idle_timeout_ms": 5_000},
         "tenants": [
-            {"name": "one", "api_keys": [KEY], "priority": 1, "unit": "token_metered",
+            {"name": "one", "api_keys": [API_KEY], "priority": 1, "unit": "token_metered",
                 "plain_tokens": 10, "rate_per_s": 1_000_000, "burst": 1_000_000},
             {"name": "small", "api_keys": ["key-of-small"], "unit": "token_metered",
                 "plain_tokens": 10, "rate_per_s": 100, "burst": 100},
@@ -454,7 +457,7 @@
 }
 
 /// Starts a store with a configuration, and upstreams of the service `app`.
-pub fn platform(upstreams: &[&str]) -> (KvStandIn, Vec<UpstreamStandIn>) {
+pub fn start_platform(upstreams: &[&str]) -> (KvStandIn, Vec<UpstreamStandIn>) {
     let store = KvStandIn::start().unwrap();
     store.put("op/config", &config(1));
     let upstreams: Vec<_> = upstreams
@@ -468,7 +471,7 @@
 }
 
 /// Counts the runs of a request at all upstreams.
-pub fn runs_of(
+pub fn count_runs(
     upstreams: &[UpstreamStandIn],
     id: &str,
 ) -> usize {
--- a/crates/entry/tests/explained_failures.rs
+++ b/crates/entry/tests/explained_failures.rs
@@ -3,7 +3,7 @@
 mod deployment;
 
 use {
-    deployment::{Request, Vm, platform, until},
+    deployment::{Request, Vm, start_platform, wait_until},
     jasmine_ctl::trace::{Story, trace},
     jasmine_platform_stand_in::Behaviour,
     std::fs,
@@ -16,7 +16,7 @@
 ) -> Story {
     let path = std::env::temp_dir().join(format!("{}.log", vm.name));
     let mut story = None;
-    until("the end of the request is logged", || {
+    wait_until("the end of the request is logged", || {
         fs::write(&path, vm.log()).unwrap();
         let traced = trace(request.id(), std::slice::from_ref(&path)).unwrap();
         let has_end = traced.end().is_some();
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_refusal_for_rate_names_the_account() {
+fn a_rate_limit_refusal_names_the_account() {
     // Guards against a trace of a rate-limited request that doesn't name the account, or blames an upstream.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let mut refused = None;
     for _ in 0..30 {
         let request = Request::new("GET", "/read/").with("X-Api-Key", "key-of-small");
-        if vm.ask(&request).status == 429 {
+        if vm.send_request(&request).status == 429 {
             refused = Some(request);
             break;
         }
@@ -50,11 +50,11 @@
 #[test]
 fn an_unknown_outcome_names_the_upstream() {
     // Guards against a trace of a request with unknown outcome that doesn't name its upstream.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Reset);
     let request = Request::new("POST", "/write/").body(b"enrol");
-    assert_eq!(vm.ask(&request).status, 502);
+    assert_eq!(vm.send_request(&request).status, 502);
     let traced = trace_request(&vm, &request);
     let cause = traced.cause();
     assert!(
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn a_cut_stream_names_who_cut_it() {
+fn a_truncated_stream_names_the_upstream() {
     // Guards against a trace of a truncated stream without its upstream and the number of events forwarded.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::CutAfter(3));
     let request = Request::new("POST", "/once/").body(b"prompt");
-    assert!(!vm.ask(&request).is_whole);
+    assert!(!vm.send_request(&request).is_complete);
     let traced = trace_request(&vm, &request);
     assert!(
         traced
@@ -90,28 +90,28 @@
 #[test]
 fn a_refusal_without_a_configuration_says_so() {
     // Guards against a trace that blames upstreams for refusals by a VM without a configuration.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     store.set_outage(jasmine_platform_stand_in::Outage::Silent);
     let vm = Vm::start_unready(&store);
     let request = Request::new("GET", "/read/");
-    assert_eq!(vm.ask(&request).status, 503);
+    assert_eq!(vm.send_request(&request).status, 503);
     let traced = trace_request(&vm, &request);
     assert_eq!(traced.cause(), "This VM had no configuration yet.");
 }
 
 #[test]
-fn the_log_holds_no_key_and_no_body() {
-    let (store, _upstreams) = platform(&["s-1"]);
+fn the_log_contains_no_keys_or_bodies() {
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     for _ in 0..3 {
-        vm.ask(&Request::new("POST", "/write/").body(b"a secret prompt"));
-        vm.ask(&Request::new("GET", "/read/").with("X-Api-Key", "key-of-nobody"));
+        vm.send_request(&Request::new("POST", "/write/").body(b"a secret prompt"));
+        vm.send_request(&Request::new("GET", "/read/").with("X-Api-Key", "key-of-nobody"));
     }
-    until("the requests are logged", || {
+    wait_until("the requests are logged", || {
         vm.log().matches("request_ended").count() >= 3
     });
     let log = vm.log();
-    for secret in [deployment::KEY, "key-of-nobody", "a secret prompt"] {
+    for secret in [deployment::API_KEY, "key-of-nobody", "a secret prompt"] {
         assert!(!log.contains(secret), "{secret}");
     }
 }
--- a/crates/entry/tests/fault_soak.rs
+++ b/crates/entry/tests/fault_soak.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn promises_hold_under_faults() {
+fn invariants_hold_under_random_faults() {
     // Guards against requests that run twice, wrong outcomes, crossed responses and overfilled engines while processes,
     // links and the store fail at the same time.
     run_seeds(FIXED_SEEDS, DEFAULT_SECONDS);
--- a/crates/entry/tests/leader_changes.rs
+++ b/crates/entry/tests/leader_changes.rs
@@ -22,7 +22,7 @@
 };
 
 /// Timeout of each step.
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A VM's scheduling without the rest of the daemon.
 struct Node {
@@ -111,7 +111,7 @@
     }
 }
 
-async fn until<F>(mut is_met: F)
+async fn wait_until<F>(mut is_met: F)
 where
     F: FnMut() -> bool,
 {
@@ -120,7 +120,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waited)
+    timeout(TIMEOUT, waited)
         .await
         .expect("the condition holds in time");
 }
@@ -141,10 +141,10 @@
         let follower = node("follower", 0).await;
         old.scheduling.become_leader(Fence(1), RateShare::Fresh);
         follower.scheduling.observe_leader(old.leader.clone());
-        until(|| follower.scheduling.is_following()).await;
+        wait_until(|| follower.scheduling.is_following()).await;
         let scheduling = Rc::clone(&follower.scheduling);
         let pending = spawn_local(async move { scheduling.place(job()).await });
-        until(|| old.scheduling.local_scheduler.load().0 == 1).await;
+        wait_until(|| old.scheduling.local_scheduler.load().0 == 1).await;
 
         new.scheduling
             .local_scheduler
@@ -152,7 +152,7 @@
         new.scheduling.become_leader(Fence(2), RateShare::TakenOver);
         old.scheduling.observe_leader(new.leader.clone());
         follower.scheduling.observe_leader(new.leader.clone());
-        let placed = timeout(LIMIT, pending)
+        let placed = timeout(TIMEOUT, pending)
             .await
             .expect("decided in time")
             .unwrap();
@@ -174,14 +174,14 @@
         old.scheduling.become_leader(Fence(1), RateShare::Fresh);
         let scheduling = Rc::clone(&old.scheduling);
         let pending = spawn_local(async move { scheduling.place(job()).await });
-        until(|| old.scheduling.local_scheduler.load().0 == 1).await;
+        wait_until(|| old.scheduling.local_scheduler.load().0 == 1).await;
 
         new.scheduling
             .local_scheduler
             .set_upstream(&server("s-new"));
         new.scheduling.become_leader(Fence(2), RateShare::TakenOver);
         old.scheduling.observe_leader(new.leader.clone());
-        let placed = timeout(LIMIT, pending)
+        let placed = timeout(TIMEOUT, pending)
             .await
             .expect("decided in time")
             .unwrap();
@@ -205,7 +205,7 @@
             fence: Fence(7),
             is_leaving: false,
         });
-        let placed = timeout(LIMIT, follower.scheduling.place(job())).await;
+        let placed = timeout(TIMEOUT, follower.scheduling.place(job())).await;
         assert_eq!(
             placed
                 .expect("decided in time")
--- a/crates/entry/tests/request_smuggling.rs
+++ b/crates/entry/tests/request_smuggling.rs
@@ -2,7 +2,7 @@
 
 mod deployment;
 
-use deployment::{Request, Vm, platform};
+use deployment::{Request, Vm, start_platform};
 
 /// Invalid requests, each with what is wrong with it.
 fn bad_requests() -> Vec<(&'static str, Vec<u8>)> {
@@ -99,27 +99,27 @@
 #[test]
 fn ambiguous_requests_are_refused() {
     // Guards against request smuggling: a body that an upstream takes for a second request bypasses the key check.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     for (what, bytes) in bad_requests() {
-        let answer = vm.send(&bytes);
-        let status = answer.as_ref().map(|answer| answer.status);
-        assert_eq!(status, Some(400), "{what}: {answer:?}");
-        let closes = answer.and_then(|answer| answer.header("connection"));
+        let response = vm.send_raw(&bytes);
+        let status = response.as_ref().map(|response| response.status);
+        assert_eq!(status, Some(400), "{what}: {response:?}");
+        let closes = response.and_then(|response| response.header("connection"));
         assert_eq!(closes.as_deref(), Some("close"), "{what}");
     }
     assert_eq!(upstreams[0].executed(), [], "none of the requests ran");
-    assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
+    assert_eq!(vm.send_request(&Request::new("GET", "/read/")).status, 200);
 }
 
 #[test]
-fn a_request_inside_a_body_stays_a_body() {
+fn a_request_inside_a_body_is_not_executed() {
     // Guards against a body that looks like a request being taken for one.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let inner = Request::new("GET", "/write/inner").bytes();
     let outer = Request::new("GET", "/read/outer").body(&inner);
-    assert_eq!(vm.ask(&outer).status, 200);
+    assert_eq!(vm.send_request(&outer).status, 200);
     let ran = upstreams[0].executed();
     assert_eq!(ran.len(), 1);
     assert_eq!(
@@ -129,15 +129,15 @@
 }
 
 #[test]
-fn what_is_too_large_or_slow_is_refused() {
+fn oversized_and_slow_requests_are_refused() {
     // Guards against callers that occupy memory or connections with oversized or very slow requests.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let long = Request::new("GET", "/read/").with("X-Long", &"a".repeat(5_000));
-    assert_eq!(vm.ask(&long).status, 431);
+    assert_eq!(vm.send_request(&long).status, 431);
     let big = Request::new("POST", "/write/").body(&vec![b'a'; 70_000]);
-    assert_eq!(vm.ask(&big).status, 413);
-    let slow = vm.send(b"GET /read/ HTTP/1.1\r\nHost: app").unwrap();
+    assert_eq!(vm.send_request(&big).status, 413);
+    let slow = vm.send_raw(b"GET /read/ HTTP/1.1\r\nHost: app").unwrap();
     assert_eq!(slow.status, 408);
     assert_eq!(upstreams[0].executed(), []);
 }
--- a/crates/entry/tests/soak/callers.rs
+++ b/crates/entry/tests/soak/callers.rs
@@ -1,5 +1,5 @@
 use {
-    crate::deployment::{Answer, Request, read_answer},
+    crate::deployment::{Request, Response, read_response},
     std::{
         io::Write,
         net::{SocketAddr, TcpStream},
@@ -31,7 +31,7 @@
 /// The result of a request as its caller sees it.
 #[derive(Clone, Debug)]
 pub enum CallResult {
-    Response(Answer),
+    Response(Response),
     NoResponse,
 }
 
@@ -98,7 +98,8 @@
             request_number += 1;
             let req = request(method, target, request_number);
             let result = call(&mut stream, &req);
-            let can_reuse = matches!(&result, CallResult::Response(answer) if is_reusable(answer));
+            let can_reuse =
+                matches!(&result, CallResult::Response(response) if is_reusable(response));
             let id = req.id().to_owned();
             let record = Record { id, target, result };
             records.lock().unwrap().push(record);
@@ -135,12 +136,12 @@
     if stream.write_all(&req.bytes()).is_err() {
         return CallResult::NoResponse;
     }
-    read_answer(stream).map_or(CallResult::NoResponse, CallResult::Response)
+    read_response(stream).map_or(CallResult::NoResponse, CallResult::Response)
 }
 
-fn is_reusable(answer: &Answer) -> bool {
-    let closes = answer
+fn is_reusable(response: &Response) -> bool {
+    let closes = response
         .header("connection")
         .is_some_and(|value| value == "close");
-    answer.is_whole && !closes
+    response.is_complete && !closes
 }
--- a/crates/entry/tests/soak/checks.rs
+++ b/crates/entry/tests/soak/checks.rs
@@ -5,7 +5,7 @@
         callers::{CallResult, Record},
         cluster::{Cluster, EVENTS},
     },
-    crate::deployment::{Answer, KEY},
+    crate::deployment::{API_KEY, Response},
     jasmine_platform_stand_in::{RecordedRequest, UpstreamStandIn},
     std::collections::HashMap,
 };
@@ -38,7 +38,7 @@
     }
     violations.extend(seen.iter().filter_map(check_headers));
     violations.extend(check_engine(cluster));
-    if cluster.logs().contains(KEY) {
+    if cluster.logs().contains(API_KEY) {
         violations.push("an API key is in the logs".to_owned());
     }
     violations.extend(check_availability(records));
@@ -69,13 +69,17 @@
     }
     match &record.result {
         _ if runs > 1 => Some(format!("{} ran {runs} times", record.id)),
-        CallResult::Response(answer) if NOT_RUN_STATUSES.contains(&answer.status) && runs > 0 => {
+        CallResult::Response(response)
+            if NOT_RUN_STATUSES.contains(&response.status) && runs > 0 =>
+        {
             Some(format!(
                 "{} ran, but its status is {}",
-                record.id, answer.status
+                record.id, response.status
             ))
         }
-        CallResult::Response(answer) if answer.status == 200 && answer.is_whole && runs == 0 => {
+        CallResult::Response(response)
+            if response.status == 200 && response.is_complete && runs == 0 =>
+        {
             Some(format!("{} succeeded, but never ran", record.id))
         }
         _ => None,
@@ -84,21 +88,21 @@
 
 /// A successful response belongs to its request and is complete.
 fn check_response(record: &Record) -> Option<String> {
-    let CallResult::Response(answer) = &record.result else {
+    let CallResult::Response(response) = &record.result else {
         return None;
     };
-    if answer.status != 200 {
+    if response.status != 200 {
         return None;
     }
-    let id = answer.header("x-request-id");
-    let text = answer.text();
+    let id = response.header("x-request-id");
+    let text = response.text();
     match record.target {
         _ if id.as_deref() != Some(&record.id) => {
             Some(format!("{} got the response to {id:?}", record.id))
         }
-        "/flow/x" => check_stream(record, answer),
+        "/flow/x" => check_stream(record, response),
         "/model/x" => None,
-        _ if answer.is_whole && !COMPLETE_BODIES.contains(&text.as_str()) => {
+        _ if response.is_complete && !COMPLETE_BODIES.contains(&text.as_str()) => {
             Some(format!("{} got the unexpected body {text:?}", record.id))
         }
         _ => None,
@@ -108,9 +112,9 @@
 /// A stream has each event once and in order, and isn't complete before its last event.
 fn check_stream(
     record: &Record,
-    answer: &Answer,
+    response: &Response,
 ) -> Option<String> {
-    let text = answer.text();
+    let text = response.text();
     let ids: Vec<u64> = text
         .split("\n\n")
         .filter(|event| event.contains("data: piece-"))
@@ -118,15 +122,19 @@
         .filter_map(|id| id.parse().ok())
         .collect();
     let is_in_order = ids.iter().copied().eq(1..=ids.len() as u64);
-    let is_incomplete = answer.is_whole && ids.len() as u64 != EVENTS;
-    (!is_in_order || is_incomplete)
-        .then(|| format!("{}: events {ids:?}, whole {}", record.id, answer.is_whole))
+    let is_incomplete = response.is_complete && ids.len() as u64 != EVENTS;
+    (!is_in_order || is_incomplete).then(|| {
+        format!(
+            "{}: events {ids:?}, whole {}",
+            record.id, response.is_complete
+        )
+    })
 }
 
 /// Upstreams get the right account and never an API key.
 fn check_headers(seen: &RecordedRequest) -> Option<String> {
     let id = seen.headers.get("x-request-id");
-    let has_key = seen.headers.values().any(|value| value.contains(KEY));
+    let has_key = seen.headers.values().any(|value| value.contains(API_KEY));
     let account = seen.headers.get("x-tenant").map(String::as_str);
     match account {
         _ if has_key => Some(format!("{id:?}: the API key was forwarded to an upstream")),
@@ -160,6 +168,6 @@
     }
 
     fn is_served(&self) -> bool {
-        matches!(&self.result, CallResult::Response(answer) if answer.status == 200 && answer.is_whole)
+        matches!(&self.result, CallResult::Response(response) if response.status == 200 && response.is_complete)
     }
 }
--- a/crates/entry/tests/soak/cluster.rs
+++ b/crates/entry/tests/soak/cluster.rs
@@ -1,6 +1,6 @@
 use {
     super::fault::{Fault, UPSTREAMS, VMS},
-    crate::deployment::{self, LIMIT, Request, Vm, exchange},
+    crate::deployment::{self, Request, TIMEOUT, Vm, exchange},
     jasmine_platform_stand_in::{Behaviour, EngineStandIn, KvStandIn, Outage, UpstreamStandIn},
     jasmine_testkit::proxy::{Link, Proxy},
     nix::sys::signal::Signal,
@@ -90,7 +90,7 @@
             let vms = cluster.slots.iter().filter_map(|slot| slot.vm.as_ref());
             vms.filter(|vm| vm.is_ready()).count() == VMS
         };
-        deployment::until("all are ready", all_ready);
+        deployment::wait_until("all are ready", all_ready);
         cluster
     }
 
@@ -99,7 +99,7 @@
         name: String,
     ) {
         let store_link = start_proxy(self.store.address());
-        let vm = Vm::start_before(store_link.address(), &name);
+        let vm = Vm::start_with_store(store_link.address(), &name);
         self.slots.push(VmSlot {
             name,
             store_link,
@@ -206,7 +206,7 @@
             slot.resumes_at = slot.resumes_at.map(|_| Instant::now());
         }
         let began = Instant::now();
-        while began.elapsed() < LIMIT && !self.slots.iter().all(VmSlot::is_running) {
+        while began.elapsed() < TIMEOUT && !self.slots.iter().all(VmSlot::is_running) {
             self.step();
             thread::sleep(Duration::from_millis(10));
         }
@@ -225,10 +225,10 @@
                 let began = Instant::now();
                 let mut last = None;
                 let is_served = |status: &Option<u16>| *status == Some(200);
-                while began.elapsed() < LIMIT && !is_served(&last) {
+                while began.elapsed() < TIMEOUT && !is_served(&last) {
                     let req = Request::new(method, target).body(b"again");
-                    let answer = exchange(slot.caller_link.address(), &req.bytes());
-                    last = answer.map(|answer| answer.status);
+                    let response = exchange(slot.caller_link.address(), &req.bytes());
+                    last = response.map(|response| response.status);
                     thread::sleep(Duration::from_millis(50));
                 }
                 if !is_served(&last) {
@@ -248,7 +248,7 @@
         signal: Signal,
     ) {
         if let Some(vm) = &mut self.slots[vm].vm
-            && !vm.has_ended()
+            && !vm.has_exited()
         {
             vm.signal(signal);
         }
@@ -309,11 +309,11 @@
         if let Some(vm) = &mut self.vm {
             if self.resumes_at.is_some_and(|at| at <= now) {
                 self.resumes_at = None;
-                if !vm.has_ended() {
+                if !vm.has_exited() {
                     vm.signal(Signal::SIGCONT);
                 }
             }
-            if vm.has_ended() {
+            if vm.has_exited() {
                 self.log.push_str(&vm.log());
                 self.vm = None;
                 self.resumes_at = None;
@@ -322,7 +322,7 @@
         }
         if self.starts_at.is_some_and(|at| at <= now) {
             self.starts_at = None;
-            let vm = Vm::start_before(self.store_link.address(), &self.name);
+            let vm = Vm::start_with_store(self.store_link.address(), &self.name);
             self.caller_link.retarget(vm.callers);
             self.is_stopping = false;
             self.vm = Some(vm);
--- a/crates/entry/tests/store_changes_relay.rs
+++ b/crates/entry/tests/store_changes_relay.rs
@@ -3,7 +3,7 @@
 mod deployment;
 
 use {
-    deployment::{LIMIT, Request, Vm, config, platform, until},
+    deployment::{Request, TIMEOUT, Vm, config, start_platform, wait_until},
     jasmine_testkit::proxy::{Fault, Proxy},
     nix::sys::signal::Signal,
     serde_json::json,
@@ -31,13 +31,13 @@
     vm: &Vm,
     path: &str,
 ) -> bool {
-    vm.ask(&Request::new("GET", path)).status == 200
+    vm.send_request(&Request::new("GET", path)).status == 200
 }
 
 #[test]
 fn few_vms_read_the_store() {
     // Guards against store load that grows with the number of VMs: only the relay and the leader read the store.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vms: Vec<Vm> = (0..12).map(|_| Vm::start(&store)).collect();
     thread::sleep(Duration::from_millis(1_500));
     let (before, began) = (store.calls(), Instant::now());
@@ -45,7 +45,7 @@
         let path = format!("/moved-{version}/");
         store.put("op/config", &moved(version, &path));
         for vm in &vms {
-            until("the configuration is applied", || is_served(vm, &path));
+            wait_until("the configuration is applied", || is_served(vm, &path));
         }
         thread::sleep(Duration::from_millis(700));
     }
@@ -60,7 +60,7 @@
 #[test]
 fn a_relay_cut_off_from_the_store_is_replaced() {
     // Guards against stale configuration, such as a revoked key, on all VMs when the relay loses the store unnoticed.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let links: Vec<Proxy> = (0..3)
         .map(|_| Proxy::start(SocketAddr::from(([127, 0, 0, 1], 0)), store.address()).unwrap())
         .collect();
@@ -69,13 +69,13 @@
         .enumerate()
         .map(|(number, link)| {
             let name = format!("handed-{}-{number}", std::process::id());
-            Vm::start_before(link.address(), &name)
+            Vm::start_with_store(link.address(), &name)
         })
         .collect();
     for vm in &vms {
-        until("it is ready", || vm.is_ready());
-        until("a leader is known", || {
-            !vm.logged("lead_taken").is_empty() || !vm.logged("leader_followed").is_empty()
+        wait_until("it is ready", || vm.is_ready());
+        wait_until("a leader is known", || {
+            !vm.log_lines("lead_taken").is_empty() || !vm.log_lines("leader_followed").is_empty()
         });
     }
     thread::sleep(Duration::from_millis(1_500));
@@ -86,14 +86,14 @@
         let began = Instant::now();
         store.put("op/config", &moved(version, &path));
         for (_, vm) in vms.iter().enumerate().filter(|&(number, _)| number != cut) {
-            until("the configuration is applied", || is_served(vm, &path));
+            wait_until("the configuration is applied", || is_served(vm, &path));
         }
         let took = began.elapsed();
         println!("applied after {} ms", took.as_millis());
         assert!(took < Duration::from_secs(2), "{took:?}");
         link.set_mode(Fault::Pass);
         let vm = &vms[cut];
-        until("it reads changes again", || is_served(vm, &path));
+        wait_until("it reads changes again", || is_served(vm, &path));
         thread::sleep(Duration::from_millis(3_300));
     }
 }
@@ -101,7 +101,7 @@
 #[test]
 fn a_suspended_relay_is_replaced() {
     // Guards against waiting forever for a suspended relay, whose connections stay open.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vms: Vec<Vm> = (0..3).map(|_| Vm::start(&store)).collect();
     thread::sleep(Duration::from_millis(1_500));
     for suspended in 0..vms.len() {
@@ -115,7 +115,7 @@
             .enumerate()
             .filter(|&(number, _)| number != suspended)
         {
-            until("the configuration is applied", || is_served(vm, &path));
+            wait_until("the configuration is applied", || is_served(vm, &path));
         }
         assert!(
             began.elapsed() < Duration::from_secs(2),
@@ -123,10 +123,10 @@
             began.elapsed()
         );
         vms[suspended].signal(Signal::SIGCONT);
-        until("it reads changes again", || {
+        wait_until("it reads changes again", || {
             is_served(&vms[suspended], &path)
         });
-        assert!(began.elapsed() < LIMIT);
+        assert!(began.elapsed() < TIMEOUT);
         thread::sleep(Duration::from_millis(500));
     }
 }
--- a/crates/entry/tests/store_outages.rs
+++ b/crates/entry/tests/store_outages.rs
@@ -3,7 +3,7 @@
 mod deployment;
 
 use {
-    deployment::{Request, Vm, platform, until},
+    deployment::{Request, Vm, start_platform, wait_until},
     jasmine_platform_stand_in::{Outage, UpstreamStandIn},
     serde_json::json,
     std::{thread, time::Duration},
@@ -12,7 +12,7 @@
 #[test]
 fn callers_are_served_through_an_outage() {
     // Guards against failed requests during a store outage: VMs keep the last known state.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     for outage in [
         Outage::Unavailable,
@@ -24,7 +24,7 @@
         store.set_outage(outage);
         thread::sleep(Duration::from_millis(300));
         assert_eq!(
-            vm.ask(&Request::new("GET", "/read/")).status,
+            vm.send_request(&Request::new("GET", "/read/")).status,
             200,
             "{outage:?}"
         );
@@ -34,31 +34,31 @@
     let mut next = deployment::config(9);
     next["routes"][0]["path_prefix"] = json!("/moved/");
     store.put("op/config", &next);
-    until("it reads changes again", || {
-        vm.ask(&Request::new("GET", "/moved/")).status == 200
+    wait_until("it reads changes again", || {
+        vm.send_request(&Request::new("GET", "/moved/")).status == 200
     });
 }
 
 #[test]
 fn a_start_without_the_store_waits_for_it() {
     // Guards against a VM that serves requests, or reports ready, before it has read its configuration.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     store.set_outage(Outage::Silent);
     let vm = Vm::start_unready(&store);
     assert!(!vm.is_ready());
-    let answer = vm.ask(&Request::new("GET", "/read/"));
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    let response = vm.send_request(&Request::new("GET", "/read/"));
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     assert_eq!(upstreams[0].executed(), []);
     store.set_outage(Outage::None);
-    until("it is ready", || vm.is_ready());
-    assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
+    wait_until("it is ready", || vm.is_ready());
+    assert_eq!(vm.send_request(&Request::new("GET", "/read/")).status, 200);
 }
 
 #[test]
 fn lost_history_triggers_a_full_read() {
     // Guards against missing changes for good when the store drops the history that contains them.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     store.set_outage(Outage::Unavailable);
     thread::sleep(Duration::from_millis(100));
@@ -67,17 +67,17 @@
     store.put("op/config", &next);
     store.compact_history();
     store.set_outage(Outage::None);
-    until("the change is applied", || {
-        vm.ask(&Request::new("GET", "/moved/")).status == 200
+    wait_until("the change is applied", || {
+        vm.send_request(&Request::new("GET", "/moved/")).status == 200
     });
     // Log lines are written with a delay.
-    until("it is logged", || !vm.logged("history_lost").is_empty());
+    wait_until("it is logged", || !vm.log_lines("history_lost").is_empty());
 }
 
 #[test]
 fn malformed_entries_are_skipped() {
     // Guards against malformed upstream entries from other writers affecting the valid ones.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let valid = upstreams[0].entry("app", "one", "ready");
     let broken = |change: &dyn Fn(&mut serde_json::Value)| {
@@ -98,18 +98,18 @@
         store.put_bytes(&format!("servers/bad-{at}"), value);
     }
     store.put_bytes("op/version/base.a1", b"[]");
-    until("all were read", || {
-        vm.logged("entry_unreadable").len() >= values.len()
+    wait_until("all were read", || {
+        vm.log_lines("entry_unreadable").len() >= values.len()
     });
     for _ in 0..5 {
-        assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
+        assert_eq!(vm.send_request(&Request::new("GET", "/read/")).status, 200);
     }
 }
 
 #[test]
 fn a_leaving_upstream_gets_no_new_requests() {
     // Guards against new requests to an upstream that is draining or whose entry was removed.
-    let (store, upstreams) = platform(&["s-1", "s-2", "s-3"]);
+    let (store, upstreams) = start_platform(&["s-1", "s-2", "s-3"]);
     let vm = Vm::start(&store);
     store.put(
         &upstreams[0].key(),
@@ -120,7 +120,7 @@
     let run_count = |upstream: &UpstreamStandIn| upstream.executed().len();
     let (first, second) = (run_count(&upstreams[0]), run_count(&upstreams[1]));
     for _ in 0..10 {
-        assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
+        assert_eq!(vm.send_request(&Request::new("GET", "/read/")).status, 200);
     }
     assert_eq!(run_count(&upstreams[0]), first);
     assert_eq!(run_count(&upstreams[1]), second);
@@ -129,24 +129,24 @@
 /// Guards against missing a removed upstream when the entries span several pages of the store.
 #[test]
 fn paged_reads_detect_removed_upstreams() {
-    let (store, upstreams) = platform(&["s-1", "s-2"]);
+    let (store, upstreams) = start_platform(&["s-1", "s-2"]);
     for number in 0..40 {
         let key = format!("servers/r-{number:02}");
         store.put(&key, &upstreams[0].entry("spare", "one", "ready"));
     }
     let vm = Vm::start(&store);
-    until("all were read", || !vm.logged("store_read").is_empty());
+    wait_until("all were read", || !vm.log_lines("store_read").is_empty());
     store.set_outage(Outage::Unavailable);
     thread::sleep(Duration::from_millis(100));
     store.remove(&upstreams[1].key());
     store.compact_history();
     store.set_outage(Outage::None);
-    until("the removal is known", || {
-        !vm.logged("upstream_gone").is_empty()
+    wait_until("the removal is known", || {
+        !vm.log_lines("upstream_gone").is_empty()
     });
     let before = upstreams[1].executed().len();
     for _ in 0..10 {
-        assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 200);
+        assert_eq!(vm.send_request(&Request::new("GET", "/read/")).status, 200);
     }
     assert_eq!(upstreams[1].executed().len(), before);
 }
--- a/crates/entry/tests/unfenced_engines.rs
+++ b/crates/entry/tests/unfenced_engines.rs
@@ -3,7 +3,7 @@
 mod deployment;
 
 use {
-    deployment::{Request, Vm, platform, until},
+    deployment::{Request, Vm, start_platform, wait_until},
     jasmine_platform_stand_in::{EngineStandIn, KvStandIn},
     jasmine_testkit::proxy::{Fault, Proxy},
     nix::sys::signal::Signal,
@@ -30,12 +30,12 @@
     is_first: bool,
 ) -> Vm {
     let name = format!("{name}-{}", std::process::id());
-    let vm = Vm::start_with(store, &name, |settings| {
+    let vm = Vm::start_with_settings(store, &name, |settings| {
         settings["engines_check_fences"] = false.into();
         settings["first_start"] = is_first.into();
         settings["order_gap_ms"] = (ORDER_GAP.as_millis() as u64).into();
     });
-    until("it is ready", || vm.is_ready());
+    wait_until("it is ready", || vm.is_ready());
     vm
 }
 
@@ -58,39 +58,41 @@
 }
 
 fn leads(vm: &Vm) -> bool {
-    !vm.logged("lead_taken").is_empty()
+    !vm.log_lines("lead_taken").is_empty()
 }
 
 #[test]
 fn a_leader_cut_off_from_the_store_keeps_leading() {
     // Guards against a leader change, and delayed adapter loads, when only the leader loses the store: another VM renews
     // its lease for it.
-    let (store, _) = platform(&[]);
+    let (store, _) = start_platform(&[]);
     let _engines = engines(&store);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let link = Proxy::start(any, store.address()).unwrap();
     let leader = start(link.address(), "cut-leader");
-    until("it leads", || leads(&leader));
+    wait_until("it leads", || leads(&leader));
     let others = [
         start(store.address(), "cut-other-1"),
         start(store.address(), "cut-other-2"),
     ];
     for other in &others {
-        until("it follows", || !other.logged("leader_followed").is_empty());
+        wait_until("it follows", || {
+            !other.log_lines("leader_followed").is_empty()
+        });
     }
-    assert_eq!(others[0].ask(&generation("a1")).status, 200);
+    assert_eq!(others[0].send_request(&generation("a1")).status, 200);
     thread::sleep(Duration::from_millis(800));
     link.set_mode(Fault::Cut);
     let began = Instant::now();
     let mut adapter = 2;
     while began.elapsed() < ORDER_GAP + Duration::from_secs(1) {
         let asked = Instant::now();
-        let answer = others[1].ask(&generation(&format!("a{adapter}")));
+        let response = others[1].send_request(&generation(&format!("a{adapter}")));
         assert_eq!(
-            answer.status,
+            response.status,
             200,
             "a{adapter}: {}\n{}",
-            answer.text(),
+            response.text(),
             leader.log()
         );
         let took = asked.elapsed();
@@ -111,24 +113,26 @@
 fn a_planned_stop_leaves_engines_to_order() {
     // Guards against a planned restart of the leader delaying all adapter loads by the order gap: half of the engines get
     // no more orders before the handover.
-    let (store, _) = platform(&[]);
+    let (store, _) = start_platform(&[]);
     let engines = engines(&store);
     let leader = start(store.address(), "stop-leader");
-    until("it leads", || leads(&leader));
+    wait_until("it leads", || leads(&leader));
     let next = start(store.address(), "stop-next");
-    until("it follows", || !next.logged("leader_followed").is_empty());
+    wait_until("it follows", || {
+        !next.log_lines("leader_followed").is_empty()
+    });
     for adapter in ["a1", "a2", "a3", "a4"] {
-        assert_eq!(next.ask(&generation(adapter)).status, 200);
+        assert_eq!(next.send_request(&generation(adapter)).status, 200);
     }
     leader.signal(Signal::SIGTERM);
     let began = Instant::now();
     let mut slowest = Duration::ZERO;
     let mut adapter = 5;
     while !leads(&next) || began.elapsed() < Duration::from_millis(4_500) {
-        assert!(began.elapsed() < deployment::LIMIT, "the other VM leads");
+        assert!(began.elapsed() < deployment::TIMEOUT, "the other VM leads");
         let asked = Instant::now();
-        let answer = next.ask(&generation(&format!("a{adapter}")));
-        assert_eq!(answer.status, 200, "a{adapter}: {}", answer.text());
+        let response = next.send_request(&generation(&format!("a{adapter}")));
+        assert_eq!(response.status, 200, "a{adapter}: {}", response.text());
         slowest = slowest.max(asked.elapsed());
         adapter = adapter % 9 + 1;
         thread::sleep(Duration::from_millis(100));
@@ -144,20 +148,20 @@
 #[test]
 fn after_a_power_loss_the_last_leader_leads() {
     // Guards against another VM taking over after all VMs restart: it would have to wait for the order gap before loads.
-    let (store, _) = platform(&[]);
+    let (store, _) = start_platform(&[]);
     let engines = engines(&store);
     let names = ["power-1", "power-2", "power-3"];
     let mut vms = Vec::new();
     for name in names {
         let vm = start(store.address(), name);
-        until("a leader is known", || {
-            leads(&vm) || !vm.logged("leader_followed").is_empty()
+        wait_until("a leader is known", || {
+            leads(&vm) || !vm.log_lines("leader_followed").is_empty()
         });
         vms.push(vm);
     }
     let first = vms.iter().position(leads).expect("one leads");
     for adapter in ["a1", "a2", "a3"] {
-        assert_eq!(vms[0].ask(&generation(adapter)).status, 200);
+        assert_eq!(vms[0].send_request(&generation(adapter)).status, 200);
     }
     drop(vms);
     thread::sleep(Duration::from_millis(1_500));
@@ -169,10 +173,10 @@
         let started = starting.into_iter().map(|vm| vm.join().unwrap());
         started.collect()
     });
-    until("one leads", || restarted.iter().any(leads));
+    wait_until("one leads", || restarted.iter().any(leads));
     assert!(leads(&restarted[first]), "the previous leader leads again");
     let asked = Instant::now();
-    assert_eq!(restarted[0].ask(&generation("a9")).status, 200);
+    assert_eq!(restarted[0].send_request(&generation("a9")).status, 200);
     let took = asked.elapsed();
     assert!(took < Duration::from_millis(1_500), "{took:?}");
     for engine in &engines {
--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -3,25 +3,25 @@
 mod deployment;
 
 use {
-    deployment::{KEY, Request, Vm, platform, runs_of, until},
+    deployment::{API_KEY, Request, Vm, count_runs, start_platform, wait_until},
     jasmine_platform_stand_in::Behaviour,
     std::{io::Write, net::TcpStream},
 };
 
 #[test]
-fn each_kind_is_served() {
-    let (store, upstreams) = platform(&["s-1"]);
+fn each_route_kind_is_served() {
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     upstreams[0].next(Behaviour::Answer(b"status".to_vec()));
-    let read = vm.ask(&Request::new("GET", "/read/a?b=c"));
+    let read = vm.send_request(&Request::new("GET", "/read/a?b=c"));
     assert_eq!((read.status, read.text().as_str()), (200, "status"));
     assert_eq!(read.header("x-server-seal").as_deref(), Some("seal"));
     let write = Request::new("POST", "/write/x").body(b"enrol");
-    assert_eq!(vm.ask(&write).status, 200);
-    assert_eq!(runs_of(&upstreams, write.id()), 1);
+    assert_eq!(vm.send_request(&write).status, 200);
+    assert_eq!(count_runs(&upstreams, write.id()), 1);
     upstreams[0].next(Behaviour::Events(3));
-    let stream = vm.ask(&Request::new("POST", "/stream/x").body(b"prompt"));
-    assert!(stream.is_whole);
+    let stream = vm.send_request(&Request::new("POST", "/stream/x").body(b"prompt"));
+    assert!(stream.is_complete);
     assert_eq!(
         stream.text(),
         "id: 1\ndata: piece-1\n\nid: 2\ndata: piece-2\n\nid: 3\ndata: piece-3\n\n"
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn upstreams_get_our_words_for_the_callers() {
+fn callers_cannot_set_platform_headers() {
     // Guards against forwarding callers' API keys, or platform headers with which a caller could act as another account.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let request = Request::new("GET", "/read/a")
         .with("X-Tenant", "another")
@@ -46,7 +46,7 @@
         .with("X-Own", "kept")
         .with("Connection", "x-request-id, x-dropped")
         .with("X-Dropped", "1");
-    assert_eq!(vm.ask(&request).status, 200);
+    assert_eq!(vm.send_request(&request).status, 200);
     let seen = upstreams[0].executed().remove(0).headers;
     let got = |name: &str| seen.get(name).map(String::as_str);
     assert_eq!(got("x-tenant"), Some("one"));
@@ -63,16 +63,16 @@
     ] {
         assert_eq!(got(dropped), None, "{dropped}");
     }
-    assert!(!format!("{seen:?}").contains(KEY));
+    assert!(!format!("{seen:?}").contains(API_KEY));
     let patience: u64 = got("x-deadline-ms").unwrap().parse().unwrap();
     assert!((4_000..=5_000).contains(&patience), "{patience}");
 }
 
 #[test]
 fn keys_and_routes_are_checked() {
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
-    let status = |request: Request| vm.ask(&request).status;
+    let status = |request: Request| vm.send_request(&request).status;
     assert_eq!(status(Request::new("GET", "/nowhere/")), 404);
     assert_eq!(status(Request::new("GET", "/read")), 404);
     assert_eq!(
@@ -96,16 +96,16 @@
 }
 
 #[test]
-fn an_account_over_its_rate_is_told_when_to_come_back() {
+fn a_rate_limited_account_gets_a_retry_delay() {
     // Guards against a `Retry-After` that is missing or shorter than the account needs to earn its tokens.
-    let (store, upstreams) = platform(&["s-1"]);
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let request = || Request::new("GET", "/read/").with("X-Api-Key", "key-of-small");
     let mut refused = None;
     for _ in 0..30 {
-        let answer = vm.ask(&request());
-        if answer.status == 429 {
-            refused = Some(answer);
+        let response = vm.send_request(&request());
+        if response.status == 429 {
+            refused = Some(response);
             break;
         }
     }
@@ -115,7 +115,7 @@
     let ran = upstreams[0].executed().len();
     std::thread::sleep(std::time::Duration::from_secs_f64(delay + 0.02));
     assert_eq!(
-        vm.ask(&request()).status,
+        vm.send_request(&request()).status,
         200,
         "served after the retry delay"
     );
@@ -123,17 +123,17 @@
 }
 
 #[test]
-fn a_connection_serves_many_requests() {
-    let (store, upstreams) = platform(&["s-1"]);
+fn connections_are_reused() {
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let mut stream = TcpStream::connect(vm.callers).unwrap();
     for _ in 0..5 {
         stream
             .write_all(&Request::new("GET", "/read/").bytes())
             .unwrap();
-        let answer = deployment::read_answer(&mut stream).unwrap();
-        assert_eq!(answer.status, 200);
-        assert_eq!(answer.header("connection"), None);
+        let response = deployment::read_response(&mut stream).unwrap();
+        assert_eq!(response.status, 200);
+        assert_eq!(response.header("connection"), None);
     }
     assert!(
         upstreams[0].connections() <= 2,
@@ -142,33 +142,33 @@
 }
 
 #[test]
-fn a_body_in_chunks_arrives_whole() {
-    let (store, upstreams) = platform(&["s-1"]);
+fn a_chunked_body_is_forwarded() {
+    let (store, upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let mut bytes = Request::new("POST", "/write/")
         .with("Transfer-Encoding", "chunked")
         .bytes();
     bytes.extend_from_slice(b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
-    assert_eq!(vm.send(&bytes).unwrap().status, 200);
+    assert_eq!(vm.send_raw(&bytes).unwrap().status, 200);
     assert_eq!(upstreams[0].executed()[0].body, b"abcde");
 }
 
 #[test]
-fn a_change_is_in_force_soon() {
+fn a_configuration_change_is_applied() {
     // Guards against VMs that keep an old configuration, or replace it by an even older one.
-    let (store, _upstreams) = platform(&["s-1"]);
+    let (store, _upstreams) = start_platform(&["s-1"]);
     let vm = Vm::start(&store);
     let mut next = deployment::config(5);
     next["routes"][0]["path_prefix"] = serde_json::json!("/moved/");
     store.put("op/config", &next);
-    until("the new route is served", || {
-        vm.ask(&Request::new("GET", "/moved/")).status == 200
+    wait_until("the new route is served", || {
+        vm.send_request(&Request::new("GET", "/moved/")).status == 200
     });
-    assert_eq!(vm.ask(&Request::new("GET", "/read/")).status, 404);
+    assert_eq!(vm.send_request(&Request::new("GET", "/read/")).status, 404);
     store.put("op/config", &deployment::config(4));
     std::thread::sleep(std::time::Duration::from_millis(1_500));
     assert_eq!(
-        vm.ask(&Request::new("GET", "/moved/")).status,
+        vm.send_request(&Request::new("GET", "/moved/")).status,
         200,
         "an older configuration is not applied"
     );
