--- a/crates/gateway/src/brain/configuration.rs
+++ b/crates/gateway/src/brain/configuration.rs
@@ -234,7 +234,7 @@
                 .with("newer_run", is_superseded)
                 .error();
             self.ledger.discard_all();
-            self.readiness.ask_to_stop();
+            self.readiness.request_stop();
             return None;
         }
         self.ledger.set_peers(self.members.holders());
--- a/crates/gateway/src/brain/state.rs
+++ b/crates/gateway/src/brain/state.rs
@@ -157,7 +157,7 @@
             .set_confirmed(confirmed && self.tree.is_some());
         self.rights_availability.tick(now);
         self.readiness
-            .set_settled(self.rights_availability.is_startup_complete(now));
+            .set_rights_available(self.rights_availability.is_startup_complete(now));
         let actions = self.router.tick(now);
         self.effects.extend(actions.into_iter().map(Effect::from));
         let mut take_requests = self.ledger.due_resends(now);
--- a/crates/gateway/src/status/readiness.rs
+++ b/crates/gateway/src/status/readiness.rs
@@ -31,7 +31,7 @@
     }
 
     /// Sets whether the rights for admission are available.
-    pub fn set_settled(
+    pub fn set_rights_available(
         &self,
         is_available: bool,
     ) {
@@ -66,7 +66,7 @@
     }
 
     /// Requests a planned shutdown, after which the process is restarted.
-    pub fn ask_to_stop(&self) {
+    pub fn request_stop(&self) {
         self.stop_notify.notify_one();
     }
 
--- a/crates/gateway/tests/decoders.rs
+++ b/crates/gateway/tests/decoders.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn sse_pieces() {
+fn sse_split_does_not_matter() {
     // Guards against results that depend on how the stream is split into packets.
     bolero::check!()
         .with_type::<(Vec<u8>, u8)>()
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn sse_events() {
+fn sse_events_are_unchanged() {
     // Guards against changed event data.
     bolero::check!()
         .with_type::<Vec<(u64, String)>>()
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn sse_bound() {
+fn sse_line_length_is_limited() {
     let mut decoder = Decoder::default();
     let mut refused = false;
     let piece = "x".repeat(64 << 10);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn body_bounds() {
+fn charge_covers_body_and_max_tokens() {
     // Guards against charging less than one token per byte, and against sending another `max_tokens`
     // than was charged.
     bolero::check!()
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn key_in_body() {
+fn key_in_body_is_found() {
     // Guards against missing a JSON-escaped key at any position.
     bolero::check!()
         .with_type::<(String, String, u8)>()
--- a/crates/gateway/tests/gateway/bad_input.rs
+++ b/crates/gateway/tests/gateway/bad_input.rs
@@ -23,7 +23,7 @@
 }
 
 #[actix_rt::test]
-async fn wrong_requests() {
+async fn invalid_requests() {
     let fixture = GatewayFixture::start(strict_limits()).await;
     let chat = |body| {
         fixture
@@ -178,7 +178,7 @@
 }
 
 #[actix_rt::test]
-async fn rate_used_up() {
+async fn requests_over_the_rate_are_refused() {
     // Guards against delaying requests over the rate instead of refusing them with a retry time.
     let fixture = GatewayFixture::start(FixtureSettings {
         rate: 500,
--- a/crates/gateway/tests/gateway/broken_streams.rs
+++ b/crates/gateway/tests/gateway/broken_streams.rs
@@ -111,7 +111,7 @@
 }
 
 #[actix_rt::test]
-async fn adapter_gone() {
+async fn adapter_lost_in_engine_restart() {
     // Guards against failures and wrong weights when an engine has lost its adapters in a restart that
     // the gateway does not know of yet.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
@@ -139,7 +139,7 @@
 }
 
 #[actix_rt::test]
-async fn caller_gone() {
+async fn caller_disconnect_cancels_stream() {
     // Guards against an engine that continues to generate after the caller disconnected.
     let fixture = GatewayFixture::start(slow_engine_settings()).await;
     let call = fixture.chat("base", PROMPT, 64, true);
@@ -176,7 +176,7 @@
 }
 
 #[actix_rt::test]
-async fn cut_between_chunks() {
+async fn body_cut_between_chunks() {
     // Guards against a truncated body that looks complete, and a lost call that is reported as not run:
     // `awc` treats the closed connection as the end of the body or as a connect error.
     let fixture = GatewayFixture::start(FixtureSettings {
@@ -222,7 +222,7 @@
 }
 
 #[actix_rt::test]
-async fn redirected_call() {
+async fn redirect_is_not_followed() {
     // Guards against running a non-idempotent call twice by following a redirect.
     let fixture = GatewayFixture::start(FixtureSettings {
         servers: 0,
@@ -256,7 +256,7 @@
 }
 
 #[actix_rt::test]
-async fn short_body() {
+async fn truncated_body() {
     // Guards against a truncated body that looks complete when a server dies while writing it.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for link in &fixture.server_links {
--- a/crates/gateway/tests/gateway/caller_keys.rs
+++ b/crates/gateway/tests/gateway/caller_keys.rs
@@ -34,7 +34,7 @@
 }
 
 #[actix_rt::test]
-async fn withdrawn_midway() {
+async fn key_withdrawn_during_stream() {
     // Guards against streams that continue after their key has been withdrawn.
     let mut settings = FixtureSettings::default();
     settings.engine.step_us = 50_000;
@@ -62,7 +62,7 @@
 }
 
 #[actix_rt::test]
-async fn key_in_request() {
+async fn key_in_request_is_not_forwarded() {
     // Guards against leaking a key to upstreams and logs when a client also sends it in other places.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let port = fixture.gateway.port("callers");
@@ -133,7 +133,7 @@
 }
 
 #[actix_rt::test]
-async fn closed_adapters() {
+async fn adapter_access_is_enforced() {
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.controller.edit(json!([
         {"op": "set", "path": "/adapters/notes", "setting": "access", "value": ["courier"]},
--- a/crates/gateway/tests/gateway/idempotency_keys.rs
+++ b/crates/gateway/tests/gateway/idempotency_keys.rs
@@ -21,7 +21,7 @@
 }
 
 #[actix_rt::test]
-async fn repeated_calls() {
+async fn retried_call_is_replayed() {
     // Guards against running a call twice when its caller retries it.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let first = support::answer(&enrolment(&fixture, "a-1", "field")).await;
@@ -43,7 +43,7 @@
 }
 
 #[actix_rt::test]
-async fn repeated_after_answer() {
+async fn retry_right_after_the_answer_is_replayed() {
     // Guards against `claim_running` for a retry right after the response while the store is slow.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.controller.state().claim_store_delay = Duration::from_millis(200);
@@ -56,7 +56,7 @@
 }
 
 #[actix_rt::test]
-async fn repeated_at_once() {
+async fn concurrent_copies_run_once() {
     // Guards against running concurrent copies of one call more than once.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"delay_ms": 300})).await;
@@ -72,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn caller_lost() {
+async fn claimed_call_outlives_its_caller() {
     // Guards against aborting a claimed call, or losing its response, when the caller disconnects.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"delay_ms": 600})).await;
@@ -109,7 +109,7 @@
 }
 
 #[actix_rt::test]
-async fn not_run_given_back() {
+async fn claim_of_a_call_not_run_is_released() {
     // Guards against `claim_running` for retries of a call that did not run.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_links.clear();
@@ -125,7 +125,7 @@
 }
 
 #[actix_rt::test]
-async fn unknown_outcome() {
+async fn unknown_outcome_is_not_run_again() {
     // Guards against running a call again, or reporting `not_run`, after its response was lost.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_fault(json!({"lose_replies": 1})).await;
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -3,11 +3,11 @@
 mod bad_input;
 mod broken_streams;
 mod caller_keys;
-mod config_bound;
 mod idempotency_keys;
-mod late_listing;
 mod once_only;
 mod overhead;
 mod planned_stop;
+mod stale_config;
 mod support;
+mod unlisted_engine;
 mod whole_path;
--- a/crates/gateway/tests/gateway/once_only.rs
+++ b/crates/gateway/tests/gateway/once_only.rs
@@ -38,7 +38,7 @@
 }
 
 #[actix_rt::test]
-async fn silent_pool() {
+async fn silent_pooled_connections() {
     // Guards against sending a non-idempotent call over a pooled connection that was dropped silently.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let status = fixture.call(Method::GET, "/services/phones/phones/17");
@@ -57,7 +57,7 @@
 }
 
 #[actix_rt::test]
-async fn nothing_sent() {
+async fn unreachable_service_is_not_run() {
     // Guards against an unknown outcome for a call when no server is reachable.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_links.clear();
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn another_server() {
+async fn calls_use_another_server() {
     // Guards against failed calls while one of two servers is down and nothing was sent to it.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.server_links.remove(0);
--- a/crates/gateway/tests/gateway/overhead.rs
+++ b/crates/gateway/tests/gateway/overhead.rs
@@ -23,7 +23,7 @@
 const THROUGHPUT_TIME_PER_CALL: Duration = Duration::from_millis(1);
 
 #[actix_rt::test]
-async fn added_time() {
+async fn added_latency() {
     let calls = env::var("JASMINE_CALLS")
         .ok()
         .and_then(|calls| calls.parse().ok())
--- a/crates/gateway/tests/gateway/planned_stop.rs
+++ b/crates/gateway/tests/gateway/planned_stop.rs
@@ -19,7 +19,7 @@
 }
 
 #[actix_rt::test]
-async fn streams_finish() {
+async fn streams_finish_before_shutdown() {
     // Guards against aborted streams and unreleased rights when a VM is replaced.
     let mut settings = FixtureSettings::default();
     settings.engine.step_us = 20_000;
@@ -44,7 +44,7 @@
 }
 
 #[actix_rt::test]
-async fn left_out() {
+async fn vm_excluded_from_the_epoch_exits() {
     // Guards against exceeding account rates when a VM resumes after the others redistributed its rights.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     assert!(
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn deleted_account() {
+async fn deleted_account_is_not_released() {
     // Guards against releasing rights of deleted accounts, which would accumulate in the store.
     let mut fixture = GatewayFixture::start(FixtureSettings::default()).await;
     fixture.controller.edit(json!([
@@ -91,7 +91,7 @@
 }
 
 #[actix_rt::test]
-async fn before_deadline() {
+async fn shutdown_ends_before_its_deadline() {
     // Guards against exceeding the shutdown deadline with a long stream, and against a truncated stream
     // that looks complete.
     let mut settings = FixtureSettings {
--- a/crates/gateway/tests/gateway/config_bound.rs
+++ b/crates/gateway/tests/gateway/stale_config.rs
@@ -47,7 +47,7 @@
 }
 
 #[actix_rt::test]
-async fn minority_cut_off() {
+async fn isolated_minority_is_refused() {
     // Guards against two of five VMs that confirm each other's outdated configuration while isolated
     // from the store and the majority.
     let fixture = GatewayFixture::start(short_config_staleness()).await;
@@ -71,7 +71,7 @@
 }
 
 #[actix_rt::test]
-async fn store_down() {
+async fn store_outage_does_not_refuse_requests() {
     // Guards against refusing requests during a store outage while the VMs reach each other: without the
     // store the configuration can't change.
     let fixture = GatewayFixture::start(short_config_staleness()).await;
@@ -83,7 +83,7 @@
 }
 
 #[actix_rt::test]
-async fn never_older() {
+async fn older_config_is_ignored() {
     // Guards against accepting a withdrawn key again after receiving an older configuration.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let old = fixture.controller.state().tree.clone();
--- a/crates/gateway/tests/gateway/late_listing.rs
+++ b/crates/gateway/tests/gateway/unlisted_engine.rs
@@ -31,7 +31,7 @@
 /// Guards against a missing state of an engine that was reported before its configuration arrived:
 /// changes are reported once, so the gateway must poll all engines again.
 #[actix_rt::test]
-async fn asked_again() {
+async fn engine_reported_before_config_is_polled_again() {
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let controller = &fixture.controller;
     let first_engine = controller.state().engines.values().next().copied();
--- a/crates/gateway/tests/gateway/whole_path.rs
+++ b/crates/gateway/tests/gateway/whole_path.rs
@@ -16,7 +16,7 @@
 }
 
 #[actix_rt::test]
-async fn streamed_and_whole() {
+async fn streamed_and_buffered_answers() {
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     for (model, weights) in [("notes", "notes-v1"), ("notes@2", "notes-v2"), ("base", "")] {
         for stream in [true, false] {
@@ -41,7 +41,7 @@
 }
 
 #[actix_rt::test]
-async fn one_load() {
+async fn concurrent_requests_cause_one_load() {
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let call = fixture.chat("notes", "hello", 20, true);
     let answers = futures::future::join_all((0..20).map(|_| call.send())).await;
