--- a/crates/gateway/src/brain/active_request.rs
+++ b/crates/gateway/src/coordinator/active_request.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Admission, Routed},
+    super::{AdmissionRequest, Routed},
     jasmine_core::{
         clock::Millis, error::Refusal, ids::UpstreamId, placement::Instance, rights::Charge,
     },
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct ActiveRequest {
     /// The request as submitted for admission.
-    pub admission: Admission,
+    pub admission: AdmissionRequest,
     /// Its current stage.
     pub stage: Stage,
     /// Its charge, unless settled.
@@ -47,7 +47,7 @@
 impl ActiveRequest {
     /// Creates an idle, uncharged request that waits since `now`.
     pub const fn new(
-        admission: Admission,
+        admission: AdmissionRequest,
         reply: oneshot::Sender<Result<Routed, Refusal>>,
         withdrawn: oneshot::Sender<()>,
         now: Millis,
--- a/crates/gateway/src/brain/actor.rs
+++ b/crates/gateway/src/coordinator/actor.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BrainMessage, Core, PeerServer, polls},
+    super::{Core, PeerServer, WorkerMessage, polls},
     actix::{Actor, AsyncContext, Context, Handler, ResponseFuture},
     jasmine_core::clock::Millis,
     jasmine_telemetry::log::Line,
@@ -12,12 +12,12 @@
 
 /// Actor that owns the gateway's state and handles the messages of the HTTP workers.
 #[derive(Debug)]
-pub struct Brain {
+pub struct Coordinator {
     core: Rc<Core>,
     peers: Option<TcpListener>,
 }
 
-impl Brain {
+impl Coordinator {
     /// Creates a coordinator that serves other daemons on `peers`.
     pub const fn new(
         core: Rc<Core>,
@@ -30,7 +30,7 @@
     }
 }
 
-impl Actor for Brain {
+impl Actor for Coordinator {
     type Context = Context<Self>;
 
     fn started(
@@ -55,33 +55,33 @@
     }
 }
 
-impl Handler<BrainMessage> for Brain {
+impl Handler<WorkerMessage> for Coordinator {
     type Result = ();
 
     fn handle(
         &mut self,
-        message: BrainMessage,
+        message: WorkerMessage,
         _cx: &mut Self::Context,
     ) {
         match message {
-            BrainMessage::Admit {
+            WorkerMessage::Admit {
                 admission,
                 reply,
                 withdrawn,
             } => self
                 .core
                 .update(|state| state.admit(admission, reply, withdrawn)),
-            BrainMessage::Reroute { reroute, reply } => {
-                self.core.update(|state| state.route_again(reroute, reply));
+            WorkerMessage::Reroute { reroute, reply } => {
+                self.core.update(|state| state.reroute(reroute, reply));
             }
-            BrainMessage::Finished(finished) => self.core.update(|state| state.finish(finished)),
-            BrainMessage::Claim { claim, reply } => {
+            WorkerMessage::Finished(finished) => self.core.update(|state| state.finish(finished)),
+            WorkerMessage::Claim { claim, reply } => {
                 let core = Rc::clone(&self.core);
                 tokio::task::spawn_local(async move {
                     drop(reply.send(core.claim(claim).await));
                 });
             }
-            BrainMessage::FinishClaim {
+            WorkerMessage::FinishClaim {
                 claim,
                 answer,
                 reply,
@@ -101,14 +101,14 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Leave;
+pub struct ReleaseRights;
 
-impl Handler<Leave> for Brain {
+impl Handler<ReleaseRights> for Coordinator {
     type Result = ResponseFuture<()>;
 
     fn handle(
         &mut self,
-        _message: Leave,
+        _message: ReleaseRights,
         _cx: &mut Self::Context,
     ) -> Self::Result {
         let core = Rc::clone(&self.core);
--- a/crates/gateway/src/brain/admission.rs
+++ b/crates/gateway/src/coordinator/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: checks a new request, charges its account and queues it.
 
 use {
-    super::{ActiveRequest, Admission, Effect, Routed, Stage, State},
+    super::{ActiveRequest, AdmissionRequest, Effect, Routed, Stage, State},
     jasmine_core::{
         clock::Millis,
         error::{ErrorKind, Refusal},
@@ -25,7 +25,7 @@
     /// Admits a new request; `reply` receives its route or the refusal.
     pub fn admit(
         &mut self,
-        admission: Admission,
+        admission: AdmissionRequest,
         reply: oneshot::Sender<Result<Routed, Refusal>>,
         withdrawn: oneshot::Sender<()>,
     ) {
@@ -43,7 +43,7 @@
 
     fn check_admissible(
         &self,
-        admission: &Admission,
+        admission: &AdmissionRequest,
     ) -> Result<(), ErrorKind> {
         match self.fleet.key(admission.key) {
             _ if self.readiness.is_stopping() => Err(ErrorKind::ShuttingDown),
--- a/crates/gateway/src/brain/core.rs
+++ b/crates/gateway/src/coordinator/core.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ClaimAnswer, ClaimRequest, Effect, Links, State},
+    super::{ClaimRequest, ClaimResult, Effect, Links, State},
     jasmine_conf::settings::GatewaySettings,
     jasmine_core::{
         clock::Millis,
@@ -136,7 +136,7 @@
     pub async fn claim(
         &self,
         claim: ClaimRequest,
-    ) -> ClaimAnswer {
+    ) -> ClaimResult {
         for (_, address) in self.controllers() {
             let (me, claim) = (self.me, claim.clone());
             let answer = self
@@ -150,11 +150,11 @@
                     let res = req.send().promise.await?;
                     let res = res.get()?;
                     Ok(match res.get_outcome()? {
-                        ClaimOutcome::Fresh => ClaimAnswer::Fresh,
-                        ClaimOutcome::Running => ClaimAnswer::Running,
-                        ClaimOutcome::Done => ClaimAnswer::Done(res.get_answer()?.to_vec()),
-                        ClaimOutcome::Mismatch => ClaimAnswer::Mismatch,
-                        ClaimOutcome::Unavailable => ClaimAnswer::Unavailable,
+                        ClaimOutcome::Fresh => ClaimResult::Fresh,
+                        ClaimOutcome::Running => ClaimResult::Running,
+                        ClaimOutcome::Done => ClaimResult::Done(res.get_answer()?.to_vec()),
+                        ClaimOutcome::Mismatch => ClaimResult::Mismatch,
+                        ClaimOutcome::Unavailable => ClaimResult::Unavailable,
                     })
                 })
                 .await;
@@ -163,10 +163,10 @@
                 Err(e) if e.is_not_sent() => {}
                 // The claim may have been stored. Another controller would then report it as
                 // running, which is wrong because this request hasn't started.
-                Err(_) => return ClaimAnswer::Unavailable,
+                Err(_) => return ClaimResult::Unavailable,
             }
         }
-        ClaimAnswer::Unavailable
+        ClaimResult::Unavailable
     }
 
     /// Stores the answer of a claimed request, or releases the claim if `answer` is none.
--- a/crates/gateway/src/brain/dispatch.rs
+++ b/crates/gateway/src/coordinator/dispatch.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ActiveRequest, Effect, Finished, Outcome, RouteAgain, Routed, Stage, State,
+        ActiveRequest, AttemptOutcome, Effect, Finished, RerouteRequest, Routed, Stage, State,
         state::AdapterLoad,
     },
     jasmine_conf::fleet::Fleet,
@@ -137,8 +137,8 @@
                 model: destination.model,
                 weights: destination.weights,
                 batch,
-                waited: now.since(active.waiting_since),
-                stalled: adapter_load_time(&self.adapter_loads, active, now),
+                queue_wait: now.since(active.waiting_since),
+                load_wait: adapter_load_time(&self.adapter_loads, active, now),
             });
         match routed {
             Some(routed) if active.is_reply_awaited() => {
@@ -158,9 +158,9 @@
     }
 
     /// Routes a request again after a failed attempt.
-    pub fn route_again(
+    pub fn reroute(
         &mut self,
-        reroute: RouteAgain,
+        reroute: RerouteRequest,
         reply: oneshot::Sender<Result<Routed, Refusal>>,
     ) {
         let now = self.clock.now();
@@ -200,8 +200,8 @@
     ) {
         let now = self.clock.now();
         let outcome = match finished.outcome {
-            Outcome::Answered | Outcome::Stopped => RequestOutcome::Done,
-            Outcome::Failed => RequestOutcome::Failed,
+            AttemptOutcome::Answered | AttemptOutcome::Cancelled => RequestOutcome::Done,
+            AttemptOutcome::Failed => RequestOutcome::Failed,
         };
         self.release_upstream(finished.request, outcome, now);
         self.queue.cancel(finished.request, now);
@@ -209,9 +209,10 @@
             return;
         };
         if let Some(charge) = active.charge {
-            let used = finished.used.unwrap_or(charge.tokens);
-            self.ledger.settle(charge, used, now);
-            self.queue.settle(charge.account, charge.tokens, used);
+            let used_tokens = finished.used_tokens.unwrap_or(charge.tokens);
+            self.ledger.settle(charge, used_tokens, now);
+            self.queue
+                .settle(charge.account, charge.tokens, used_tokens);
         }
         self.dispatch(now);
     }
--- a/crates/gateway/src/brain/handle.rs
+++ b/crates/gateway/src/coordinator/handle.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        Admission, BrainMessage, ClaimAnswer, ClaimRequest, Finished, Outcome, RouteAgain, Routed,
+        AdmissionRequest, AttemptOutcome, ClaimRequest, ClaimResult, Finished, RerouteRequest,
+        Routed, WorkerMessage,
     },
     actix::Recipient,
     jasmine_core::{
@@ -13,8 +14,8 @@
 
 /// Sends messages of the HTTP workers to the coordinator.
 #[derive(Clone, Debug)]
-pub struct BrainHandle {
-    recipient: Recipient<BrainMessage>,
+pub struct CoordinatorHandle {
+    recipient: Recipient<WorkerMessage>,
 }
 
 /// Guard of an admitted request; its drop reports the request's end to the coordinator.
@@ -22,37 +23,37 @@
 /// This settles the charge and frees the capacity at the upstream however the request ends,
 /// including a disconnect or a panic.
 #[derive(Debug)]
-pub struct Lease {
-    brain: BrainHandle,
+pub struct RequestGuard {
+    coordinator: CoordinatorHandle,
     request: RequestId,
     /// Tokens used; none if unknown, in which case the whole charge counts as used.
-    pub used: Option<u64>,
+    pub used_tokens: Option<u64>,
     /// The result of the last attempt.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     withdrawn: oneshot::Receiver<()>,
 }
 
-impl BrainHandle {
+impl CoordinatorHandle {
     /// Creates a handle that sends to `recipient`.
-    pub const fn new(recipient: Recipient<BrainMessage>) -> Self {
+    pub const fn new(recipient: Recipient<WorkerMessage>) -> Self {
         Self { recipient }
     }
 
     /// Submits a request for admission; the receiver yields its route or the refusal.
     pub fn admit(
         &self,
-        admission: Admission,
-    ) -> (Lease, oneshot::Receiver<Result<Routed, Refusal>>) {
+        admission: AdmissionRequest,
+    ) -> (RequestGuard, oneshot::Receiver<Result<Routed, Refusal>>) {
         let (reply, routed) = oneshot::channel();
         let (withdrawn_tx, withdrawn) = oneshot::channel();
-        let lease = Lease {
-            brain: self.clone(),
+        let lease = RequestGuard {
+            coordinator: self.clone(),
             request: admission.request,
-            used: Some(0),
-            outcome: Outcome::Stopped,
+            used_tokens: Some(0),
+            outcome: AttemptOutcome::Cancelled,
             withdrawn,
         };
-        self.recipient.do_send(BrainMessage::Admit {
+        self.recipient.do_send(WorkerMessage::Admit {
             admission,
             reply,
             withdrawn: withdrawn_tx,
@@ -64,10 +65,11 @@
     pub async fn claim(
         &self,
         claim: ClaimRequest,
-    ) -> ClaimAnswer {
+    ) -> ClaimResult {
         let (reply, answer) = oneshot::channel();
-        self.recipient.do_send(BrainMessage::Claim { claim, reply });
-        answer.await.unwrap_or(ClaimAnswer::Unavailable)
+        self.recipient
+            .do_send(WorkerMessage::Claim { claim, reply });
+        answer.await.unwrap_or(ClaimResult::Unavailable)
     }
 
     /// Records the answer for a claimed key, or releases the claim; returns whether it was stored.
@@ -77,7 +79,7 @@
         answer: Option<Arc<[u8]>>,
     ) -> bool {
         let (reply, stored) = oneshot::channel();
-        self.recipient.do_send(BrainMessage::FinishClaim {
+        self.recipient.do_send(WorkerMessage::FinishClaim {
             claim,
             answer,
             reply,
@@ -86,16 +88,16 @@
     }
 }
 
-impl Lease {
+impl RequestGuard {
     /// Requests another upstream after a failed attempt.
-    pub fn route_again(
+    pub fn reroute(
         &self,
-        reroute: RouteAgain,
+        reroute: RerouteRequest,
     ) -> oneshot::Receiver<Result<Routed, Refusal>> {
         let (reply, routed) = oneshot::channel();
-        self.brain
+        self.coordinator
             .recipient
-            .do_send(BrainMessage::Reroute { reroute, reply });
+            .do_send(WorkerMessage::Reroute { reroute, reply });
         routed
     }
 
@@ -112,20 +114,20 @@
     /// # Errors
     ///
     /// The refusal, or `shutting_down` if the coordinator has stopped.
-    pub fn route_of(
+    pub fn reply_or_shutdown(
         reply: Result<Result<Routed, Refusal>, oneshot::error::RecvError>
     ) -> Result<Routed, Refusal> {
         reply.unwrap_or(Err(Refusal::new(ErrorKind::ShuttingDown)))
     }
 }
 
-impl Drop for Lease {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.brain
+        self.coordinator
             .recipient
-            .do_send(BrainMessage::Finished(Finished {
+            .do_send(WorkerMessage::Finished(Finished {
                 request: self.request,
-                used: self.used,
+                used_tokens: self.used_tokens,
                 outcome: self.outcome,
             }));
     }
--- a/crates/gateway/src/brain/messages.rs
+++ b/crates/gateway/src/coordinator/messages.rs
@@ -15,7 +15,7 @@
 
 /// A request to be admitted and routed.
 #[derive(Clone, Copy, Debug)]
-pub struct Admission {
+pub struct AdmissionRequest {
     /// Its id, unique within this process.
     pub request: RequestId,
     /// Digest of the caller's API key.
@@ -50,14 +50,14 @@
     /// This gateway's requests in flight at the upstream, including this one.
     pub batch: u32,
     /// Time since the request was queued.
-    pub waited: Millis,
+    pub queue_wait: Millis,
     /// The part of the wait during which the adapter was being loaded.
-    pub stalled: Millis,
+    pub load_wait: Millis,
 }
 
 /// Asks for another upstream after a failed attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct RouteAgain {
+pub struct RerouteRequest {
     /// The request.
     pub request: RequestId,
     /// Why the last attempt failed.
@@ -68,13 +68,13 @@
 
 /// The result of a request's last attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The upstream responded.
     Answered,
     /// The upstream failed.
     Failed,
     /// Cancelled by the caller or an operator.
-    Stopped,
+    Cancelled,
 }
 
 /// Reports that a request has ended.
@@ -83,9 +83,9 @@
     /// The request.
     pub request: RequestId,
     /// Tokens used; none if unknown, in which case the whole charge counts as used.
-    pub used: Option<u64>,
+    pub used_tokens: Option<u64>,
     /// The result of its last attempt.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
 }
 
 /// Claims an idempotency key for a request.
@@ -99,7 +99,7 @@
 
 /// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimResult {
     /// The key is claimed for this request, which may run.
     Fresh,
     /// Another request holds the key, or its outcome is unknown.
@@ -116,11 +116,11 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub enum BrainMessage {
+pub enum WorkerMessage {
     /// Admit, queue and route a request.
     Admit {
         /// The request.
-        admission: Admission,
+        admission: AdmissionRequest,
         /// Receives the route; the worker drops its receiver when the caller disconnects.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
         /// Notified when the key is withdrawn.
@@ -129,7 +129,7 @@
     /// Route a request again.
     Reroute {
         /// The request.
-        reroute: RouteAgain,
+        reroute: RerouteRequest,
         /// Receives the new route.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
     },
@@ -140,7 +140,7 @@
         /// The key.
         claim: ClaimRequest,
         /// Receives the result.
-        reply: oneshot::Sender<ClaimAnswer>,
+        reply: oneshot::Sender<ClaimResult>,
     },
     /// Record the answer for a claimed key, or release the claim.
     FinishClaim {
--- a/crates/gateway/src/brain/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -24,16 +24,17 @@
 
 pub use {
     active_request::{ActiveRequest, Stage},
-    actor::{Brain, Leave},
+    actor::{Coordinator, ReleaseRights},
     config_freshness::ConfigFreshness,
     configuration::{ConfigResponse, FleetResponse},
     core::Core,
     effect::Effect,
-    handle::{BrainHandle, Lease},
+    handle::{CoordinatorHandle, RequestGuard},
     links::{Links, UpstreamsResponse},
     members::{Member, Members},
     messages::{
-        Admission, BrainMessage, ClaimAnswer, ClaimRequest, Finished, Outcome, RouteAgain, Routed,
+        AdmissionRequest, AttemptOutcome, ClaimRequest, ClaimResult, Finished, RerouteRequest,
+        Routed, WorkerMessage,
     },
     peer_server::PeerServer,
     rights_availability::RightsAvailability,
--- a/crates/gateway/src/daemon/run.rs
+++ b/crates/gateway/src/daemon/run.rs
@@ -1,8 +1,8 @@
 use {
     super::stop,
     crate::{
-        brain::{Brain, BrainHandle, Core, Links, State},
         clock::Clock,
+        coordinator::{Coordinator, CoordinatorHandle, Core, Links, State},
         http::{Shared, Worker, caller_routes, status_routes},
         status::Readiness,
     },
@@ -81,7 +81,7 @@
         incarnation,
     };
     let arbiter = Arbiter::new();
-    let brain = start_brain(
+    let coordinator = start_coordinator(
         &arbiter,
         holder,
         clock,
@@ -94,7 +94,7 @@
     let metrics = Metrics::new().map_err(DaemonError::Metrics)?;
     let meter = metrics.meter();
     let shared = Arc::new(Shared {
-        brain: BrainHandle::new(brain.clone().recipient()),
+        coordinator: CoordinatorHandle::new(coordinator.clone().recipient()),
         fleet,
         readiness: Arc::clone(&readiness),
         limits: settings.limits,
@@ -112,7 +112,7 @@
     let stop_task = actix_rt::spawn(stop::run_on_signal(
         settings.stop,
         readiness,
-        brain,
+        coordinator,
         handles,
     ));
     let (callers_result, status_result) =
@@ -148,7 +148,7 @@
     clippy::too_many_arguments,
     reason = "all values that move to the thread of the brain at startup"
 )]
-fn start_brain(
+fn start_coordinator(
     arbiter: &Arbiter,
     holder: Holder,
     clock: Clock,
@@ -157,12 +157,12 @@
     fleet_tx: watch::Sender<Arc<Fleet>>,
     peers: TcpListener,
     peer_address: SocketAddr,
-) -> Addr<Brain> {
-    Brain::start_in_arbiter(&arbiter.handle(), move |_| {
+) -> Addr<Coordinator> {
+    Coordinator::start_in_arbiter(&arbiter.handle(), move |_| {
         let state = State::new(holder, clock, settings.clone(), readiness, fleet_tx);
         let links = Links::new(holder, peer_address);
         let core = Rc::new(Core::new(state, links, holder, &settings));
-        Brain::new(core, peers)
+        Coordinator::new(core, peers)
     })
 }
 
--- a/crates/gateway/src/daemon/stop.rs
+++ b/crates/gateway/src/daemon/stop.rs
@@ -3,7 +3,7 @@
 use {
     super::run::{CLOSE_TIMEOUT, Servers},
     crate::{
-        brain::{Brain, Leave},
+        coordinator::{Coordinator, ReleaseRights},
         status::Readiness,
     },
     actix::Addr,
@@ -31,7 +31,7 @@
 pub(super) async fn run_on_signal(
     stop: StopSettings,
     readiness: Arc<Readiness>,
-    brain: Addr<Brain>,
+    coordinator: Addr<Coordinator>,
     servers: Servers,
 ) {
     let (Ok(mut term), Ok(mut int)) = (
@@ -68,7 +68,7 @@
     }
     let release_result = timeout(
         RELEASE_TIMEOUT.min(reserved_time).to_std(),
-        brain.send(Leave),
+        coordinator.send(ReleaseRights),
     )
     .await;
     Line::new("stopped")
--- a/crates/gateway/src/forward/driver.rs
+++ b/crates/gateway/src/forward/driver.rs
@@ -5,7 +5,7 @@
         upstream_response::StreamItem,
     },
     crate::{
-        brain::{Lease, Outcome, RouteAgain, Routed},
+        coordinator::{AttemptOutcome, RequestGuard, RerouteRequest, Routed},
         request::Problem,
         sse::{AnswerBuilder, Chunk, Usage},
         upstream::SendFailure,
@@ -41,7 +41,7 @@
     state_machine: ForwardMachine,
     upstream: UpstreamExchange,
     response_sender: ResponseSender,
-    lease: Lease,
+    guard: RequestGuard,
     chunk: Option<Chunk>,
     answer_builder: AnswerBuilder,
     service_answer: Option<BufferedAnswer>,
@@ -70,7 +70,7 @@
         plan: ForwardPlan,
         outbound: Outbound,
         response_sender: ResponseSender,
-        lease: Lease,
+        guard: RequestGuard,
         routing: oneshot::Receiver<Result<Routed, Refusal>>,
     ) -> Self {
         // The first route was requested together with the admission.
@@ -82,7 +82,7 @@
             state_machine,
             upstream: UpstreamExchange::new(outbound, plan.deadline, routing),
             response_sender,
-            lease,
+            guard,
             chunk: None,
             answer_builder: AnswerBuilder::default(),
             service_answer: None,
@@ -112,8 +112,8 @@
                 self.perform(action).await;
             }
         }
-        if self.lease.outcome == Outcome::Stopped {
-            self.lease.used = (!self.state_machine.may_have_run()).then_some(0);
+        if self.guard.outcome == AttemptOutcome::Cancelled {
+            self.guard.used_tokens = (!self.state_machine.may_have_run()).then_some(0);
         }
         ForwardResult {
             answer: self.service_answer,
@@ -127,7 +127,7 @@
         if self.response_sender.has_backlog() {
             return DriverEvent::Forward(tokio::select! {
                 biased;
-                () = self.lease.withdrawn() => Event::KeyWithdrawn,
+                () = self.guard.withdrawn() => Event::KeyWithdrawn,
                 is_flushed = self.response_sender.flush() => {
                     if is_flushed { Event::CallerReady } else { Event::CallerGone }
                 }
@@ -136,7 +136,7 @@
         }
         tokio::select! {
             biased;
-            () = self.lease.withdrawn() => DriverEvent::Forward(Event::KeyWithdrawn),
+            () = self.guard.withdrawn() => DriverEvent::Forward(Event::KeyWithdrawn),
             () = self.response_sender.closed() => DriverEvent::Forward(Event::CallerGone),
             event = self.upstream.next() => DriverEvent::Upstream(event),
             () = sleep => DriverEvent::Forward(Event::Timer),
@@ -207,10 +207,10 @@
         routed: &Routed,
     ) {
         let cx = &self.cx;
-        cx.metrics.queue_wait(&cx.labels, routed.waited);
+        cx.metrics.queue_wait(&cx.labels, routed.queue_wait);
         cx.metrics.batch(&cx.labels, routed.batch);
-        if routed.stalled > Millis::ZERO {
-            cx.metrics.load_stall(&cx.labels, routed.stalled);
+        if routed.load_wait > Millis::ZERO {
+            cx.metrics.load_stall(&cx.labels, routed.load_wait);
         }
     }
 
@@ -235,7 +235,7 @@
         action: Action,
     ) {
         match action {
-            Action::Route { attempt, cause, .. } => self.route_again(attempt, cause),
+            Action::Route { attempt, cause, .. } => self.reroute(attempt, cause),
             Action::Send { attempt, fresh } => self.send(attempt, fresh),
             Action::Resume { attempt, offset } => self.upstream.resume(&self.cx, attempt, offset),
             Action::Abandon => self.upstream.abandon(),
@@ -251,18 +251,18 @@
         }
     }
 
-    fn route_again(
+    fn reroute(
         &mut self,
         attempt: Attempt,
         cause: RouteCause,
     ) {
-        let again = RouteAgain {
+        let again = RerouteRequest {
             request: self.cx.request,
             cause,
             not_loaded: std::mem::take(&mut self.not_loaded),
         };
-        let routing = self.lease.route_again(again);
-        self.upstream.route_again(attempt, routing);
+        let routing = self.guard.reroute(again);
+        self.upstream.reroute(attempt, routing);
     }
 
     fn send(
@@ -319,10 +319,10 @@
     }
 
     async fn finish(&mut self) {
-        self.lease.outcome = Outcome::Answered;
-        self.lease.used = self.usage.map(Usage::total);
-        if let Some(used) = self.lease.used {
-            self.cx.metrics.settled(&self.cx.labels, used);
+        self.guard.outcome = AttemptOutcome::Answered;
+        self.guard.used_tokens = self.usage.map(Usage::total);
+        if let Some(used_tokens) = self.guard.used_tokens {
+            self.cx.metrics.settled(&self.cx.labels, used_tokens);
         }
         self.log("answered", StatusCode::OK);
         match &self.upstream.outbound {
@@ -382,14 +382,14 @@
         &mut self,
         kind: ErrorKind,
     ) {
-        self.lease.outcome = match kind {
+        self.guard.outcome = match kind {
             ErrorKind::UpstreamUnreachable
             | ErrorKind::UpstreamLost
             | ErrorKind::UpstreamInvalid
-            | ErrorKind::AnswerCut => Outcome::Failed,
-            _ => Outcome::Stopped,
+            | ErrorKind::AnswerCut => AttemptOutcome::Failed,
+            _ => AttemptOutcome::Cancelled,
         };
-        self.lease.used = (!self.state_machine.may_have_run()).then_some(0);
+        self.guard.used_tokens = (!self.state_machine.may_have_run()).then_some(0);
     }
 
     fn log(
--- a/crates/gateway/src/forward/outbound.rs
+++ b/crates/gateway/src/forward/outbound.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        brain::Routed,
+        coordinator::Routed,
         request::{CallerKey, CompletionRequest, Problem},
     },
     actix_web::http::{
--- a/crates/gateway/src/forward/upstream_exchange.rs
+++ b/crates/gateway/src/forward/upstream_exchange.rs
@@ -7,7 +7,7 @@
         },
     },
     crate::{
-        brain::{Lease, Routed},
+        coordinator::{RequestGuard, Routed},
         request::Problem,
         upstream::{SendFailure, UpstreamResponse},
     },
@@ -96,7 +96,9 @@
     pub(super) async fn next(&mut self) -> UpstreamEvent {
         match &mut self.state {
             ExchangeState::Idle => std::future::pending().await,
-            ExchangeState::Routing(rx) => UpstreamEvent::Routed(Lease::route_of(rx.await)),
+            ExchangeState::Routing(rx) => {
+                UpstreamEvent::Routed(RequestGuard::reply_or_shutdown(rx.await))
+            }
             ExchangeState::AwaitingHead(f) => UpstreamEvent::HeadReceived(f.await),
             ExchangeState::ReadingStream(reader) => UpstreamEvent::StreamRead(reader.next().await),
             ExchangeState::ReadingBody(f) => UpstreamEvent::BodyRead(f.await),
@@ -109,7 +111,7 @@
     }
 
     /// Starts waiting for the route of another attempt.
-    pub(super) fn route_again(
+    pub(super) fn reroute(
         &mut self,
         attempt: Attempt,
         routing: oneshot::Receiver<Result<Routed, Refusal>>,
--- a/crates/gateway/src/http/claims.rs
+++ b/crates/gateway/src/http/claims.rs
@@ -12,7 +12,7 @@
 
 use {
     crate::{
-        brain::{BrainHandle, ClaimRequest},
+        coordinator::{ClaimRequest, CoordinatorHandle},
         forward::{BufferedAnswer, ForwardResult},
         request::{IdempotencyKey, Problem},
     },
@@ -129,7 +129,7 @@
     /// Records the disposition in the store.
     pub(super) async fn record(
         self,
-        brain: &BrainHandle,
+        coordinator: &CoordinatorHandle,
         claim: ClaimRequest,
     ) {
         let answer = match self {
@@ -137,7 +137,7 @@
             Self::Release => None,
             Self::LeaveOpen => return,
         };
-        if !brain.finish_claim(claim, answer).await {
+        if !coordinator.finish_claim(claim, answer).await {
             Line::new("claim_not_recorded").warn();
         }
     }
--- a/crates/gateway/src/http/completions.rs
+++ b/crates/gateway/src/http/completions.rs
@@ -9,7 +9,7 @@
         shared::InFlightGuard,
     },
     crate::{
-        brain::Admission,
+        coordinator::AdmissionRequest,
         forward::{Answer, Driver, ForwardContext, Outbound, ResponseSender},
         request::{CompletionKind, CompletionRequest, Problem},
     },
@@ -82,7 +82,7 @@
     let limit = deadline_of(req, account.deadline)?;
     let (target, adapter) = resolve(&caller.fleet, &completion.model, account.id)?;
     let deadline = shared.clock.now() + limit;
-    let admission = Admission {
+    let admission = AdmissionRequest {
         request: incoming.request,
         key: caller.digest,
         account: account.id,
@@ -104,9 +104,9 @@
     );
     let plan = plan::completion(deadline, completion.stream);
     let (response_sender, answer) = ResponseSender::new();
-    let (lease, routing) = shared.brain.admit(admission);
+    let (guard, routing) = shared.coordinator.admit(admission);
     let outbound = Outbound::Completion(Box::new(completion));
-    let driver = Driver::new(cx, plan, outbound, response_sender, lease, routing);
+    let driver = Driver::new(cx, plan, outbound, response_sender, guard, routing);
     actix_rt::spawn(async move {
         driver.run().await;
         drop(in_flight);
--- a/crates/gateway/src/http/services.rs
+++ b/crates/gateway/src/http/services.rs
@@ -11,7 +11,7 @@
         shared::InFlightGuard,
     },
     crate::{
-        brain::{Admission, BrainHandle, ClaimAnswer, ClaimRequest},
+        coordinator::{AdmissionRequest, ClaimRequest, ClaimResult, CoordinatorHandle},
         forward::{Answer, Driver, Outbound, ResponseSender, ServiceRequest},
         request::{CallerKey, IdempotencyKey, Problem, ServicePath},
     },
@@ -100,12 +100,12 @@
     }
     let claim = claim_for(req, call, service, &path, &bytes, caller)?;
     if let Some(claim) = &claim
-        && let Some(answer) = begin_claim(&shared.brain, claim).await?
+        && let Some(answer) = begin_claim(&shared.coordinator, claim).await?
     {
         return Ok(answer);
     }
     let deadline = shared.clock.now() + limit;
-    let admission = Admission {
+    let admission = AdmissionRequest {
         request: incoming.request,
         key: caller.digest,
         account: caller.account.id,
@@ -140,16 +140,16 @@
         headers,
         body: bytes,
     });
-    let (lease, routing) = shared.brain.admit(admission);
-    let driver = Driver::new(cx, plan, outbound, response_sender, lease, routing);
-    let brain = shared.brain.clone();
+    let (guard, routing) = shared.coordinator.admit(admission);
+    let driver = Driver::new(cx, plan, outbound, response_sender, guard, routing);
+    let coordinator = shared.coordinator.clone();
     let (stored_tx, stored_rx) = oneshot::channel::<()>();
     actix_rt::spawn(async move {
         let result = driver.run().await;
         drop(in_flight);
         if let Some(claim) = claim {
             claims::ClaimDisposition::of(&result)
-                .record(&brain, claim)
+                .record(&coordinator, claim)
                 .await;
         }
         drop(stored_tx);
@@ -165,15 +165,15 @@
 
 /// Claims the key; returns the stored response if the call already ran.
 async fn begin_claim(
-    brain: &BrainHandle,
+    coordinator: &CoordinatorHandle,
     claim: &ClaimRequest,
 ) -> Result<Option<Answer>, Problem> {
-    match brain.claim(claim.clone()).await {
-        ClaimAnswer::Fresh => Ok(None),
-        ClaimAnswer::Running => Err(ErrorKind::ClaimRunning.into()),
-        ClaimAnswer::Mismatch => Err(ErrorKind::ClaimMismatch.into()),
-        ClaimAnswer::Unavailable => Err(ErrorKind::ClaimUnavailable.into()),
-        ClaimAnswer::Done(stored) => claims::replayed(&stored).map(Answer::Buffered).map(Some),
+    match coordinator.claim(claim.clone()).await {
+        ClaimResult::Fresh => Ok(None),
+        ClaimResult::Running => Err(ErrorKind::ClaimRunning.into()),
+        ClaimResult::Mismatch => Err(ErrorKind::ClaimMismatch.into()),
+        ClaimResult::Unavailable => Err(ErrorKind::ClaimUnavailable.into()),
+        ClaimResult::Done(stored) => claims::replayed(&stored).map(Answer::Buffered).map(Some),
     }
 }
 
--- a/crates/gateway/src/http/shared.rs
+++ b/crates/gateway/src/http/shared.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        brain::BrainHandle, clock::Clock, request::RequestName, status::Readiness,
+        clock::Clock, coordinator::CoordinatorHandle, request::RequestName, status::Readiness,
         upstream::Connections,
     },
     jasmine_conf::{fleet::Fleet, settings::Limits},
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Shared {
     /// Handle for messages to the brain.
-    pub brain: BrainHandle,
+    pub coordinator: CoordinatorHandle,
     /// The current configuration.
     pub fleet: watch::Receiver<Arc<Fleet>>,
     /// Readiness and shutdown state.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway daemon: authenticates, admits, queues, routes and forwards the requests of callers.
 
-pub mod brain;
 pub mod clock;
+pub mod coordinator;
 pub mod daemon;
 pub mod forward;
 pub mod http;
