--- a/crates/core/examples/scheduler_cost/fleet.rs
+++ b/crates/core/examples/scheduler_cost/fleet.rs
@@ -17,20 +17,20 @@
     },
 };
 
-const ENGINES: ServiceId = ServiceId(1);
-const CALLS: ServiceId = ServiceId(2);
+const ENGINE_SERVICE: ServiceId = ServiceId(1);
+const CALL_SERVICE: ServiceId = ServiceId(2);
 const MODEL: ModelId = ModelId(0);
 const ADAPTERS: u32 = 10_000;
-/// The weight of the adapter of rank n is 1 / n to this.
-const ZIPF: f64 = 1.2;
+/// Exponent of the Zipf distribution of requests over adapters.
+const ZIPF_EXPONENT: f64 = 1.2;
 const ACCOUNTS: u32 = 16;
-/// Of five requests one is a call.
-const CALL_OF: u32 = 5;
-const CALL: Millis = Millis(20);
-/// The users' engines read so many tokens of a prompt in a millisecond.
-const READ_PER_MS: f64 = 19.0;
-/// From a request's being sent until its engine has it.
-const ON_THE_WAY: Millis = Millis(3);
+/// One in this many requests is a service call.
+const REQUESTS_PER_CALL: u32 = 5;
+const CALL_DURATION: Millis = Millis(20);
+/// Prompt tokens that an engine processes per millisecond.
+const PREFILL_TOKENS_PER_MS: f64 = 19.0;
+/// Network delay from the scheduler to an upstream.
+const NETWORK_DELAY: Millis = Millis(3);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -46,10 +46,10 @@
     output: Millis,
 }
 
-/// Engines and servers that do what they are told, after the time that it takes.
+/// Simulated engines and servers that complete all work after a computed time.
 pub struct SimulatedFleet {
     scheduler: Scheduler,
-    began: Millis,
+    started: Millis,
     now: Millis,
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     orders: Vec<(Order, OrderResult)>,
@@ -57,10 +57,10 @@
     busy_until: HashMap<UpstreamId, Millis>,
     sent: HashMap<u64, Sent>,
     jobs: HashMap<u64, Job>,
-    weights: Vec<f64>,
+    cumulative_weights: Vec<f64>,
     rng: ChaCha8Rng,
     pub first_tokens: u64,
-    pub timely: u64,
+    pub in_time: u64,
     pub refused: u64,
     pub loads: u64,
 }
@@ -70,27 +70,27 @@
         let now = Millis(100_000);
         let mut scheduler = Scheduler::new(SchedulerSettings::default(), RateShare::Part(1));
         scheduler.set_role(true, RateShare::Fresh, now);
-        scheduler.set_engines(HashMap::from([(ENGINES, limits())]));
+        scheduler.set_engines(HashMap::from([(ENGINE_SERVICE, limits())]));
         for id in 0..engines {
             let id = UpstreamId(id);
-            let facts = upstream(ENGINES, 64, Some(empty(None)));
+            let facts = upstream(ENGINE_SERVICE, 64, Some(empty(None)));
             scheduler.set_upstream(id, &facts, now);
             scheduler.report(id, Some(&empty(Some(0))), now);
         }
         for id in 0..4 {
-            let facts = upstream(CALLS, 6, None);
+            let facts = upstream(CALL_SERVICE, 6, None);
             scheduler.set_upstream(UpstreamId(engines + id), &facts, now);
         }
         let mut sum = 0.0;
-        let weights = (1..=ADAPTERS)
+        let cumulative_weights = (1..=ADAPTERS)
             .map(|rank| {
-                sum += f64::from(rank).powf(-ZIPF);
+                sum += f64::from(rank).powf(-ZIPF_EXPONENT);
                 sum
             })
             .collect();
         Self {
             scheduler,
-            began: now,
+            started: now,
             now,
             events: BinaryHeap::new(),
             orders: Vec::new(),
@@ -98,27 +98,27 @@
             busy_until: HashMap::new(),
             sent: HashMap::new(),
             jobs: HashMap::new(),
-            weights,
+            cumulative_weights,
             rng: ChaCha8Rng::seed_from_u64(7),
             first_tokens: 0,
-            timely: 0,
+            in_time: 0,
             refused: 0,
             loads: 0,
         }
     }
 
-    pub fn play(
+    pub fn run(
         &mut self,
         per_s: u64,
         seconds: u64,
     ) {
         for number in 0..per_s * seconds {
-            let at = self.began + Millis(number * 1_000 / per_s);
+            let at = self.started + Millis(number * 1_000 / per_s);
             self.events.push(Reverse((at, number, Event::Arrive)));
         }
         self.next = per_s * seconds;
-        self.at(Millis(1), Event::Tick);
-        let end = self.began + Millis::from_secs(seconds + 5);
+        self.schedule(Millis(1), Event::Tick);
+        let end = self.started + Millis::from_secs(seconds + 5);
         while let Some(Reverse((at, number, event))) = self.events.pop()
             && at <= end
         {
@@ -127,15 +127,15 @@
         }
     }
 
-    pub fn played(&self) -> Millis {
-        self.now.since(self.began)
+    pub fn elapsed(&self) -> Millis {
+        self.now.since(self.started)
     }
 
     pub fn evaluations(&self) -> u64 {
         self.scheduler.evaluations()
     }
 
-    fn at(
+    fn schedule(
         &mut self,
         pause: Millis,
         event: Event,
@@ -160,13 +160,15 @@
             Event::FirstToken(number) => {
                 self.first_tokens += 1;
                 let sent = &self.sent[&number];
-                self.timely += u64::from(now <= sent.objective);
+                self.in_time += u64::from(now <= sent.objective);
                 let output = sent.output;
-                self.at(output, Event::End(number));
+                self.schedule(output, Event::End(number));
                 self.scheduler.first_event(ticket(number), now)
             }
             Event::End(number) => {
-                let outcome = Outcome::Answered { took: CALL };
+                let outcome = Outcome::Answered {
+                    took: CALL_DURATION,
+                };
                 self.scheduler.ended(ticket(number), outcome, now)
             }
             Event::Accepted(upstream, order) => {
@@ -176,16 +178,16 @@
             Event::Tick => {
                 let actions = self.scheduler.tick(now);
                 let due = self.scheduler.wake_at(now).since(now);
-                self.at(due.min(Millis(50)), Event::Tick);
+                self.schedule(due.min(Millis(50)), Event::Tick);
                 actions
             }
         };
         for action in actions {
-            self.act(action);
+            self.apply(action);
         }
     }
 
-    fn act(
+    fn apply(
         &mut self,
         action: Action,
     ) {
@@ -204,7 +206,7 @@
                 self.loads += u64::from(matches!(order, Order::Load { .. }));
                 self.orders.push((order, end));
                 let at = self.orders.len() - 1;
-                self.at(ON_THE_WAY, Event::Accepted(upstream, at));
+                self.schedule(NETWORK_DELAY, Event::Accepted(upstream, at));
             }
             Action::RequestReport { .. } => {}
         }
@@ -217,10 +219,10 @@
     ) {
         let job = &self.jobs[&number];
         let Some(generation) = job.generation() else {
-            let pause = CALL + ON_THE_WAY;
-            return self.at(pause, Event::End(number));
+            let pause = CALL_DURATION + NETWORK_DELAY;
+            return self.schedule(pause, Event::End(number));
         };
-        let read = f64::from(generation.size.prompt) / READ_PER_MS;
+        let prefill_ms = f64::from(generation.size.prompt) / PREFILL_TOKENS_PER_MS;
         let output = Millis(u64::from(generation.size.output) * 12);
         let sent = Sent {
             objective: job.objective,
@@ -228,18 +230,18 @@
         };
         self.sent.insert(number, sent);
         let free = self.busy_until.entry(upstream).or_default();
-        let done = (*free).max(self.now + ON_THE_WAY) + Millis(read as u64);
+        let done = (*free).max(self.now + NETWORK_DELAY) + Millis(prefill_ms as u64);
         *free = done;
         let pause = done.since(self.now);
-        self.at(pause, Event::FirstToken(number));
+        self.schedule(pause, Event::FirstToken(number));
     }
 
     fn job(&mut self) -> Job {
         let now = self.now;
         let account = AccountId(self.rng.random_range(0..ACCOUNTS));
-        if self.rng.random_range(0..CALL_OF) == 0 {
+        if self.rng.random_range(0..REQUESTS_PER_CALL) == 0 {
             return Job {
-                service: CALLS,
+                service: CALL_SERVICE,
                 work: Work::Call,
                 objective: now + Millis(100),
                 gap_objective: None,
@@ -255,16 +257,16 @@
         &mut self,
         account: AccountId,
     ) -> Job {
-        let total = self.weights[self.weights.len() - 1];
+        let total = self.cumulative_weights[self.cumulative_weights.len() - 1];
         let drawn = self.rng.random_range(0.0..total);
-        let adapter = self.weights.partition_point(|&sum| sum < drawn) as u32;
+        let adapter = self.cumulative_weights.partition_point(|&sum| sum < drawn) as u32;
         let part = |id: u64, tokens| PromptPart { id, tokens };
         let subject = self.rng.random_range(0..64);
         Job {
             account: Some(account),
             caller: CallerTag(u64::from(account.0)),
             cost: 2_400,
-            service: ENGINES,
+            service: ENGINE_SERVICE,
             work: Work::Generation(Generation {
                 model: MODEL,
                 adapter: Some(AdapterId(adapter)),
--- a/crates/core/examples/scheduler_cost/main.rs
+++ b/crates/core/examples/scheduler_cost/main.rs
@@ -1,7 +1,7 @@
-//! What a request costs the VM that schedules, by number of engines and requests a second.
+//! Measures the CPU cost of scheduling per request, by number of engines and request rate.
 //!
-//! `cargo run --release -p jasmine-core --example scheduler_cost -- <engines> <requests a second> <seconds>`; the clock is
-//! virtual, the cost is this machine's.
+//! `cargo run --release -p jasmine-core --example scheduler_cost -- <engines> <requests per second> <seconds>`.
+//! The clock is virtual; the CPU time is real.
 
 mod fleet;
 
@@ -10,33 +10,36 @@
     std::time::{Duration, Instant},
 };
 
-const DEFAULTS: [u64; 3] = [140, 850, 10];
+const DEFAULT_ARGS: [u64; 3] = [140, 850, 10];
 
 fn main() {
     let mut args = std::env::args().skip(1);
-    let [engines, per_s, seconds] = DEFAULTS.map(|default| {
+    let [engines, per_s, seconds] = DEFAULT_ARGS.map(|default| {
         let arg = args.next();
-        arg.map_or(default, |arg| arg.parse().expect("a number"))
+        arg.map_or(default, |arg| {
+            arg.parse()
+                .expect("arguments must be non-negative integers")
+        })
     });
     let mut fleet = SimulatedFleet::new(engines as u32);
-    let began = Instant::now();
-    fleet.play(per_s, seconds);
-    report(&fleet, began.elapsed(), per_s * seconds);
+    let started = Instant::now();
+    fleet.run(per_s, seconds);
+    report(&fleet, started.elapsed(), per_s * seconds);
 }
 
 fn report(
     fleet: &SimulatedFleet,
     took: Duration,
-    asked: u64,
+    requests: u64,
 ) {
     println!(
-        "asked {asked}, first tokens {}, refused {}, in time {}, loads {}",
-        fleet.first_tokens, fleet.refused, fleet.timely, fleet.loads
+        "requests {requests}, first tokens {}, refused {}, in time {}, loads {}",
+        fleet.first_tokens, fleet.refused, fleet.in_time, fleet.loads
     );
     println!(
-        "{:.1} us a request, {:.4} of a core, {:.2} looks a request",
-        took.as_secs_f64() * 1e6 / asked as f64,
-        took.as_secs_f64() / fleet.played().as_secs_f64(),
-        fleet.evaluations() as f64 / asked as f64,
+        "{:.1} us per request, {:.4} of a core, {:.2} evaluations per request",
+        took.as_secs_f64() * 1e6 / requests as f64,
+        took.as_secs_f64() / fleet.elapsed().as_secs_f64(),
+        fleet.evaluations() as f64 / requests as f64,
     );
 }
--- a/crates/core/examples/skewed_load/load.rs
+++ b/crates/core/examples/skewed_load/load.rs
@@ -1,59 +1,62 @@
 use jasmine_core::clock::Millis;
 
-/// Where the demand is.
+/// Distribution of the requests over the VMs.
 #[derive(Clone, Copy, Debug)]
 pub enum Skew {
-    /// Any VM.
+    /// Uniform over all VMs.
     Even,
-    /// One VM, another one every so often.
+    /// All at one VM, which changes at this interval.
     Moving(Millis),
 }
 
-/// One load.
+/// Parameters of one simulated load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub name: &'static str,
+    /// Number of VMs that may hold rights.
     pub holders: u32,
     pub skew: Skew,
-    /// Demand in percent of the rate.
-    pub percent: u64,
-    /// Demand in the first four of every twenty seconds, in percent of the rate.
-    pub peak: u64,
-    /// What a request uses, in percent of its charge, at least.
-    pub least_used: u64,
-    /// Refused callers come back once, when told.
-    pub return_once: bool,
-    /// And at the VM that refused them.
-    pub same_vm: bool,
-    /// The VM that gets the demand dies halfway; its rights are granted anew once that is proved.
-    pub dies: bool,
+    /// Demand outside of peaks, in percent of the account's rate.
+    pub base_percent: u64,
+    /// Demand in the first 4 of every 20 seconds, in percent of the account's rate.
+    pub peak_percent: u64,
+    /// Minimum actual usage of a request, in percent of its charge.
+    pub min_used_percent: u64,
+    /// Whether refused callers retry once, after the retry delay.
+    pub retries_once: bool,
+    /// Whether they retry at the VM that refused them.
+    pub retries_at_same_vm: bool,
+    /// Whether the loaded VM dies halfway; its rights are reissued once its lease has expired.
+    pub vm_dies: bool,
 }
 
-/// What came of a run.
+/// Counters of one run.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Counters {
     pub requests: u64,
     pub refused: u64,
+    /// Refused although the reference bucket admitted them.
     pub wrongful: u64,
     pub messages: u64,
-    pub asked: u64,
-    pub returned: u64,
-    pub served_on_return: u64,
+    /// Requests that waited for rights from peers.
+    pub waited: u64,
+    pub retries: u64,
+    pub retries_served: u64,
     pub admitted_tokens: u64,
 }
 
-/// The loads that are run.
+/// All simulated loads.
 pub fn loads() -> Vec<Load> {
     let base = Load {
         name: "moving every 10 s",
         holders: 8,
         skew: Skew::Moving(Millis::from_secs(10)),
-        percent: 90,
-        peak: 90,
-        least_used: 100,
-        return_once: false,
-        same_vm: true,
-        dies: false,
+        base_percent: 90,
+        peak_percent: 90,
+        min_used_percent: 100,
+        retries_once: false,
+        retries_at_same_vm: true,
+        vm_dies: false,
     };
     vec![
         base,
@@ -64,18 +67,18 @@
         },
         Load {
             name: "moving, uses 40-100 %",
-            least_used: 40,
+            min_used_percent: 40,
             ..base
         },
         Load {
             name: "moving, the VM in use dies",
-            dies: true,
+            vm_dies: true,
             ..base
         },
         Load {
             name: "even, a VM dies",
             skew: Skew::Even,
-            dies: true,
+            vm_dies: true,
             ..base
         },
         Load {
@@ -91,39 +94,39 @@
         },
         Load {
             name: "always 3x",
-            percent: 300,
-            peak: 300,
+            base_percent: 300,
+            peak_percent: 300,
             ..base
         },
         Load {
-            name: "always 3x, back once",
-            percent: 300,
-            peak: 300,
-            return_once: true,
+            name: "always 3x, one retry",
+            base_percent: 300,
+            peak_percent: 300,
+            retries_once: true,
             ..base
         },
         Load {
-            name: "always 3x, even, back once at any VM",
-            percent: 300,
-            peak: 300,
-            return_once: true,
-            same_vm: false,
+            name: "always 3x, even, one retry at any VM",
+            base_percent: 300,
+            peak_percent: 300,
+            retries_once: true,
+            retries_at_same_vm: false,
             skew: Skew::Even,
             ..base
         },
         Load {
-            name: "50 %, peaks of 3x, back once",
-            percent: 50,
-            peak: 300,
-            return_once: true,
+            name: "50 %, peaks of 3x, one retry",
+            base_percent: 50,
+            peak_percent: 300,
+            retries_once: true,
             ..base
         },
         Load {
-            name: "50 %, peaks of 3x, even, back once at any VM",
-            percent: 50,
-            peak: 300,
-            return_once: true,
-            same_vm: false,
+            name: "50 %, peaks of 3x, even, one retry at any VM",
+            base_percent: 50,
+            peak_percent: 300,
+            retries_once: true,
+            retries_at_same_vm: false,
             skew: Skew::Even,
             ..base
         },
--- a/crates/core/examples/skewed_load/run.rs
+++ b/crates/core/examples/skewed_load/run.rs
@@ -1,5 +1,5 @@
 use {
-    super::load::{Figures, Load, Skew},
+    super::load::{Counters, Load, Skew},
     jasmine_core::{
         clock::Millis,
         ids::{AccountId, Epoch, Holder, Incarnation, Role, TransferId, VmId},
@@ -14,21 +14,21 @@
 };
 
 const ACCOUNT: AccountId = AccountId(1);
-/// The account's limit.
+/// Rate (tokens per second) and burst (tokens) of the account.
 pub const LIMIT: Limit = Limit {
     rate: 10_000,
     burst: 20_000,
 };
-/// One way between two VMs.
-const LINK: Millis = Millis(1);
-/// How long it takes until a VM's death is proved: its lease, and the list's lag.
-const PROOF: Millis = Millis::from_secs(15);
-/// How long a request runs before its charge is settled.
-const RUN_TIME: Millis = Millis(2000);
-/// How long a request waits for the answers of peers.
-const PATIENCE: Millis = Millis(50);
-/// For how long requests come.
-pub const SECONDS: u64 = 120;
+/// One-way network delay between two VMs.
+const NETWORK_DELAY: Millis = Millis(1);
+/// Time from a VM's death to the reissue of its rights: lease expiry plus lag of the VM list.
+const REISSUE_DELAY: Millis = Millis::from_secs(15);
+/// Time from admission to settlement of a request.
+const RUN_DURATION: Millis = Millis(2000);
+/// How long a request waits for rights from peers.
+const PEER_TIMEOUT: Millis = Millis(50);
+/// Simulated time in which requests arrive.
+pub const ARRIVAL_SECS: u64 = 120;
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
@@ -36,23 +36,23 @@
     cost: u64,
     caller: CallerTag,
     since: Millis,
-    returned: bool,
-    ideal: bool,
+    is_retry: bool,
+    is_ideally_admitted: bool,
 }
 
 #[derive(Debug)]
 enum Event {
     Arrive(Request),
     OutgoingTakeRequest(OutgoingTakeRequest),
-    Answer(Holder, TransferId, TakeResponse),
-    GiveUp(CallerTag),
+    Response(Holder, TransferId, TakeResponse),
+    TimeOut(CallerTag),
     Settle(usize, Charge, u64),
     Tick,
     Die,
     Reissue,
 }
 
-/// One load on a fleet of ledgers.
+/// Event-driven simulation of one load on a fleet of ledgers.
 pub struct Run {
     load: Load,
     ledgers: Vec<RightsLedger>,
@@ -60,14 +60,14 @@
     seq: u64,
     waiting: BTreeMap<CallerTag, Request>,
     dead: Option<usize>,
-    /// The bucket of the whole fleet, in thousandths, and when it was filled.
-    ideal: (u64, Millis),
+    /// Reference bucket of the whole fleet: level in millitokens and time of the last refill.
+    ideal_bucket: (u64, Millis),
     rng: ChaCha8Rng,
-    figures: Figures,
+    counters: Counters,
 }
 
 impl Run {
-    /// A fleet whose rights are divided among the account's homes.
+    /// Creates a fleet with the rights divided evenly among the account's homes.
     pub fn new(
         load: Load,
         sharing: bool,
@@ -107,44 +107,44 @@
             seq: 0,
             waiting: BTreeMap::new(),
             dead: None,
-            ideal: (LIMIT.burst_millitokens(), Millis::ZERO),
+            ideal_bucket: (LIMIT.burst_millitokens(), Millis::ZERO),
             rng: ChaCha8Rng::seed_from_u64(7),
-            figures: Figures::default(),
+            counters: Counters::default(),
         }
     }
 
-    /// Runs the load to its end.
-    pub fn run(mut self) -> Figures {
-        self.arrivals();
-        self.at(Millis(250), Event::Tick);
-        if self.load.dies {
-            self.at(Millis::from_secs(SECONDS / 2 + 5), Event::Die);
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> Counters {
+        self.schedule_arrivals();
+        self.schedule(Millis(250), Event::Tick);
+        if self.load.vm_dies {
+            self.schedule(Millis::from_secs(ARRIVAL_SECS / 2 + 5), Event::Die);
         }
         while let Some(((now, _), event)) = self.events.pop_first() {
             match event {
-                _ if now > Millis::from_secs(SECONDS + 10) => break,
+                _ if now > Millis::from_secs(ARRIVAL_SECS + 10) => break,
                 Event::Arrive(request) => self.arrive(request, now),
-                Event::OutgoingTakeRequest(ask) => self.ask(&ask, now),
-                Event::Answer(to, transfer, given) => self.answer(to, transfer, &given, now),
-                Event::GiveUp(caller) => self.give_up(caller, now),
+                Event::OutgoingTakeRequest(req) => self.on_request(&req, now),
+                Event::Response(to, transfer, resp) => self.on_response(to, transfer, &resp, now),
+                Event::TimeOut(caller) => self.time_out(caller, now),
                 Event::Settle(vm, charge, actual) => self.ledgers[vm].settle(charge, actual, now),
                 Event::Tick => self.tick(now),
                 Event::Die => self.die(now),
                 Event::Reissue => self.reissue(now),
             }
         }
-        self.figures
+        self.counters
     }
 
-    /// Requests of 50 to 950 tokens at exponential distances.
-    fn arrivals(&mut self) {
+    /// Schedules requests of 50 to 950 tokens with exponential gaps.
+    fn schedule_arrivals(&mut self) {
         let (mut at, mut caller) = (0.0, 0);
-        while at < (SECONDS * 1000) as f64 {
+        while at < (ARRIVAL_SECS * 1000) as f64 {
             let is_peak = at as u64 % 20_000 < 4000;
             let percent = if is_peak {
-                self.load.peak
+                self.load.peak_percent
             } else {
-                self.load.percent
+                self.load.base_percent
             };
             let mean_gap = 500.0 * 1000.0 / (LIMIT.rate * percent / 100) as f64;
             at += -self.rng.random::<f64>().max(1e-9).ln() * mean_gap;
@@ -157,10 +157,10 @@
                 cost: self.rng.random_range(50..=950),
                 caller: CallerTag(caller),
                 since: now,
-                returned: false,
-                ideal: false,
+                is_retry: false,
+                is_ideally_admitted: false,
             };
-            self.at(now, Event::Arrive(request));
+            self.schedule(now, Event::Arrive(request));
         }
     }
 
@@ -173,20 +173,20 @@
         if self.dead == Some(request.vm) {
             request.vm = (request.vm + 1) % self.ledgers.len();
         }
-        request.ideal = self.ideal_takes(request.cost, now);
-        if request.returned {
-            self.figures.returned += 1;
+        request.is_ideally_admitted = self.ideal_bucket_admits(request.cost, now);
+        if request.is_retry {
+            self.counters.retries += 1;
         } else {
-            self.figures.requests += 1;
+            self.counters.requests += 1;
         }
         if !self.attempt(&request, now) {
-            self.figures.asked += 1;
+            self.counters.waited += 1;
             self.waiting.insert(request.caller, request);
-            self.at(now + PATIENCE, Event::GiveUp(request.caller));
+            self.schedule(now + PEER_TIMEOUT, Event::TimeOut(request.caller));
         }
     }
 
-    /// Tries once; whether that was final.
+    /// Tries to admit a request; returns false if it has to wait for rights from peers.
     fn attempt(
         &mut self,
         request: &Request,
@@ -195,11 +195,14 @@
         let ledger = &mut self.ledgers[request.vm];
         match ledger.try_admit(ACCOUNT, request.cost, request.caller, now) {
             Admission::Admitted(charge) => {
-                self.figures.admitted_tokens += request.cost;
-                self.figures.served_on_return += u64::from(request.returned);
-                let used = self.rng.random_range(self.load.least_used..=100);
+                self.counters.admitted_tokens += request.cost;
+                self.counters.retries_served += u64::from(request.is_retry);
+                let used = self.rng.random_range(self.load.min_used_percent..=100);
                 let actual = request.cost * used / 100;
-                self.at(now + RUN_TIME, Event::Settle(request.vm, charge, actual));
+                self.schedule(
+                    now + RUN_DURATION,
+                    Event::Settle(request.vm, charge, actual),
+                );
                 true
             }
             Admission::Refused(refusal) => {
@@ -207,8 +210,8 @@
                 true
             }
             Admission::NeedsRights { shortfall } => {
-                for ask in ledger.create_take_requests(ACCOUNT, shortfall, now) {
-                    self.send(Event::OutgoingTakeRequest(ask), now);
+                for req in ledger.create_take_requests(ACCOUNT, shortfall, now) {
+                    self.send(Event::OutgoingTakeRequest(req), now);
                 }
                 false
             }
@@ -221,49 +224,53 @@
         retry_secs: Option<u64>,
         now: Millis,
     ) {
-        if request.returned {
+        if request.is_retry {
             return;
         }
-        self.figures.refused += 1;
-        self.figures.wrongful += u64::from(request.ideal);
-        if let (true, Some(secs)) = (self.load.return_once, retry_secs) {
+        self.counters.refused += 1;
+        self.counters.wrongful += u64::from(request.is_ideally_admitted);
+        if let (true, Some(secs)) = (self.load.retries_once, retry_secs) {
             let any = self.rng.random_range(0..self.ledgers.len());
-            let vm = if self.load.same_vm { request.vm } else { any };
+            let vm = if self.load.retries_at_same_vm {
+                request.vm
+            } else {
+                any
+            };
             let again = Request {
                 vm,
-                returned: true,
+                is_retry: true,
                 ..*request
             };
             let spread = self.rng.random_range(0..200);
-            self.at(now + Millis(secs * 1000 + spread), Event::Arrive(again));
+            self.schedule(now + Millis(secs * 1000 + spread), Event::Arrive(again));
         }
     }
 
-    fn ask(
+    fn on_request(
         &mut self,
-        ask: &OutgoingTakeRequest,
+        req: &OutgoingTakeRequest,
         now: Millis,
     ) {
-        if self.dead == Some(index(ask.to)) {
+        if self.dead == Some(index(req.to)) {
             return;
         }
-        let given = self.ledgers[index(ask.to)].handle_take_request(&ask.request, now);
-        let answer = Event::Answer(ask.request.from, ask.request.transfer, given);
-        self.send(answer, now);
+        let resp = self.ledgers[index(req.to)].handle_take_request(&req.request, now);
+        let event = Event::Response(req.request.from, req.request.transfer, resp);
+        self.send(event, now);
     }
 
-    fn answer(
+    fn on_response(
         &mut self,
         to: Holder,
         transfer: TransferId,
-        given: &TakeResponse,
+        resp: &TakeResponse,
         now: Millis,
     ) {
         let vm = index(to);
         if self.dead == Some(vm) {
             return;
         }
-        self.ledgers[vm].handle_take_response(transfer, given, now);
+        self.ledgers[vm].handle_take_response(transfer, resp, now);
         let waiting: Vec<Request> = self
             .waiting
             .values()
@@ -277,7 +284,7 @@
         }
     }
 
-    fn give_up(
+    fn time_out(
         &mut self,
         caller: CallerTag,
         now: Millis,
@@ -294,13 +301,13 @@
         now: Millis,
     ) {
         for vm in 0..self.ledgers.len() {
-            let mut asks = self.ledgers[vm].prefetch(now);
-            asks.extend(self.ledgers[vm].due_resends(now));
-            for ask in asks {
-                self.send(Event::OutgoingTakeRequest(ask), now);
+            let mut requests = self.ledgers[vm].prefetch(now);
+            requests.extend(self.ledgers[vm].due_resends(now));
+            for req in requests {
+                self.send(Event::OutgoingTakeRequest(req), now);
             }
         }
-        self.at(now + Millis(250), Event::Tick);
+        self.schedule(now + Millis(250), Event::Tick);
     }
 
     fn die(
@@ -310,10 +317,10 @@
         let vm = self.hot_vm(now).unwrap_or(0);
         self.dead = Some(vm);
         self.waiting.retain(|_, request| request.vm != vm);
-        self.at(now + PROOF, Event::Reissue);
+        self.schedule(now + REISSUE_DELAY, Event::Reissue);
     }
 
-    /// The next epoch, without the dead VM: what the others don't report is granted to them evenly.
+    /// Starts the next epoch without the dead VM and divides its rights evenly among the others.
     fn reissue(
         &mut self,
         now: Millis,
@@ -322,20 +329,20 @@
         let alive: Vec<usize> = (0..self.ledgers.len())
             .filter(|&vm| Some(vm) != dead)
             .collect();
-        let (mut rate, mut room) = (0, 0);
+        let (mut rate, mut burst) = (0, 0);
         for &vm in &alive {
             let ledger = &mut self.ledgers[vm];
             ledger.set_peers(alive.iter().map(|&vm| holder(vm as u32 + 1)));
             for right in ledger.enter_epoch(Epoch(2), now).unwrap_or_default() {
                 rate += right.rate_share;
-                room += right.burst_share;
+                burst += right.burst_share;
             }
         }
         let even = alive.len() as u64;
         let grant = Right {
             account: ACCOUNT,
             rate_share: (FULL_SHARE - rate) / even,
-            burst_share: (FULL_SHARE - room) / even,
+            burst_share: (FULL_SHARE - burst) / even,
             tokens: 0,
         };
         for vm in alive {
@@ -358,11 +365,11 @@
         event: Event,
         now: Millis,
     ) {
-        self.figures.messages += 1;
-        self.at(now + LINK, event);
+        self.counters.messages += 1;
+        self.schedule(now + NETWORK_DELAY, event);
     }
 
-    fn at(
+    fn schedule(
         &mut self,
         at: Millis,
         event: Event,
@@ -371,16 +378,23 @@
         self.events.insert((at, self.seq), event);
     }
 
-    fn ideal_takes(
+    fn ideal_bucket_admits(
         &mut self,
         cost: u64,
         now: Millis,
     ) -> bool {
-        let (level, at) = self.ideal;
+        let (level, at) = self.ideal_bucket;
         let level = (level + now.since(at).0 * LIMIT.rate).min(LIMIT.burst_millitokens());
-        let takes = level >= cost * 1000;
-        self.ideal = (if takes { level - cost * 1000 } else { level }, now);
-        takes
+        let is_admitted = level >= cost * 1000;
+        self.ideal_bucket = (
+            if is_admitted {
+                level - cost * 1000
+            } else {
+                level
+            },
+            now,
+        );
+        is_admitted
     }
 }
 
--- a/crates/testkit/examples/control_cost.rs
+++ b/crates/testkit/examples/control_cost.rs
@@ -1,5 +1,5 @@
-//! What the system spends on itself: processor time, memory and bytes of each daemon, idle and under
-//! a light load, for a given number of VMs, engines and adapters. Run with --release.
+//! Measures CPU time, memory and network traffic of the daemons, idle and under light load, for a
+//! given number of VMs, engines and adapters. Run with --release.
 //!
 //! `control_cost <vms> <engines> <adapters> <seconds>`
 
@@ -19,14 +19,14 @@
     },
 };
 
-/// Time in which start-up traffic dies down before anything is measured.
-const SETTLE: Duration = Duration::from_secs(5);
+/// How long to wait for start-up traffic to end before measuring.
+const SETTLE_DELAY: Duration = Duration::from_secs(5);
 
-/// The pause between two requests at a VM under load.
-const REQUEST_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two requests to a VM under load.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Adapters that the load asks for, at most.
-const ADAPTERS_ASKED: usize = 12;
+/// Maximum number of adapters requested by the load.
+const MAX_ADAPTERS: usize = 12;
 
 /// Totals over all VMs since they started.
 #[derive(Clone, Copy, Debug, Default)]
@@ -40,7 +40,7 @@
     platform_calls: u64,
 }
 
-fn add(
+fn add_passed(
     sum: &mut Passed,
     proxy: &Proxy,
 ) {
@@ -58,15 +58,15 @@
     for vm in &cluster.vms {
         totals.gateway_cpu_ms += vm.gateway.as_ref().map_or(0, Daemon::cpu_ms);
         totals.controller_cpu_ms += vm.controller.as_ref().map_or(0, Daemon::cpu_ms);
-        add(&mut totals.own_controller, &vm.to_controller);
-        add(&mut totals.controllers, &vm.controller_peers);
-        add(&mut totals.gateways, &vm.gateway_peers);
-        add(&mut totals.platform, &vm.to_platform);
+        add_passed(&mut totals.own_controller, &vm.to_controller);
+        add_passed(&mut totals.controllers, &vm.controller_peers);
+        add_passed(&mut totals.gateways, &vm.gateway_peers);
+        add_passed(&mut totals.platform, &vm.to_platform);
     }
     Ok(totals)
 }
 
-/// All numbers of a document together.
+/// Sums all numbers of a JSON document.
 fn sum(value: &Value) -> u64 {
     match value {
         Value::Number(n) => n.as_u64().unwrap_or(0),
@@ -76,42 +76,43 @@
     }
 }
 
-/// Asks one VM for one adapter after the other: how many answers were whole, and how many were asked for.
-async fn ask(
+/// Requests adapters in turn from one VM; returns the numbers of complete responses and requests.
+async fn send_requests(
     cluster: &Cluster,
     vm: u32,
     until: Instant,
 ) -> (u64, u64) {
-    let adapters = ADAPTERS_ASKED.min(cluster.spec().adapters as usize);
+    let adapters = MAX_ADAPTERS.min(cluster.spec().adapters as usize);
     let key = cluster.key("clinic");
-    let (mut whole, mut asked) = (0, 0);
+    let (mut whole, mut sent) = (0, 0);
     while Instant::now() < until {
-        let adapter = format!("notes-{}", (asked as usize + vm as usize) % adapters + 1);
-        let next = Instant::now() + REQUEST_EVERY;
+        let adapter = format!("notes-{}", (sent as usize + vm as usize) % adapters + 1);
+        let next = Instant::now() + REQUEST_INTERVAL;
         let call = Call::chat(cluster.callers(vm), key, &adapter, "hi", 8, true);
-        asked += 1;
+        sent += 1;
         whole += u64::from(call.send().await.is_ok_and(|answer| answer.is_whole()));
         tokio::time::sleep_until(next.into()).await;
     }
-    (whole, asked)
+    (whole, sent)
 }
 
-/// Measures for `span`, with load or without: per daemon and second.
+/// Measures for `span`, idle or under load; rates are per VM and second.
 async fn measure(
     cluster: &Cluster,
     span: Duration,
-    loaded: bool,
+    with_load: bool,
 ) -> Result<Value, Box<dyn Error>> {
     let before = totals(cluster).await?;
     let start = Instant::now();
-    let (mut whole, mut asked) = (0, 0);
-    if loaded {
+    let (mut whole, mut sent) = (0, 0);
+    if with_load {
         let vms = cluster.vms.iter().map(|vm| vm.number);
-        let mut callers: FuturesUnordered<_> =
-            vms.map(|vm| ask(cluster, vm, start + span)).collect();
-        while let Some((some_whole, some)) = callers.next().await {
-            whole += some_whole;
-            asked += some;
+        let mut callers: FuturesUnordered<_> = vms
+            .map(|vm| send_requests(cluster, vm, start + span))
+            .collect();
+        while let Some((vm_whole, vm_sent)) = callers.next().await {
+            whole += vm_whole;
+            sent += vm_sent;
         }
     } else {
         tokio::time::sleep(span).await;
@@ -142,7 +143,7 @@
         "platform": bytes(after.platform, before.platform),
         "platform_calls_a_vm": rate(after.platform_calls, before.platform_calls),
         "whole": whole,
-        "asked": asked,
+        "asked": sent,
     }))
 }
 
@@ -159,23 +160,27 @@
         ..ClusterSpec::demo()
     };
     let cluster = Cluster::start(spec).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_DELAY).await;
     let span = Duration::from_secs(seconds);
     let idle = measure(&cluster, span, false).await?;
     let load = measure(&cluster, span, true).await?;
     println!("{vms} VMs, {engines} engines, {adapters} adapters, {seconds} s each");
-    println!("processor: percent of a core; memory: the largest; bytes a second and VM: [in, out]");
-    println!("of the one that listens; `controllers`: all that reaches them as peers or owners");
+    println!("CPU: percent of a core; memory: maximum; bytes per second and VM: [in, out]");
+    println!("of the listening side; `controllers`: all traffic from peers and to engine owners");
     println!("{:<24} {:>22} {:>22}", "", "idle", "light load");
     for (name, idle) in idle.as_object().into_iter().flatten() {
-        println!("{name:<24} {:>22} {:>22}", shown(idle), shown(&load[name]));
+        println!(
+            "{name:<24} {:>22} {:>22}",
+            format_value(idle),
+            format_value(&load[name])
+        );
     }
     let size = [vms, engines, adapters];
     println!("{}", json!({"size": size, "idle": idle, "load": load}));
     Ok(())
 }
 
-fn shown(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     value
         .as_f64()
         .map_or_else(|| value.to_string(), |value| format!("{value:.2}"))
--- a/crates/testkit/tests/account_made.rs
+++ b/crates/testkit/tests/account_made.rs
@@ -1,4 +1,4 @@
-//! The first requests of a client account, just after it has been made.
+//! First requests of a newly created client account.
 
 use {
     jasmine_conf::{fleet::KeyDigest, hex},
@@ -10,16 +10,16 @@
     std::time::{Duration, Instant},
 };
 
-/// Accounts made one after the other.
+/// Accounts created one after another.
 const ACCOUNTS: u32 = 8;
 
-/// Until when the first request must have been taken in.
-const BOUND: Duration = Duration::from_secs(10);
+/// How long a new key may stay unknown to a gateway.
+const KEY_KNOWN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Within which a gateway that is ready answers; without rights its requests wait until an epoch has begun.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Longest response time of a ready gateway; without rights, requests wait for the next epoch.
+const MAX_READY_LATENCY: Duration = Duration::from_millis(200);
 
-fn account(n: u32) -> [Value; 2] {
+fn create_account_ops(n: u32) -> [Value; 2] {
     let path = format!("/accounts/new-{n}");
     let digest = hex::encode(&KeyDigest::of(&key(n)).0);
     [
@@ -32,13 +32,13 @@
     format!("new-{n}-{n:032x}")
 }
 
-/// Sends until the key is known at this VM: how the first request that it knew ended.
+/// Retries until the VM knows the key; returns the outcome of the first accepted request.
 async fn first_answer(
     cluster: &Cluster,
     vm: u32,
     key: &str,
 ) -> String {
-    let until = Instant::now() + BOUND;
+    let deadline = Instant::now() + KEY_KNOWN_TIMEOUT;
     loop {
         let call = Call::chat(cluster.callers(vm), key, "base", "hi", 16, true);
         let code = match call.send().await {
@@ -46,38 +46,43 @@
             Ok(answer) => answer.code().to_owned(),
             Err(e) => e.to_string(),
         };
-        if code != "key_unknown" || Instant::now() > until {
+        if code != "key_unknown" || Instant::now() > deadline {
             return code;
         }
     }
 }
 
-/// An operator makes an account and its first caller calls at once, at whichever VM. Until an epoch has
-/// given the account's rights to somebody, no gateway holds any of them. The caller would notice that it is told to
-/// slow down although it has never been served before.
+/// Guards against rate-limiting the first requests of a new account, sent before an epoch has
+/// granted its rights to any gateway.
 #[actix_web::test]
 async fn called_at_once() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let mut wrong = Vec::new();
+    let mut failures = Vec::new();
     for n in 0..ACCOUNTS {
         let base = cluster.revision(1).await.unwrap();
         let id = format!("account-{n}");
-        let answer = cluster.edit(1, &id, base, &account(n)).await.unwrap();
+        let answer = cluster
+            .edit(1, &id, base, &create_account_ops(n))
+            .await
+            .unwrap();
         assert_eq!(answer.status, 200, "{}", answer.json);
         let key = key(n);
-        let both = futures::join!(
+        let outcomes = futures::join!(
             first_answer(&cluster, 1, &key),
             first_answer(&cluster, 2, &key)
         );
-        println!("account {n}: {both:?}");
-        wrong.extend([both.0, both.1].into_iter().filter(|code| code != "whole"));
+        println!("account {n}: {outcomes:?}");
+        failures.extend(
+            [outcomes.0, outcomes.1]
+                .into_iter()
+                .filter(|code| code != "whole"),
+        );
     }
-    assert!(wrong.is_empty(), "{wrong:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
 
-/// All VMs start for the first time, and the first configuration comes when they run. A gateway that says it is
-/// ready before an epoch has given out any rights gets callers from the balancer, who would wait, or be told to slow down
-/// although they have never been served before.
+/// Guards against gateways that report ready on first start before an epoch has granted any
+/// rights: the balancer would send them requests that wait or are rate-limited.
 #[actix_web::test]
 async fn ready_at_first_start() {
     for gateways_first in [true, false] {
@@ -88,7 +93,8 @@
         let cluster = Cluster::start(spec).await.unwrap();
         let answers = &cluster.answers_when_ready;
         println!("gateways first: {gateways_first}, {answers:?}");
-        let at_once = |(status, took): &(u16, Duration)| *status == 200 && *took < AT_ONCE;
-        assert!(answers.iter().all(at_once), "{answers:?}");
+        let is_prompt =
+            |(status, took): &(u16, Duration)| *status == 200 && *took < MAX_READY_LATENCY;
+        assert!(answers.iter().all(is_prompt), "{answers:?}");
     }
 }
--- a/crates/testkit/tests/controller_lost.rs
+++ b/crates/testkit/tests/controller_lost.rs
@@ -1,12 +1,12 @@
-//! Controllers that are killed while their gateways go on.
+//! Controllers killed while their gateways keep running.
 
 use {
     jasmine_testkit::harness::{Cluster, ClusterSpec, served_within},
     std::time::Duration,
 };
 
-/// The controller of one VM is killed. Its gateway serves what is loaded as if nothing had happened;
-/// what is not loaded waits until another controller owns the engines.
+/// One controller is killed. Its gateway keeps serving loaded adapters; adapters that are not
+/// loaded wait until another controller owns the engines.
 #[actix_web::test]
 async fn one_killed() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -19,8 +19,8 @@
     println!("loaded {loaded:?}, cold {cold:?}, cold with the new controller {after:?}");
 }
 
-/// All controllers are killed at once. Gateways go on with what they hold until their configuration
-/// is too old to check keys by; callers of adapters in use notice nothing for these seconds.
+/// All controllers are killed at once. Gateways keep serving loaded adapters until their
+/// configuration is too old for key checks.
 #[actix_web::test]
 async fn all_killed() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -38,7 +38,7 @@
         vm.start_controller().unwrap();
     }
     for vm in [1, 2] {
-        let back = served_within(&cluster, vm, "notes-4", Duration::from_secs(30)).await;
-        println!("VM {vm} served a cold adapter {back:?} after the controllers were back");
+        let recovery = served_within(&cluster, vm, "notes-4", Duration::from_secs(30)).await;
+        println!("VM {vm} served a cold adapter {recovery:?} after the controllers were back");
     }
 }
--- a/crates/testkit/tests/crossed_answer.rs
+++ b/crates/testkit/tests/crossed_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that belong to another request.
+//! Engine responses that belong to another request.
 
 use {
     jasmine_testkit::{
@@ -9,7 +9,7 @@
     serde_json::json,
 };
 
-/// An engine mixes up two answers. A clinic would read what was written for a courier firm.
+/// Guards against passing one account's response to another when an engine swaps two responses.
 #[actix_web::test]
 async fn never_passed_on() {
     let spec = ClusterSpec {
--- a/crates/testkit/tests/cut_stream.rs
+++ b/crates/testkit/tests/cut_stream.rs
@@ -1,4 +1,4 @@
-//! Answers that break off between engine and gateway.
+//! Response streams that break between engine and gateway.
 
 use {
     jasmine_testkit::{
@@ -10,8 +10,8 @@
     std::time::Duration,
 };
 
-/// Connections to the engines break every few tokens. The engine still has the stream, so a caller
-/// should notice nothing; without a resume it would hold the first five tokens of its summary.
+/// Connections to the engines break every few tokens. The gateway must resume the stream, or the
+/// caller gets a truncated response.
 #[actix_web::test]
 async fn resumed() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -41,9 +41,8 @@
     }
 }
 
-/// The engine restarts in the middle of an answer and has forgotten the stream. What the caller got
-/// must end with an error that says incomplete; a cut answer that looks whole would be sent out as
-/// a summary.
+/// The engine restarts during a response and loses the stream. Guards against truncated responses
+/// that look complete: the stream must end with an error.
 #[actix_web::test]
 async fn engine_restarted() {
     let spec = ClusterSpec {
@@ -65,7 +64,7 @@
                 stream,
             )
         };
-        // Cold at first, and again after the restart before: it serves once its adapter is loaded.
+        // The adapter is not loaded at first, nor after the restart in the previous iteration.
         let served = || async {
             match call().send().await {
                 Ok(answer) if answer.is_whole() => Ok(answer),
--- a/crates/testkit/tests/data_centre_lost.rs
+++ b/crates/testkit/tests/data_centre_lost.rs
@@ -1,4 +1,4 @@
-//! A whole data centre that is cut off or dies.
+//! Loss or network isolation of a whole data centre.
 
 use {
     jasmine_testkit::{
@@ -9,10 +9,10 @@
     std::time::Duration,
 };
 
-/// How long callers elsewhere may be refused after the loss.
-const ELSEWHERE_BOUND: Duration = Duration::from_secs(20);
+/// How long callers in other data centres may be refused after the loss.
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Three data centres with a VM, an engine and a server each.
+/// Three data centres, each with one VM, one engine and one server.
 fn three_data_centres() -> ClusterSpec {
     ClusterSpec {
         vms: 3,
@@ -40,12 +40,12 @@
     call
 }
 
-async fn served(
+async fn wait_until_served(
     cluster: &Cluster,
     vm: u32,
     model: &str,
 ) -> Duration {
-    let look = || async {
+    let check = || async {
         match chat(cluster, vm, model).send().await {
             Ok(answer) if answer.is_whole() => Ok(()),
             Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
@@ -53,17 +53,17 @@
         }
     };
     let wanted = format!("{model} at VM {vm}");
-    poll(&wanted, ELSEWHERE_BOUND, look).await.unwrap().0
+    poll(&wanted, FAILOVER_TIMEOUT, check).await.unwrap().0
 }
 
-/// An answer is whole, or it says itself that it is not; nothing else is allowed.
-fn assert_honest(answer: &Answer) {
-    let says_so = !answer.code().is_empty();
-    assert!(answer.is_whole() || says_so, "{answer:?}");
+/// Asserts that a response is complete or carries an error code.
+fn assert_whole_or_error(answer: &Answer) {
+    let has_error = !answer.code().is_empty();
+    assert!(answer.is_whole() || has_error, "{answer:?}");
 }
 
-/// Sets every link into the data centre of VM 3.
-fn third_data_centre(
+/// Sets the fault mode of every link to the data centre of VM 3.
+fn set_third_data_centre_links(
     cluster: &Cluster,
     mode: Fault,
 ) {
@@ -80,39 +80,36 @@
     }
 }
 
-/// A data centre loses power: its VM is killed and its engine and server answer nobody. Callers of the
-/// other data centres have adapters there and must get them elsewhere; nobody may get half an answer
-/// as whole. When it is back, its VM serves again.
+/// A data centre loses power. Its adapters must be served from other data centres, no truncated
+/// response may look complete, and its VM must serve again after recovery.
 #[actix_web::test]
 async fn without_power() {
     let mut cluster = Cluster::start(three_data_centres()).await.unwrap();
     for n in 1..=6 {
-        served(&cluster, n % 3 + 1, &format!("notes-{n}")).await;
+        wait_until_served(&cluster, n % 3 + 1, &format!("notes-{n}")).await;
     }
-    third_data_centre(&cluster, Fault::Cut);
+    set_third_data_centre_links(&cluster, Fault::Cut);
     cluster.vms[2].gateway.take().unwrap().kill();
     cluster.vms[2].controller.take().unwrap().kill();
     let lost = chat(&cluster, 1, "notes-1").send().await.unwrap();
-    assert_honest(&lost);
+    assert_whole_or_error(&lost);
     let mut slowest = Duration::ZERO;
     for n in 1..=6 {
-        let took = served(&cluster, n % 2 + 1, &format!("notes-{n}")).await;
+        let took = wait_until_served(&cluster, n % 2 + 1, &format!("notes-{n}")).await;
         slowest = slowest.max(took);
     }
-    third_data_centre(&cluster, Fault::Pass);
+    set_third_data_centre_links(&cluster, Fault::Pass);
     cluster.vms[2].start_controller().unwrap();
     cluster.vms[2].start_gateway().unwrap();
     cluster.wait_until_ready(3).await.unwrap();
-    let back = served(&cluster, 3, "notes-3").await;
+    let recovery = wait_until_served(&cluster, 3, "notes-3").await;
     println!(
-        "elsewhere after {slowest:?} at worst; at the data centre itself {back:?} after ready"
+        "elsewhere after {slowest:?} at worst; at the data centre itself {recovery:?} after ready"
     );
 }
 
-/// A data centre is cut off while its machines go on: its VM reaches neither the platform nor the
-/// other VMs. The others go on; the lone VM may serve what it holds for its bound and then
-/// refuses, truly not run, because it can't know which keys have been withdrawn. Its
-/// callers are told when to come back, and are served once it is connected again.
+/// A VM is isolated from the platform and all peers. Once its configuration is stale it must refuse
+/// requests as `not_run` with a retry delay, because it can't know which keys were withdrawn.
 #[actix_web::test]
 async fn cut_off() {
     let spec = ClusterSpec {
@@ -121,9 +118,9 @@
     };
     let cluster = Cluster::start(spec).await.unwrap();
     for vm in 1..=3 {
-        served(&cluster, vm, "notes-1").await;
+        wait_until_served(&cluster, vm, "notes-1").await;
     }
-    third_data_centre(&cluster, Fault::Cut);
+    set_third_data_centre_links(&cluster, Fault::Cut);
     for vm in &cluster.vms {
         vm.controller_peers.set_mode(Fault::Cut);
         vm.gateway_peers.set_mode(Fault::Cut);
@@ -135,41 +132,40 @@
             Err(e) => Err(e.to_string()),
         }
     };
-    let (after, answer) = poll("the lone VM refuses", Duration::from_secs(20), refused)
+    let (after, answer) = poll("the isolated VM refuses", Duration::from_secs(20), refused)
         .await
         .unwrap();
     assert_eq!(answer.json["error"]["execution"], "not_run");
     assert!(!answer.header("retry-after").is_empty(), "{answer:?}");
     for vm in [1, 2] {
-        served(&cluster, vm, "base").await;
+        wait_until_served(&cluster, vm, "base").await;
     }
-    third_data_centre(&cluster, Fault::Pass);
+    set_third_data_centre_links(&cluster, Fault::Pass);
     for vm in &cluster.vms {
         vm.controller_peers.set_mode(Fault::Pass);
         vm.gateway_peers.set_mode(Fault::Pass);
     }
-    let back = served(&cluster, 3, "base").await;
-    println!("refused {after:?} after the cut, served {back:?} after its end");
+    let recovery = wait_until_served(&cluster, 3, "base").await;
+    println!("refused {after:?} after the cut, served {recovery:?} after its end");
 }
 
-/// The lines of a data centre work in one direction only: what is sent there arrives and no answer
-/// comes back. Connections open and stay silent, which looks like a slow data centre for as long as
-/// nobody stops waiting. Callers elsewhere are served within seconds, and no answer is cut for it.
+/// Links to a data centre lose all replies. Guards against waiting on it as if it were only slow:
+/// its adapters must be served elsewhere within seconds, and no response may be cut.
 #[actix_web::test]
 async fn cut_one_way() {
     let cluster = Cluster::start(three_data_centres()).await.unwrap();
     for n in 1..=6 {
-        served(&cluster, n % 3 + 1, &format!("notes-{n}")).await;
+        wait_until_served(&cluster, n % 3 + 1, &format!("notes-{n}")).await;
     }
-    third_data_centre(&cluster, Fault::CutToClient);
+    set_third_data_centre_links(&cluster, Fault::CutToClient);
     let mut slowest = Duration::ZERO;
     for n in 1..=6 {
-        let took = served(&cluster, n % 2 + 1, &format!("notes-{n}")).await;
+        let took = wait_until_served(&cluster, n % 2 + 1, &format!("notes-{n}")).await;
         slowest = slowest.max(took);
     }
-    third_data_centre(&cluster, Fault::Pass);
-    let back = served(&cluster, 3, "notes-3").await;
-    println!("elsewhere after {slowest:?} at worst; at the data centre itself {back:?}");
+    set_third_data_centre_links(&cluster, Fault::Pass);
+    let recovery = wait_until_served(&cluster, 3, "notes-3").await;
+    println!("elsewhere after {slowest:?} at worst; at the data centre itself {recovery:?}");
     let records = cluster.upstreams.engine_records().await;
     let cut = records.iter().map(|record| record.cut_by_unload);
     assert_eq!(cut.sum::<u32>(), 0);
--- a/crates/testkit/tests/failing_engine.rs
+++ b/crates/testkit/tests/failing_engine.rs
@@ -1,4 +1,4 @@
-//! Engines whose loads fail or that hang.
+//! Engines that hang or fail to load adapters.
 
 use {
     jasmine_testkit::{
@@ -24,8 +24,7 @@
     )
 }
 
-/// One engine fails every load, as with a broken disk cache. Its adapters are served by others, and
-/// callers wait a little longer at most.
+/// One engine fails every load, as with a broken disk cache. Other engines must serve its adapters.
 #[actix_web::test]
 async fn loads_fail_at_one() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -49,13 +48,12 @@
     );
     assert!(
         !record.failed_loads.is_empty(),
-        "no load went there, so this shows nothing"
+        "engine 0 got no load, so the fault was not exercised"
     );
 }
 
-/// The weights of one version can't be had anywhere. Its callers are told so, truly not run and
-/// when to come back, instead of waiting; callers of other adapters notice nothing; and once
-/// the weights are there it is served.
+/// The weights of one version are missing. Its callers must be refused as `not_run` with a retry
+/// delay, other adapters must not be affected, and it must be served once the weights are back.
 #[actix_web::test]
 async fn weights_missing() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -66,7 +64,7 @@
         .unwrap();
     let refused = chat(&cluster, 1, "notes-1").send().await.unwrap();
     println!(
-        "refused after {:?}, come back in {} s",
+        "refused after {:?}, retry after {} s",
         refused.took,
         refused.header("retry-after")
     );
@@ -83,12 +81,12 @@
     post_json(store, "/stand-in/settings", settings(&[]))
         .await
         .unwrap();
-    let back = served_within(&cluster, 1, "notes-1", Duration::from_secs(40)).await;
-    println!("served {back:?} after the weights were back");
+    let recovery = served_within(&cluster, 1, "notes-1", Duration::from_secs(40)).await;
+    println!("served {recovery:?} after the weights were back");
 }
 
-/// An engine hangs: it accepts connections and answers nothing. Whoever has work there is told or
-/// served elsewhere within a bound, and new work goes elsewhere.
+/// An engine accepts connections but never responds. Its running requests must end or move to
+/// another engine within a bound, and new requests must go to other engines.
 #[actix_web::test]
 async fn one_hangs() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
--- a/crates/testkit/tests/former_owner.rs
+++ b/crates/testkit/tests/former_owner.rs
@@ -1,4 +1,4 @@
-//! Controllers that are frozen past their lease and go on giving orders unaware.
+//! Controllers that resume after their lease has expired and still send orders.
 
 use {
     jasmine_testkit::{
@@ -13,9 +13,9 @@
     },
 };
 
-/// Few slots for many adapters, so that there is always something to load and to evict; two of the
-/// three engines check fencing tokens, one obeys whoever comes.
-fn crowded() -> ClusterSpec {
+/// Few slots for many adapters, which forces constant loads and evictions. Two of the three engines
+/// check fencing tokens, the third accepts every order.
+fn few_slots() -> ClusterSpec {
     ClusterSpec {
         adapters: 12,
         engine: EngineSettings {
@@ -27,17 +27,16 @@
     }
 }
 
-/// A VM is paused in the middle of ordering loads and unloads, another controller takes its engines
-/// over, and the paused one wakes up and goes on where it was. An order that it still sends must not
-/// take an adapter away from under a running answer, on engines that ignore fencing neither.
+/// A controller is paused until another has taken over its engines, then resumes. Its stale orders
+/// must not unload an adapter in use, even on engines that don't check fencing tokens.
 #[actix_web::test]
 async fn wakes_up() {
-    let cluster = Cluster::start(crowded()).await.unwrap();
+    let cluster = Cluster::start(few_slots()).await.unwrap();
     let done = Cell::new(false);
-    let lane = |n: u32| {
+    let client = |n: u32| {
         let (cluster, done) = (&cluster, &done);
         async move {
-            let (mut whole, mut refused, mut wrong) = (0, Vec::new(), Vec::new());
+            let (mut whole, mut refused, mut failures) = (0, Vec::new(), Vec::new());
             for turn in 0.. {
                 if done.get() {
                     break;
@@ -57,13 +56,13 @@
                 match call.send().await {
                     Ok(answer) if answer.is_whole() && answer.text == expected => whole += 1,
                     Ok(answer) if answer.is_whole() || !expected.starts_with(&answer.text) => {
-                        wrong.push(format!("{answer:?}"));
+                        failures.push(format!("{answer:?}"));
                     }
                     Ok(answer) => refused.push(answer.code().to_owned()),
-                    Err(e) => wrong.push(e.to_string()),
+                    Err(e) => failures.push(e.to_string()),
                 }
             }
-            (whole, refused, wrong)
+            (whole, refused, failures)
         }
     };
     let freeze = async {
@@ -78,10 +77,10 @@
         done.set(true);
     };
     let start = Instant::now();
-    let (lanes, ()) = futures::join!(futures::future::join_all((0..6).map(lane)), freeze);
-    let whole: u32 = lanes.iter().map(|lane| lane.0).sum();
-    let refused: Vec<_> = lanes.iter().flat_map(|lane| &lane.1).collect();
-    let wrong: Vec<_> = lanes.iter().flat_map(|lane| &lane.2).collect();
+    let (clients, ()) = futures::join!(futures::future::join_all((0..6).map(client)), freeze);
+    let whole: u32 = clients.iter().map(|client| client.0).sum();
+    let refused: Vec<_> = clients.iter().flat_map(|client| &client.1).collect();
+    let failures: Vec<_> = clients.iter().flat_map(|client| &client.2).collect();
     let records = cluster.upstreams.engine_records().await;
     let loads: usize = records.iter().map(|record| record.loads.len()).sum();
     let unloads: usize = records.iter().map(|record| record.unloads.len()).sum();
@@ -97,6 +96,6 @@
             .sum::<u32>(),
         0
     );
-    assert!(wrong.is_empty(), "{wrong:?}");
+    assert!(failures.is_empty(), "{failures:?}");
     assert!(unloads > 0 && start.elapsed() > Duration::from_secs(10));
 }
--- a/crates/testkit/tests/gateway_lost.rs
+++ b/crates/testkit/tests/gateway_lost.rs
@@ -1,4 +1,4 @@
-//! A gateway that is killed or frozen.
+//! Gateways that are killed or frozen.
 
 use {
     jasmine_testkit::{
@@ -17,8 +17,8 @@
     }
 }
 
-/// A VM dies in the middle of an answer. Its caller sees the connection close without the mark of
-/// a whole answer, every other caller goes on, and the VM that replaces it serves.
+/// A gateway dies during a response. Its caller must see a truncated stream, and the other VM and
+/// the replacement must serve.
 #[actix_web::test]
 async fn killed() {
     let mut cluster = Cluster::start(slow_engines()).await.unwrap();
@@ -43,8 +43,8 @@
     println!("other VM served after {other:?}, the new process after {replaced:?}");
 }
 
-/// A VM is replaced and its new gateway says that it is ready. The balancer sends it requests from
-/// then on, and each that is refused although its account has tokens left is a booking lost.
+/// Guards against a restarted gateway that reports ready but refuses requests within the account's
+/// rate.
 #[actix_web::test]
 async fn ready_means_serving() {
     let mut cluster = Cluster::start(slow_engines()).await.unwrap();
@@ -64,8 +64,8 @@
     assert!(first.is_whole(), "{first:?}");
 }
 
-/// A VM is paused for longer than its leases and goes on unaware. Callers of the others notice
-/// nothing, and once it goes on it serves again.
+/// A VM is paused for longer than its leases and then resumes. Other VMs must keep serving, and it
+/// must serve again.
 #[actix_web::test]
 async fn frozen_and_thawed() {
     let cluster = Cluster::start(slow_engines()).await.unwrap();
@@ -76,8 +76,8 @@
     let other = served_within(&cluster, 2, "notes-2", Duration::from_secs(15)).await;
     tokio::time::sleep(lease * 2).await;
     assert!(frozen.signal(Signal::SIGCONT) && controller.signal(Signal::SIGCONT));
-    let thawed = served_within(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
-    println!("other VM served after {other:?}, the thawed one after {thawed:?}");
+    let resumed = served_within(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
+    println!("other VM served after {other:?}, the resumed one after {resumed:?}");
     let records = cluster.upstreams.engine_records().await;
     assert_eq!(
         records
--- a/crates/testkit/tests/interrupted_call.rs
+++ b/crates/testkit/tests/interrupted_call.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, interrupted at every point.
+//! Non-idempotent calls interrupted at each stage.
 
 use {
     awc::http::Method,
@@ -24,7 +24,7 @@
     }
 }
 
-async fn enrolments(cluster: &Cluster) -> usize {
+async fn enrolment_count(cluster: &Cluster) -> usize {
     let calls = cluster.upstreams.served_calls().await;
     calls.iter().filter(|call| call.method == "POST").count()
 }
@@ -36,15 +36,14 @@
     }
 }
 
-/// The service enrols the phone and its answer is lost. Told "not run", the app would enrol again
-/// and wipe the phone; it must hear that the outcome is unknown, and a repeat with the same
-/// idempotency key at another VM must not reach the service.
+/// The response of a completed call is lost. The caller must get `outcome_unknown`, and a retry with
+/// the same idempotency key at another VM must not reach the service.
 #[actix_web::test]
 async fn answer_lost() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let server = cluster.upstreams.servers[0].address;
     for key in [None, Some("e-1")] {
-        let before = enrolments(&cluster).await;
+        let before = enrolment_count(&cluster).await;
         post_json(server, "/stand-in/fault", json!({"lose_replies": 1}))
             .await
             .unwrap();
@@ -53,7 +52,7 @@
             answer.json["error"]["execution"], "outcome_unknown",
             "{answer:?}"
         );
-        assert_eq!(enrolments(&cluster).await, before + 1);
+        assert_eq!(enrolment_count(&cluster).await, before + 1);
     }
     let again = enrol(&cluster, 2, Some("e-1")).send().await.unwrap();
     println!("repeat at another VM: {} {}", again.status, again.code());
@@ -61,11 +60,10 @@
         again.json["error"]["execution"], "outcome_unknown",
         "{again:?}"
     );
-    assert_eq!(enrolments(&cluster).await, 2);
+    assert_eq!(enrolment_count(&cluster).await, 2);
 }
 
-/// The service can't be reached at all. The app may try again at once if it hears "not run", and
-/// that must be true.
+/// The service refuses connections. Guards against reporting `not_run` for a call that ran.
 #[actix_web::test]
 async fn refused_connection() {
     let cluster = Cluster::start(proxied()).await.unwrap();
@@ -80,16 +78,16 @@
     assert_ne!(answer.status, 200);
     cluster.upstream_links(Fault::Pass);
     let said_not_run = answer.json["error"]["execution"] == "not_run";
-    assert!(!said_not_run || enrolments(&cluster).await == 0);
+    assert!(!said_not_run || enrolment_count(&cluster).await == 0);
     if said_not_run {
         let again = enrol(&cluster, 2, Some("e-2")).send().await.unwrap();
         assert_eq!(again.status, 200, "{again:?}");
-        assert_eq!(enrolments(&cluster).await, 1);
+        assert_eq!(enrolment_count(&cluster).await, 1);
     }
 }
 
-/// The link breaks while the answer comes back. The phone is enrolled; the app hears that the
-/// outcome is unknown or gets the answer, never that nothing ran.
+/// The connection breaks during the response. Guards against reporting `not_run` for a completed
+/// call.
 #[actix_web::test]
 async fn cut_midway() {
     let cluster = Cluster::start(proxied()).await.unwrap();
@@ -107,11 +105,10 @@
         answer.json["error"]["execution"], "outcome_unknown",
         "{answer:?}"
     );
-    assert_eq!(enrolments(&cluster).await, 1);
+    assert_eq!(enrolment_count(&cluster).await, 1);
 }
 
-/// The same idempotency key comes twice at once, at two VMs, because the app's own retry was too
-/// quick. The phone is enrolled once.
+/// Concurrent calls with the same idempotency key at two VMs must run once.
 #[actix_web::test]
 async fn same_key_at_once() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -127,11 +124,11 @@
         "{answers:?}"
     );
     assert!(statuses.contains(&200));
-    assert_eq!(enrolments(&cluster).await, 1);
+    assert_eq!(enrolment_count(&cluster).await, 1);
 }
 
-/// The platform is down, so an idempotency key can't be recorded. The call is refused as not run
-/// and nothing reaches the service; calls without a key go on.
+/// During a platform outage idempotency keys can't be recorded: calls with a key must be refused
+/// before they reach the service, calls without one must work.
 #[actix_web::test]
 async fn platform_down() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -145,7 +142,7 @@
         (503, "claim_unavailable"),
         "{refused:?}"
     );
-    assert_eq!(enrolments(&cluster).await, 0);
+    assert_eq!(enrolment_count(&cluster).await, 0);
     let without = enrol(&cluster, 1, None).send().await.unwrap();
     assert_eq!(without.status, 200, "{without:?}");
     cluster.platform_fault(json!({})).await.unwrap();
--- a/crates/testkit/tests/leaving_upstream.rs
+++ b/crates/testkit/tests/leaving_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that is taken out of service.
+//! Draining an upstream before it is taken out of service.
 
 use {
     jasmine_testkit::{
@@ -9,20 +9,19 @@
     std::time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// Seconds after which a leaving upstream gets no new work.
-const BOUND_MS: u64 = 4000;
+/// How long a leaving upstream may still get new requests, in milliseconds.
+const MAX_DRAIN_DELAY_MS: u64 = 4000;
 
-/// An engine is to be repaired, so operators mark it as leaving. If work still went there, callers
-/// would lose their answers when it is switched off.
+/// Guards against requests sent to a leaving engine, which would be lost when it is switched off.
 #[actix_web::test]
 async fn no_new_work() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let until = Instant::now() + Duration::from_secs(8);
-    let lane = |vm: u32, adapter: u32| {
+    let deadline = Instant::now() + Duration::from_secs(8);
+    let client = |vm: u32, adapter: u32| {
         let cluster = &cluster;
         async move {
             let mut failed = Vec::new();
-            while Instant::now() < until {
+            while Instant::now() < deadline {
                 let model = format!("notes-{adapter}");
                 let call = Call::chat(
                     cluster.callers(vm),
@@ -40,9 +39,9 @@
             failed
         }
     };
-    let lanes = (1..=6).map(|n| lane(n % 2 + 1, n));
+    let clients = (1..=6).map(|n| client(n % 2 + 1, n));
     let edit = async {
-        let at_work = || async {
+        let has_requests = || async {
             let records = cluster.upstreams.engine_records().await;
             let ran = records[0].requests.len();
             if ran >= 3 {
@@ -51,7 +50,7 @@
                 Err(format!("{ran} requests at engine-1"))
             }
         };
-        poll("work at engine-1", Duration::from_secs(6), at_work)
+        poll("work at engine-1", Duration::from_secs(6), has_requests)
             .await
             .unwrap();
         let op = json!({"op": "set", "path": "/upstreams/engine-1", "setting": "state", "value": "leaving"});
@@ -62,7 +61,7 @@
             .unwrap()
             .as_millis() as u64
     };
-    let (failed, left_ms) = futures::join!(futures::future::join_all(lanes), edit);
+    let (failed, left_ms) = futures::join!(futures::future::join_all(clients), edit);
     let failed: Vec<_> = failed.into_iter().flatten().collect();
     let record = cluster.upstreams.engine_records().await.swap_remove(0);
     let last_ms = record
@@ -76,6 +75,6 @@
         record.requests.len(),
         last_ms.saturating_sub(left_ms)
     );
-    assert!(last_ms < left_ms + BOUND_MS);
+    assert!(last_ms < left_ms + MAX_DRAIN_DELAY_MS);
     assert!(failed.is_empty(), "{failed:?}");
 }
--- a/crates/testkit/tests/planned_stop.rs
+++ b/crates/testkit/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Daemons that are told to stop while they are at work.
+//! Graceful shutdown of daemons under load.
 
 use {
     jasmine_testkit::{
@@ -13,11 +13,11 @@
     },
 };
 
-/// The deadline of a stop in the harness's settings, with room for a slow machine.
-const BOUND: Duration = Duration::from_secs(11);
+/// The shutdown deadline in the harness's settings, plus slack for a slow machine.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(11);
 
-/// A VM is replaced while answers stream through it. They all end whole, the process ends by itself
-/// before its deadline, and callers of the other VM notice nothing.
+/// A gateway is stopped while it streams responses. All must complete, and the process must exit
+/// before its deadline.
 #[actix_web::test]
 async fn gateway_under_load() {
     let spec = ClusterSpec {
@@ -42,7 +42,7 @@
     cluster.wait_for_tokens(40).await.unwrap();
     let gateway = RefCell::new(cluster.vms[0].gateway.take().unwrap());
     assert!(gateway.borrow().signal(Signal::SIGTERM));
-    let ended = poll("exit", BOUND, || async {
+    let ended = poll("exit", SHUTDOWN_TIMEOUT, || async {
         gateway.borrow_mut().ended().ok_or_else(String::new)
     });
     let (took, status) = ended.await.unwrap();
@@ -64,14 +64,14 @@
     assert!(other.send().await.unwrap().is_whole());
 }
 
-/// A controller is told to stop. It gives back its leases, so that another owns its engines at once
-/// instead of after they lapse, and cold adapters hardly wait.
+/// A stopping controller must release its leases, or adapters that are not loaded wait until the
+/// leases expire.
 #[actix_web::test]
 async fn controller_hands_over() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let controller = RefCell::new(cluster.vms[0].controller.take().unwrap());
     assert!(controller.borrow().signal(Signal::SIGTERM));
-    let ended = poll("exit", BOUND, || async {
+    let ended = poll("exit", SHUTDOWN_TIMEOUT, || async {
         controller.borrow_mut().ended().ok_or_else(String::new)
     });
     let (took, status) = ended.await.unwrap();
@@ -80,15 +80,14 @@
     println!("ended after {took:?}, a cold adapter served {cold:?} later");
 }
 
-/// Every VM is replaced in turn while callers keep calling, as on each day that images are renewed.
-/// The balancer sends to ready VMs only, so not one caller may notice.
+/// A rolling restart of all VMs behind a balancer that uses ready VMs only: no request may fail.
 #[actix_web::test]
 async fn all_replaced_in_turn() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let key = cluster.key("clinic").to_owned();
     let balancer = RefCell::new(vec![cluster.callers(1), cluster.callers(2)]);
     let done = Cell::new(false);
-    let lane = |n: u32| {
+    let client = |n: u32| {
         let (balancer, done, key) = (&balancer, &done, &key);
         async move {
             let (mut whole, mut failed) = (0, Vec::new());
@@ -124,10 +123,10 @@
         }
         done.set(true);
     };
-    let lanes = futures::future::join_all((1..=4).map(lane));
-    let (lanes, ()) = futures::join!(lanes, replace);
-    let whole: u32 = lanes.iter().map(|(whole, _)| whole).sum();
-    let failed: Vec<_> = lanes.into_iter().flat_map(|(_, failed)| failed).collect();
+    let clients = futures::future::join_all((1..=4).map(client));
+    let (clients, ()) = futures::join!(clients, replace);
+    let whole: u32 = clients.iter().map(|(whole, _)| whole).sum();
+    let failed: Vec<_> = clients.into_iter().flat_map(|(_, failed)| failed).collect();
     println!("{whole} whole, failed: {failed:?}");
     assert!(whole > 0 && failed.is_empty(), "{failed:?}");
 }
@@ -136,17 +135,17 @@
     cluster: &mut Cluster,
     vm: u32,
 ) {
-    let place = &mut cluster.vms[vm as usize - 1];
-    for daemon in [place.gateway.take(), place.controller.take()]
+    let vm_daemons = &mut cluster.vms[vm as usize - 1];
+    for daemon in [vm_daemons.gateway.take(), vm_daemons.controller.take()]
         .into_iter()
         .flatten()
     {
         let daemon = RefCell::new(daemon);
         assert!(daemon.borrow().signal(Signal::SIGTERM));
         let ended = || async { daemon.borrow_mut().ended().ok_or_else(String::new) };
-        let (_, status) = poll("exit", BOUND, ended).await.unwrap();
+        let (_, status) = poll("exit", SHUTDOWN_TIMEOUT, ended).await.unwrap();
         assert!(status.success(), "{status}");
     }
-    place.start_controller().unwrap();
-    place.start_gateway().unwrap();
+    vm_daemons.start_controller().unwrap();
+    vm_daemons.start_gateway().unwrap();
 }
--- a/crates/testkit/tests/platform_outage.rs
+++ b/crates/testkit/tests/platform_outage.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service down, or its replies lost.
+//! Outages and lost replies of the platform's key-value service.
 
 use {
     jasmine_testkit::{
@@ -13,8 +13,8 @@
     json!({"op": "set", "path": "/accounts/clinic", "setting": "rate", "value": rate})
 }
 
-/// The key-value service is down for longer than every lease. Callers are served, cold adapters
-/// included; an operator's edit is refused and says so, and goes through once the service is back.
+/// The key-value service is down for longer than every lease. Callers must be served, also with
+/// adapters that are not loaded; edits must fail with an error and work again after the outage.
 #[actix_web::test]
 async fn served_throughout() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -51,22 +51,22 @@
         "{refused:?}"
     );
     cluster.platform_fault(json!({})).await.unwrap();
-    let again = || async {
+    let retry = || async {
         match cluster.edit(1, "in-outage", 1, &[set_rate(500)]).await {
             Ok(answer) if answer.status == 200 => Ok(()),
             Ok(answer) => Err(answer.json.to_string()),
             Err(e) => Err(e.to_string()),
         }
     };
-    let (took, ()) = poll("edit accepted", Duration::from_secs(15), again)
+    let (took, ()) = poll("edit accepted", Duration::from_secs(15), retry)
         .await
         .unwrap();
     println!("edit accepted {took:?} after the outage");
     assert_eq!(cluster.revision(1).await.unwrap(), 2);
 }
 
-/// The service writes an edit and its reply is lost. An operator who tries again must not get the
-/// edit twice, and must not be told that it failed.
+/// The reply to a stored edit is lost. Guards against applying the edit twice on retry, or
+/// reporting it as failed.
 #[actix_web::test]
 async fn lost_reply() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
@@ -80,23 +80,23 @@
         first.status == 200 || first.code() == "edit_outcome_unknown",
         "{first:?}"
     );
-    let again = cluster.edit(2, "lost", 1, &[set_rate(700)]).await.unwrap();
-    assert_eq!(again.status, 200, "{again:?}");
+    let retry = cluster.edit(2, "lost", 1, &[set_rate(700)]).await.unwrap();
+    assert_eq!(retry.status, 200, "{retry:?}");
     for vm in [1, 2] {
-        let look = || async {
+        let check = || async {
             match cluster.revision(vm).await {
                 Ok(2) => Ok(()),
                 other => Err(format!("{other:?}")),
             }
         };
-        poll("revision 2", Duration::from_secs(8), look)
+        poll("revision 2", Duration::from_secs(8), check)
             .await
             .unwrap();
     }
 }
 
-/// Two operators change the same value at once, at two VMs. One edit is accepted; the other operator
-/// is told what changed, instead of one overwriting the other unseen.
+/// Two concurrent edits of one setting at two VMs: one must be refused as a conflict that names the
+/// path, instead of overwriting the other.
 #[actix_web::test]
 async fn racing_edits() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
--- a/crates/testkit/tests/rate_bound.rs
+++ b/crates/testkit/tests/rate_bound.rs
@@ -1,4 +1,4 @@
-//! What an account may use over the whole fleet, checked from the engines' own record.
+//! Fleet-wide rate limits of accounts, checked against the engines' request records.
 
 use {
     jasmine_testkit::{
@@ -10,12 +10,13 @@
     std::time::{Duration, Instant},
 };
 
-/// Tokens a second of the account, and tokens at once.
+/// The account's rate in tokens per second.
 const RATE: u64 = 200;
+/// The account's burst in tokens.
 const BURST: u64 = 2000;
 
-/// Milliseconds that a request may wait between its admission and the engine's record of it.
-const QUEUE_SLACK_MS: u64 = 1000;
+/// Longest delay between a request's admission and its start at the engine, in milliseconds.
+const MAX_QUEUE_DELAY_MS: u64 = 1000;
 
 fn spec(vms: u32) -> ClusterSpec {
     ClusterSpec {
@@ -25,14 +26,14 @@
     }
 }
 
-/// Sends without pause to one VM: how many came whole and how many were refused for the rate.
-async fn hammer(
+/// Sends to one VM without pause; returns the numbers of complete and rate-limited responses.
+async fn overload(
     cluster: &Cluster,
     vm: u32,
-    until: Instant,
+    deadline: Instant,
 ) -> (u32, u32) {
     let (mut whole, mut refused) = (0, 0);
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let Some(gateway) = cluster.vms[vm as usize - 1].gateway.as_ref() else {
             break;
         };
@@ -49,19 +50,20 @@
     (whole, refused)
 }
 
-async fn hammer_all(
+async fn overload_all(
     cluster: &Cluster,
     run: Duration,
 ) -> (u32, u32) {
-    let until = Instant::now() + run;
-    let lanes = cluster.vms.iter().flat_map(|vm| [vm.number; 4]);
-    let counts = futures::future::join_all(lanes.map(|vm| hammer(cluster, vm, until))).await;
+    let deadline = Instant::now() + run;
+    let vm_numbers = cluster.vms.iter().flat_map(|vm| [vm.number; 4]);
+    let counts =
+        futures::future::join_all(vm_numbers.map(|vm| overload(cluster, vm, deadline))).await;
     counts
         .iter()
         .fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
 }
 
-/// Asserts that in every window the engines ran at most the burst and the rate times the window.
+/// Asserts that usage in every window is at most burst + rate * window; returns the total usage.
 async fn assert_bound(cluster: &Cluster) -> u64 {
     let records = cluster.upstreams.engine_records().await;
     let mut rows: Vec<_> = records.iter().flat_map(|record| &record.requests).collect();
@@ -71,7 +73,7 @@
         let mut used = 0;
         for to in &rows[first..] {
             used += cost(to);
-            let window = to.start_ms - from.start_ms + QUEUE_SLACK_MS;
+            let window = to.start_ms - from.start_ms + MAX_QUEUE_DELAY_MS;
             let allowed = BURST + RATE * window / 1000;
             assert!(
                 used <= allowed,
@@ -82,67 +84,64 @@
     rows.into_iter().map(cost).sum()
 }
 
-/// An account sends many times its rate to every VM. Each VM alone would let the whole rate through,
-/// and the other accounts would wait behind it.
+/// An account exceeds its rate at every VM. Guards against each VM admitting the whole rate.
 #[actix_web::test]
 async fn all_vms_hammered() {
     let cluster = Cluster::start(spec(3)).await.unwrap();
-    let (whole, refused) = hammer_all(&cluster, Duration::from_secs(6)).await;
+    let (whole, refused) = overload_all(&cluster, Duration::from_secs(6)).await;
     let used = assert_bound(&cluster).await;
     println!(
         "{whole} whole, {refused} refused, {used} tokens of {}",
         BURST + 6 * RATE
     );
     assert!(refused > 0);
-    // Most of what the account may use should also be had.
+    // At least half of the allowed tokens must be admitted.
     assert!(used * 10 >= (BURST + 6 * RATE) * 5, "{used}");
 }
 
-/// A gateway is killed and replaced, again and again, under an account over its rate. If a new
-/// process came with a fresh burst, each replacement would give tokens away.
+/// A gateway is restarted repeatedly under overload. Guards against a fresh burst for each restart.
 #[actix_web::test]
 async fn gateways_replaced() {
     let mut cluster = Cluster::start(spec(2)).await.unwrap();
     for _ in 0..3 {
-        hammer_all(&cluster, Duration::from_secs(2)).await;
+        overload_all(&cluster, Duration::from_secs(2)).await;
         cluster.vms[0].gateway.take().unwrap().kill();
-        hammer_all(&cluster, Duration::from_secs(1)).await;
+        overload_all(&cluster, Duration::from_secs(1)).await;
         cluster.vms[0].start_gateway().unwrap();
     }
-    hammer_all(&cluster, Duration::from_secs(3)).await;
+    overload_all(&cluster, Duration::from_secs(3)).await;
     let used = assert_bound(&cluster).await;
     println!("{used} tokens");
 }
 
-/// The VMs lose each other while an account sends more than its rate to both. Neither may take the
-/// other's share because it is silent.
+/// VMs are partitioned under overload. Guards against one VM using the share of an unreachable one.
 #[actix_web::test]
 async fn vms_cut_apart() {
     let cluster = Cluster::start(spec(2)).await.unwrap();
-    hammer_all(&cluster, Duration::from_secs(2)).await;
+    overload_all(&cluster, Duration::from_secs(2)).await;
     for vm in &cluster.vms {
         vm.gateway_peers.set_mode(Fault::Cut);
         vm.controller_peers.set_mode(Fault::Cut);
     }
-    hammer_all(&cluster, Duration::from_secs(4)).await;
+    overload_all(&cluster, Duration::from_secs(4)).await;
     for vm in &cluster.vms {
         vm.gateway_peers.set_mode(Fault::Pass);
         vm.controller_peers.set_mode(Fault::Pass);
     }
-    hammer_all(&cluster, Duration::from_secs(4)).await;
+    overload_all(&cluster, Duration::from_secs(4)).await;
     let used = assert_bound(&cluster).await;
     println!("{used} tokens");
 }
 
-/// All of an account's callers are behind one VM and stay within its rate. The shares of the other
-/// VMs have to come over; a refusal here is a booking lost for nothing.
+/// All requests of an account go to one VM at a time, within its rate. The VM must get the other
+/// VMs' shares instead of refusing requests.
 #[actix_web::test]
 async fn within_rate_at_one_vm() {
     let cluster = Cluster::start(spec(3)).await.unwrap();
     let mut refused = Vec::new();
     let start = Instant::now();
     for n in 0..60_u32 {
-        // The gateway charges 2 + 16 + 16 tokens for each of these until they are settled.
+        // Each request is charged 2 + 16 + 16 tokens until it is settled.
         let vm = n / 20 + 1;
         let call = Call::chat(
             cluster.callers(vm),
--- a/crates/testkit/tests/silent_connection.rs
+++ b/crates/testkit/tests/silent_connection.rs
@@ -1,4 +1,4 @@
-//! Connections that stay open and are dead, because something in between has forgotten them.
+//! Half-open connections: still open, but a device in between drops all packets.
 
 use {
     awc::http::Method,
@@ -20,8 +20,8 @@
     }
 }
 
-/// A firewall between gateway and engine drops its table in the middle of an answer. The connection
-/// stays open and not one more token comes; the caller would sit before half a summary until it gives up.
+/// A connection to an engine goes silent during a response. Guards against a stream that hangs until
+/// the caller's timeout.
 #[actix_web::test]
 async fn in_a_stream() {
     let cluster = Cluster::start(proxied()).await.unwrap();
@@ -44,8 +44,8 @@
     assert!(answer.took < Duration::from_secs(20), "{:?}", answer.took);
 }
 
-/// The connections that a gateway keeps to a service have gone dead unnoticed. A phone is to be
-/// enrolled: sent on a dead connection, nobody could say whether it was.
+/// Guards against sending a non-idempotent call on a dead pooled connection, which leaves its
+/// outcome unknown.
 #[actix_web::test]
 async fn before_a_call() {
     let cluster = Cluster::start(proxied()).await.unwrap();
--- a/crates/testkit/tests/stand_ins.rs
+++ b/crates/testkit/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep to the protocols and bring about the faults that tests ask for.
+//! Test servers follow their protocols and inject the requested faults.
 
 use {
     awc::http::Method,
@@ -15,7 +15,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-fn anywhere() -> SocketAddr {
+fn any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -32,7 +32,7 @@
 
 #[actix_web::test]
 async fn compare_and_swap() {
-    let running = platform::start(anywhere()).unwrap();
+    let running = platform::start(any_port()).unwrap();
     let create = json!({
         "compare": [{"key": b64("k"), "target": "CREATE", "result": "EQUAL", "create_revision": "0"}],
         "success": [{"request_put": {"key": b64("k"), "value": b64("v")}}],
@@ -53,11 +53,10 @@
     );
 }
 
-/// The reply to a write is lost after the write took effect. A client that tries again without
-/// reading back would do its work twice.
+/// The injected fault must drop the reply of a write that took effect.
 #[actix_web::test]
 async fn lost_reply() {
-    let running = platform::start(anywhere()).unwrap();
+    let running = platform::start(any_port()).unwrap();
     let to = running.address();
     post_json(to, "/stand-in/fault", json!({"lose_replies": 1}))
         .await
@@ -72,10 +71,10 @@
     assert_eq!((&calls["put"], &calls["range"]), (&json!(1), &json!(1)));
 }
 
-/// A daemon stops renewing its lease because it is frozen. Its keys go away and others see it.
+/// Keys of a lease that is not renewed must be deleted.
 #[actix_web::test]
 async fn lapsed_lease() {
-    let running = platform::start(anywhere()).unwrap();
+    let running = platform::start(any_port()).unwrap();
     let to = running.address();
     let lease = post_json(to, "/v3/lease/grant", json!({"TTL": "1"}))
         .await
@@ -92,17 +91,17 @@
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    panic!("the lease never lapsed");
+    panic!("the lease of 1 s did not expire");
 }
 
 #[actix_web::test]
 async fn deterministic_answers() {
-    let store = weights::start(anywhere(), WeightSettings::default()).unwrap();
+    let store = weights::start(any_port(), WeightSettings::default()).unwrap();
     let cfg = EngineSettings {
         weight_store: Some(store.address()),
         ..fast()
     };
-    let running = engine::start(anywhere(), cfg).unwrap();
+    let running = engine::start(any_port(), cfg).unwrap();
     let to = running.address();
     let order = json!({"instance": "7-2-1", "weights": "w7-2", "fence": 1});
     post_json(to, "/v1/load_adapter", order).await.unwrap();
@@ -131,11 +130,10 @@
     );
 }
 
-/// The connection that carries a stream closes in the middle. The caller would hold half an answer
-/// unless the rest can be had by the stream's name and an offset.
+/// A stream whose connection was closed must be resumable by its id and an offset.
 #[actix_web::test]
 async fn cut_and_resumed() {
-    let running = engine::start(anywhere(), fast()).unwrap();
+    let running = engine::start(any_port(), fast()).unwrap();
     let to = running.address();
     post_json(to, "/stand-in/fault", json!({"cut_streams_after": 5}))
         .await
@@ -155,7 +153,7 @@
     );
 }
 
-/// A former owner's order arrives late. An engine that checks fencing refuses it, others obey.
+/// Only engines that check fencing tokens refuse orders of a former owner.
 #[actix_web::test]
 async fn late_order() {
     for (checks_fencing, status) in [(true, 409), (false, 200)] {
@@ -163,7 +161,7 @@
             checks_fencing,
             ..fast()
         };
-        let running = engine::start(anywhere(), cfg).unwrap();
+        let running = engine::start(any_port(), cfg).unwrap();
         let to = running.address();
         let load = json!({"instance": "1-1-5", "weights": "w", "fence": 5});
         post_json(to, "/v1/load_adapter", load).await.unwrap();
@@ -180,12 +178,11 @@
     }
 }
 
-/// Something between the two ends forgets an open connection: it stays open and nothing more comes,
-/// while new connections work.
+/// A silenced proxy must keep open connections without data and accept new ones.
 #[actix_web::test]
 async fn silent_link() {
-    let running = service::start(anywhere()).unwrap();
-    let proxy = Proxy::start(anywhere(), running.address()).unwrap();
+    let running = service::start(any_port()).unwrap();
+    let proxy = Proxy::start(any_port(), running.address()).unwrap();
     let client = awc::Client::default();
     let mut call = Call::new(proxy.address(), Method::GET, "/status");
     call.timeout = Duration::from_millis(300);
--- a/crates/testkit/tests/whole_path.rs
+++ b/crates/testkit/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Callers and operators served end to end by separate processes.
+//! End-to-end requests through gateway, controller and upstream processes.
 
 use {
     awc::http::Method,
@@ -94,18 +94,18 @@
         .body(json!({"profile": "nurse"}));
     let answer = enrol.send().await.unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
-    // The record of the first run may be on its way to the store; the caller is told to come back.
-    let again = || async {
-        let again = enrol.send().await.unwrap();
-        match again.code() {
-            "claim_running" => Err(again.header("retry-after").to_owned()),
-            _ => Ok(again),
+    // The first result may not be stored yet; the gateway then answers with a retry delay.
+    let retry = || async {
+        let retry = enrol.send().await.unwrap();
+        match retry.code() {
+            "claim_running" => Err(retry.header("retry-after").to_owned()),
+            _ => Ok(retry),
         }
     };
-    let (_, again) = poll("the first answer", Duration::from_secs(3), again)
+    let (_, retry) = poll("the first answer", Duration::from_secs(3), retry)
         .await
         .unwrap();
-    assert_eq!((again.status, again.json), (200, answer.json));
+    assert_eq!((retry.status, retry.json), (200, answer.json));
     let status = Call::new(to, Method::GET, "/services/phones/phones/17").key(key);
     assert_eq!(status.send().await.unwrap().status, 200);
 
@@ -131,13 +131,13 @@
         .unwrap();
     let status = Call::new(to, Method::GET, "/services/phones/phones/17").key(key);
     status.send().await.unwrap();
-    let hidden = format!("/services/phones/phones/17?token={key}");
-    let hidden = Call::new(to, Method::GET, &hidden)
+    let key_in_query = format!("/services/phones/phones/17?token={key}");
+    let key_in_query = Call::new(to, Method::GET, &key_in_query)
         .key(key)
         .send()
         .await
         .unwrap();
-    assert_eq!(hidden.status, 400, "{hidden:?}");
+    assert_eq!(key_in_query.status, 400, "{key_in_query:?}");
 
     for upstream in cluster
         .upstreams
--- a/crates/testkit/tests/withdrawn_key.rs
+++ b/crates/testkit/tests/withdrawn_key.rs
@@ -1,4 +1,4 @@
-//! Keys withdrawn while they are in use.
+//! API keys withdrawn while they are in use.
 
 use {
     jasmine_core::clock::Millis,
@@ -12,13 +12,13 @@
     std::time::{Duration, Instant},
 };
 
-/// Seconds within which a withdrawn key has stopped working.
-const BOUND: Duration = Duration::from_secs(5);
+/// How long a withdrawn key may still be accepted.
+const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_secs(5);
 
-/// Within this an engine has noticed that its caller is gone.
-const WORK_ENDS: Duration = Duration::from_secs(1);
+/// How long an engine may keep running a request whose caller is gone.
+const MAX_CANCEL_DELAY: Duration = Duration::from_secs(1);
 
-/// An answer takes about nine seconds.
+/// Engines slow enough that a response takes about nine seconds.
 fn slow_answers() -> ClusterSpec {
     let engine = EngineSettings {
         step_us: 150_000,
@@ -35,12 +35,12 @@
     [json!({"op": "set", "path": "/accounts/courier/first", "setting": "withdrawn", "value": true})]
 }
 
-/// Waits until a new request with the key is refused at this VM: how long that took.
-async fn refused_at(
+/// Waits until the VM refuses new requests with the key; returns how long that took.
+async fn wait_until_refused(
     cluster: &Cluster,
     vm: u32,
 ) -> Duration {
-    let look = || async {
+    let check = || async {
         let call = Call::chat(
             cluster.callers(vm),
             cluster.key("courier"),
@@ -57,14 +57,14 @@
             Err(e) => Err(e.to_string()),
         }
     };
-    poll("key refused", Duration::from_secs(15), look)
+    poll("key refused", Duration::from_secs(15), check)
         .await
         .unwrap()
         .0
 }
 
-/// A laptop with a key is stolen and the key withdrawn while an answer streams to it. The stream
-/// ends within seconds at every VM, marked as incomplete, and new requests are refused.
+/// A key is withdrawn during streams that use it. Every VM must end them with an error within
+/// seconds and refuse new requests.
 #[actix_web::test]
 async fn during_a_stream() {
     let cluster = Cluster::start(slow_answers()).await.unwrap();
@@ -90,7 +90,7 @@
     let at = Instant::now();
     assert_eq!(accepted.status, 200, "{accepted:?}");
     for (vm, stream) in [1, 2].into_iter().zip(streams) {
-        let refused = refused_at(&cluster, vm).await;
+        let refused = wait_until_refused(&cluster, vm).await;
         let (answer, ended) = stream.await.unwrap();
         let answer = answer.unwrap();
         println!(
@@ -98,7 +98,7 @@
             ended - at
         );
         assert!(
-            refused < BOUND && ended - at < BOUND,
+            refused < MAX_WITHDRAWAL_DELAY && ended - at < MAX_WITHDRAWAL_DELAY,
             "{refused:?} {:?}",
             ended - at
         );
@@ -108,22 +108,26 @@
             "{answer:?}"
         );
     }
-    // What was asked while the edit was on its way is cut too, and its engine notices some milliseconds after its caller.
-    // A stream that went on would do so for nine seconds.
-    let look = || async {
+    // Engines notice a closed request slightly later than its caller.
+    // A request that was not stopped would run for nine seconds.
+    let check = || async {
         let records = cluster.upstreams.engine_records().await;
         let rows = records.iter().flat_map(|record| &record.requests);
-        let unended: Vec<_> = rows.filter(|row| row.ended.is_none()).collect();
-        match unended.len() {
+        let running: Vec<_> = rows.filter(|row| row.ended.is_none()).collect();
+        match running.len() {
             0 => Ok(()),
-            _ => Err(format!("work goes on for a withdrawn key: {unended:?}")),
+            _ => Err(format!(
+                "requests of a withdrawn key still run: {running:?}"
+            )),
         }
     };
-    poll("work has ended", WORK_ENDS, look).await.unwrap();
+    poll("work has ended", MAX_CANCEL_DELAY, check)
+        .await
+        .unwrap();
 }
 
-/// One VM is cut off from the platform and from all others when the key is withdrawn. It can't know,
-/// so it stops checking keys by what it has once that is too old.
+/// A VM isolated from the platform and all peers can't learn of the withdrawal: it must refuse
+/// requests once its configuration is stale.
 #[actix_web::test]
 async fn at_a_vm_cut_off() {
     let cluster = Cluster::start(slow_answers()).await.unwrap();
@@ -135,7 +139,7 @@
     let at = Instant::now();
     let accepted = cluster.edit(1, "withdraw", 1, &withdraw()).await.unwrap();
     assert_eq!(accepted.status, 200, "{accepted:?}");
-    refused_at(&cluster, 2).await;
+    wait_until_refused(&cluster, 2).await;
     let took = at.elapsed();
     println!("refused at the VM cut off after {took:?}");
     let stale = cluster.spec().config_stale.to_std();
