--- a/crates/core/examples/scheduler_cost/fleet.rs
+++ b/crates/core/examples/scheduler_cost/fleet.rs
@@ -53,13 +53,14 @@
     now: Millis,
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     orders: Vec<(Order, OrderResult)>,
-    next: u64,
+    next_seq: u64,
     busy_until: HashMap<UpstreamId, Millis>,
     sent: HashMap<u64, Sent>,
     jobs: HashMap<u64, Job>,
     cumulative_weights: Vec<f64>,
     rng: ChaCha8Rng,
     pub first_tokens: u64,
+    /// Requests whose first token came before their objective.
     pub in_time: u64,
     pub refused: u64,
     pub loads: u64,
@@ -70,16 +71,16 @@
         let now = Millis(100_000);
         let mut scheduler = Scheduler::new(SchedulerSettings::default(), RateShare::Part(1));
         scheduler.set_role(true, RateShare::Fresh, now);
-        scheduler.set_engines(HashMap::from([(ENGINE_SERVICE, limits())]));
+        scheduler.set_engines(HashMap::from([(ENGINE_SERVICE, engine_limits())]));
         for id in 0..engines {
             let id = UpstreamId(id);
-            let facts = upstream(ENGINE_SERVICE, 64, Some(empty(None)));
-            scheduler.set_upstream(id, &facts, now);
-            scheduler.report(id, Some(&empty(Some(0))), now);
+            let status = upstream_status(ENGINE_SERVICE, 64, Some(idle_status(None)));
+            scheduler.set_upstream(id, &status, now);
+            scheduler.report(id, Some(&idle_status(Some(0))), now);
         }
         for id in 0..4 {
-            let facts = upstream(CALL_SERVICE, 6, None);
-            scheduler.set_upstream(UpstreamId(engines + id), &facts, now);
+            let status = upstream_status(CALL_SERVICE, 6, None);
+            scheduler.set_upstream(UpstreamId(engines + id), &status, now);
         }
         let mut sum = 0.0;
         let cumulative_weights = (1..=ADAPTERS)
@@ -94,7 +95,7 @@
             now,
             events: BinaryHeap::new(),
             orders: Vec::new(),
-            next: 0,
+            next_seq: 0,
             busy_until: HashMap::new(),
             sent: HashMap::new(),
             jobs: HashMap::new(),
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Sends `per_s` requests per second for this many seconds and processes all events.
     pub fn run(
         &mut self,
         per_s: u64,
@@ -116,7 +118,7 @@
             let at = self.started + Millis(number * 1_000 / per_s);
             self.events.push(Reverse((at, number, Event::Arrive)));
         }
-        self.next = per_s * seconds;
+        self.next_seq = per_s * seconds;
         self.schedule(Millis(1), Event::Tick);
         let end = self.started + Millis::from_secs(seconds + 5);
         while let Some(Reverse((at, number, event))) = self.events.pop()
@@ -127,6 +129,7 @@
         }
     }
 
+    /// Simulated time since the start.
     pub fn elapsed(&self) -> Millis {
         self.now.since(self.started)
     }
@@ -140,9 +143,9 @@
         pause: Millis,
         event: Event,
     ) {
-        self.next += 1;
+        self.next_seq += 1;
         self.events
-            .push(Reverse((self.now + pause, self.next, event)));
+            .push(Reverse((self.now + pause, self.next_seq, event)));
     }
 
     fn handle(
@@ -153,7 +156,7 @@
         let now = self.now;
         let actions = match event {
             Event::Arrive => {
-                let job = self.job();
+                let job = self.create_job();
                 self.jobs.insert(number, job.clone());
                 self.scheduler.place(ticket(number), job, now)
             }
@@ -236,7 +239,7 @@
         self.schedule(pause, Event::FirstToken(number));
     }
 
-    fn job(&mut self) -> Job {
+    fn create_job(&mut self) -> Job {
         let now = self.now;
         let account = AccountId(self.rng.random_range(0..ACCOUNTS));
         if self.rng.random_range(0..REQUESTS_PER_CALL) == 0 {
@@ -247,13 +250,13 @@
                 gap_objective: None,
                 deadline: now + Millis(1_500),
                 priority: 2,
-                ..self.generation(account)
+                ..self.create_generation(account)
             };
         }
-        self.generation(account)
+        self.create_generation(account)
     }
 
-    fn generation(
+    fn create_generation(
         &mut self,
         account: AccountId,
     ) -> Job {
@@ -291,7 +294,7 @@
     Ticket { vm: 1, number }
 }
 
-fn limits() -> EngineLimits {
+fn engine_limits() -> EngineLimits {
     EngineLimits {
         slots: 64,
         kv_tokens: 126_000,
@@ -302,7 +305,7 @@
     }
 }
 
-fn empty(seq: Option<u64>) -> EngineStatus {
+fn idle_status(seq: Option<u64>) -> EngineStatus {
     EngineStatus {
         seq,
         models: vec![MODEL],
@@ -312,7 +315,7 @@
     }
 }
 
-fn upstream(
+fn upstream_status(
     service: ServiceId,
     slots: u32,
     engine: Option<EngineStatus>,
--- a/crates/testkit/examples/control_cost.rs
+++ b/crates/testkit/examples/control_cost.rs
@@ -26,7 +26,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Maximum number of adapters requested by the load.
-const MAX_ADAPTERS: usize = 12;
+const MAX_REQUESTED_ADAPTERS: usize = 12;
 
 /// Totals over all VMs since they started.
 #[derive(Clone, Copy, Debug, Default)]
@@ -82,7 +82,7 @@
     vm: u32,
     until: Instant,
 ) -> (u64, u64) {
-    let adapters = MAX_ADAPTERS.min(cluster.spec().adapters as usize);
+    let adapters = MAX_REQUESTED_ADAPTERS.min(cluster.spec().adapters as usize);
     let key = cluster.key("clinic");
     let (mut whole, mut sent) = (0, 0);
     while Instant::now() < until {
--- a/crates/testkit/tests/planned_stop.rs
+++ b/crates/testkit/tests/planned_stop.rs
@@ -108,7 +108,7 @@
                     Err(e) => failed.push(e.to_string()),
                 }
             }
-            println!("lane {n}: {whole} whole, the slowest in {slowest:?}");
+            println!("client {n}: {whole} whole, the slowest in {slowest:?}");
             (whole, failed)
         }
     };
--- a/crates/testkit/tests/silent_connection.rs
+++ b/crates/testkit/tests/silent_connection.rs
@@ -1,4 +1,4 @@
-//! Half-open connections: still open, but a device in between drops all packets.
+//! Half-open connections: still open, but no more data passes.
 
 use {
     awc::http::Method,
--- a/crates/testkit/tests/withdrawn_key.rs
+++ b/crates/testkit/tests/withdrawn_key.rs
@@ -108,7 +108,7 @@
             "{answer:?}"
         );
     }
-    // Engines notice a closed request slightly later than its caller.
+    // Engines stop a cancelled request slightly after its caller sees the error.
     // A request that was not stopped would run for nine seconds.
     let check = || async {
         let records = cluster.upstreams.engine_records().await;
