--- a/crates/conf/src/tree/edit_error.rs
+++ b/crates/conf/src/tree/edit_error.rs
@@ -9,7 +9,7 @@
 pub enum EditError {
     /// A text is not a valid path.
     #[display(
-        "invalid path {path:?}: expected at most 8 levels, each a slash and a name of 1 to 64 characters of A-Za-z0-9._-"
+        "invalid path {path:?}: expected at most 8 levels with names of 1 to 64 characters of A-Za-z0-9._- after slashes"
     )]
     BadPath {
         /// The invalid text.
