--- a/crates/ctl/examples/edit_in_force.rs
+++ b/crates/ctl/examples/edit_in_force.rs
@@ -1,22 +1,22 @@
-//! How long an edit takes until it is accepted, and until it is in force on every VM.
+//! Measures how long an edit takes to be accepted and to be in force on every VM.
 //!
-//! `cargo run -p jasmine-ctl --example edit_in_force -- <VMs> <edits>`; real processes, a stand-in for the platform.
+//! `cargo run -p jasmine-ctl --example edit_in_force -- <VMs> <edits>`; runs real processes
+//! against a fake platform.
 
 use {
     jasmine_conf::tree::{Edit, EditId, EditOp, Path, Setting, Value},
     jasmine_ctl::{
         CtlError,
-        cli::{GlobalArgs, OutputForm},
-        client::Api,
+        cli::{GlobalArgs, OutputFormat},
+        client::ApiClient,
     },
     jasmine_testkit::harness::{Cluster, ClusterSpec, OPERATOR_TOKEN, Vm},
     std::time::{Duration, Instant},
 };
 
-/// How long an edit may take before the run is given up.
-const BOUND: Duration = Duration::from_secs(30);
-/// Pause between two looks.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(2);
+/// Timeout of a call, and of waiting for one edit.
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn main() {
     let mut numbers = std::env::args().skip(1).filter_map(|arg| arg.parse().ok());
@@ -46,12 +46,12 @@
         accepted.push(started.elapsed());
         let started = Instant::now();
         while !client(vm).progress(&id).await?.everywhere {
-            if started.elapsed() > BOUND {
+            if started.elapsed() > TIMEOUT {
                 return Err(CtlError::Usage(format!(
                     "edit {id} is not in force everywhere"
                 )));
             }
-            actix_web::rt::time::sleep(BETWEEN_LOOKS).await;
+            actix_web::rt::time::sleep(POLL_INTERVAL).await;
         }
         in_force.push(started.elapsed());
     }
@@ -62,7 +62,7 @@
 }
 
 async fn edit(
-    api: &Api,
+    api: &ApiClient,
     n: u64,
 ) -> Result<EditId, CtlError> {
     let base = api.tree(&Path::root(), Some(0), None).await?.revision;
@@ -79,13 +79,13 @@
     Ok(api.submit(&edit, false).await?.accepted.edit.id)
 }
 
-fn client(vm: &Vm) -> Api {
-    Api::new(&GlobalArgs {
+fn client(vm: &Vm) -> ApiClient {
+    ApiClient::new(&GlobalArgs {
         controllers: vec![format!("http://{}", vm.operators())],
         token: OPERATOR_TOKEN.to_owned(),
         author: "measure".to_owned(),
-        output: OutputForm::Json,
-        timeout: BOUND,
+        output: OutputFormat::Json,
+        timeout: TIMEOUT,
     })
 }
 
--- a/crates/ctl/src/cli/app.rs
+++ b/crates/ctl/src/cli/app.rs
@@ -15,24 +15,24 @@
 Environment:
   JASMINE_CONTROLLERS  addresses of controllers, separated by commas, tried in turn
   JASMINE_TOKEN        the operators' token
-  JASMINE_TOKEN_FILE   a file that holds it
+  JASMINE_TOKEN_FILE   a file that contains the token
   JASMINE_AUTHOR       your name, for the history
 
 Exit codes:
-  0  done
-  1  a defect: an answer was not understood, or output could not be written
-  2  the command line, the environment or a file is wrong
-  3  refused: the edit is not valid, or what is asked for does not exist
-  4  refused: somebody else has changed the same since
+  0  success
+  1  internal error: a response was invalid, or output could not be written
+  2  the command line, the environment or a file is invalid
+  3  refused: the edit is invalid, or the requested object does not exist
+  4  refused: the edit conflicts with another one
   5  no controller, or no store behind it, could be reached; nothing was changed
-  6  it is not known whether the edit is accepted
+  6  unknown whether the edit was accepted
   7  the operators' token is missing or wrong
-  8  accepted, but not in force everywhere within --wait";
+  8  accepted, but not in force on every VM within --wait";
 
-/// The whole command line.
+/// Defines the command line.
 pub fn app() -> Command {
     Command::new("jasminectl")
-        .about("Edits the configuration of a jasminespan fleet and tells its state")
+        .about("Edits the configuration of a jasminespan fleet and shows its state")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(EXAMPLES)
         .subcommand_required(true)
@@ -52,12 +52,12 @@
             .value_name("ADDRESS")
             .action(clap::ArgAction::Append)
             .global(true)
-            .help("Address of a controller's operators' port; may be given several times"),
+            .help("Address of a controller's operator API; may be given several times"),
         Arg::new("token-file")
             .long("token-file")
             .value_name("FILE")
             .global(true)
-            .help("File that holds the operators' token"),
+            .help("File that contains the operators' token"),
         Arg::new("author")
             .long("author")
             .value_name("NAME")
@@ -66,32 +66,30 @@
         Arg::new("output")
             .long("output")
             .short('o')
-            .value_name("FORM")
+            .value_name("FORMAT")
             .value_parser(["table", "json"])
             .default_value("table")
             .global(true)
-            .help("Tables for people or JSON for scripts"),
+            .help("Human-readable tables, or JSON for scripts"),
         Arg::new("timeout")
             .long("timeout")
             .value_name("SECONDS")
             .value_parser(clap::value_parser!(u64).range(1..=600))
             .default_value("10")
             .global(true)
-            .help("How long one controller may take to answer"),
+            .help("Timeout of a call to one controller"),
     ]
 }
 
 fn trace() -> Command {
     Command::new("trace")
-        .about(
-            "Tells what happened to a request, from the logs of the daemons; needs no controller",
-        )
+        .about("Traces a request through the daemons' logs; needs no controller")
         .after_help("Example:\n  jasminectl trace 9c41d07be2a35f68 vm-1.log vm-2.log")
         .arg(
             Arg::new("id")
                 .value_name("REQUEST-ID")
                 .required(true)
-                .help("The request's id"),
+                .help("Id of the request"),
         )
         .arg(
             Arg::new("file")
@@ -99,7 +97,7 @@
                 .required(true)
                 .num_args(1..)
                 .value_parser(clap::value_parser!(std::path::PathBuf))
-                .help("What a daemon wrote; the file's name stands for the process"),
+                .help("Log file of a daemon; its name without extension names the process"),
         )
 }
 
--- a/crates/ctl/src/cli/args.rs
+++ b/crates/ctl/src/cli/args.rs
@@ -6,32 +6,32 @@
     std::{env, fs, time::Duration},
 };
 
-/// How answers are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OutputForm {
-    /// Tables for people.
+pub enum OutputFormat {
+    /// Human-readable tables.
     Table,
-    /// JSON for scripts.
+    /// JSON, for scripts.
     Json,
 }
 
-/// What every command needs.
+/// Options common to all commands that call a controller.
 #[derive(Clone)]
 pub struct GlobalArgs {
     /// Base URLs of controllers, tried in turn.
     pub controllers: Vec<String>,
-    /// The operators' token.
+    /// Bearer token of the operator API.
     pub token: String,
-    /// Who edits.
+    /// Author recorded with edits.
     pub author: String,
-    /// How answers are printed.
-    pub output: OutputForm,
-    /// How long one controller may take to answer.
+    /// Output format.
+    pub output: OutputFormat,
+    /// Timeout of a call to one controller.
     pub timeout: Duration,
 }
 
 impl std::fmt::Debug for GlobalArgs {
-    /// Leaves the token out: debug output ends up in logs.
+    /// Omits the token, as debug output may be logged.
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
@@ -48,11 +48,12 @@
     ///
     /// # Errors
     ///
-    /// [`CtlError::Usage`] or [`CtlError::File`] where a controller or the token is lacking.
+    /// [`CtlError::Usage`] if no controller or token is given, [`CtlError::File`] if the token file can't
+    /// be read.
     pub fn read(matches: &ArgMatches) -> Result<Self, CtlError> {
         let output = match matches.get_one::<String>("output").map(String::as_str) {
-            Some("json") => OutputForm::Json,
-            _ => OutputForm::Table,
+            Some("json") => OutputFormat::Json,
+            _ => OutputFormat::Table,
         };
         let author = matches
             .get_one::<String>("author")
@@ -70,25 +71,25 @@
     }
 }
 
-/// How an edit is sent.
+/// Options common to commands that submit an edit.
 #[derive(Clone, Debug)]
 pub struct EditArgs {
-    /// Its id.
+    /// Id of the edit, which makes retries idempotent.
     pub id: EditId,
-    /// The revision it is based on; none: the newest.
+    /// Revision that the edit is based on; the newest if `None`.
     pub base: Option<Revision>,
-    /// Whether it is only checked.
+    /// Whether the edit is only validated.
     pub dry_run: bool,
-    /// How long to wait until it is in force everywhere.
+    /// How long to wait until the edit is in force on every VM.
     pub wait: Option<Duration>,
 }
 
 impl EditArgs {
-    /// Reads the options that commands which edit have in common.
+    /// Reads the options of commands that submit an edit.
     ///
     /// # Errors
     ///
-    /// [`CtlError::Form`] where the id is none.
+    /// [`CtlError::InvalidName`] if the edit id is malformed.
     pub fn read(matches: &ArgMatches) -> Result<Self, CtlError> {
         let id = match matches.get_one::<String>("edit-id") {
             Some(text) => EditId::parse(text)?,
@@ -107,8 +108,8 @@
 }
 
 fn controllers(matches: &ArgMatches) -> Result<Vec<String>, CtlError> {
-    let given: Vec<String> = match matches.get_many::<String>("controller") {
-        Some(given) => given.cloned().collect(),
+    let addresses: Vec<String> = match matches.get_many::<String>("controller") {
+        Some(addresses) => addresses.cloned().collect(),
         None => env::var("JASMINE_CONTROLLERS")
             .unwrap_or_default()
             .split(',')
@@ -116,12 +117,12 @@
             .filter(|address| !address.is_empty())
             .collect(),
     };
-    if given.is_empty() {
+    if addresses.is_empty() {
         return Err(CtlError::Usage(
-            "no controller is named: give --controller or set JASMINE_CONTROLLERS".to_owned(),
+            "no controller given: use --controller or set JASMINE_CONTROLLERS".to_owned(),
         ));
     }
-    Ok(given.iter().map(|address| base_url(address)).collect())
+    Ok(addresses.iter().map(|address| base_url(address)).collect())
 }
 
 fn base_url(address: &str) -> String {
@@ -132,7 +133,7 @@
     format!("http://{address}")
 }
 
-/// The token, never from the command line: other users of the machine can read that.
+/// Reads the token. No option takes it directly, as other users can read command lines.
 fn token(matches: &ArgMatches) -> Result<String, CtlError> {
     let file = matches
         .get_one::<String>("token-file")
@@ -146,7 +147,7 @@
         (None, Ok(token)) => token,
         (None, Err(_)) => {
             return Err(CtlError::Usage(
-                "no token: give --token-file, or set JASMINE_TOKEN_FILE or JASMINE_TOKEN"
+                "no token given: use --token-file, or set JASMINE_TOKEN_FILE or JASMINE_TOKEN"
                     .to_owned(),
             ));
         }
@@ -154,11 +155,11 @@
     Ok(text.trim().to_owned())
 }
 
-/// The value of an argument that the command line can't be without or that has a default.
+/// Returns the value of an argument that is required or has a default.
 ///
 /// # Panics
 ///
-/// Where the definition of the command line doesn't say so: a defect.
+/// If the argument is neither required nor has a default.
 pub(crate) fn required<'m, T>(
     matches: &'m ArgMatches,
     name: &str,
@@ -171,36 +172,36 @@
         .expect("the argument is required or has a default")
 }
 
-/// The path that a command is about.
-pub(crate) fn path_arg(matches: &ArgMatches) -> Result<Path, CtlError> {
+/// Parses the `path` argument.
+pub(crate) fn parse_path_arg(matches: &ArgMatches) -> Result<Path, CtlError> {
     Ok(Path::parse(required::<String>(matches, "path"))?)
 }
 
-/// The `setting=value` arguments.
-pub(crate) fn settings_arg(matches: &ArgMatches) -> Result<Vec<(Setting, Value)>, CtlError> {
+/// Parses the `setting=value` arguments.
+pub(crate) fn parse_settings_args(matches: &ArgMatches) -> Result<Vec<(Setting, Value)>, CtlError> {
     matches
         .get_many::<String>("settings")
         .into_iter()
         .flatten()
-        .map(|text| read_setting(text))
+        .map(|text| parse_setting(text))
         .collect()
 }
 
-fn read_setting(text: &str) -> Result<(Setting, Value), CtlError> {
+fn parse_setting(text: &str) -> Result<(Setting, Value), CtlError> {
     let (name, value) = text
         .split_once('=')
         .ok_or_else(|| CtlError::Usage(format!("{text:?}: expected setting=value")))?;
     let setting = Setting::from_name(name)
         .ok_or_else(|| CtlError::Usage(format!("there is no setting {name:?}")))?;
     let value_type = setting.spec().value_type;
-    let read = match value_type {
+    let parsed = match value_type {
         ValueType::Number(..) => value.parse().ok().map(Value::Number),
         ValueType::Flag => value.parse().ok().map(Value::Flag),
-        ValueType::Accounts if value != "all" => Some(Value::Names(names(value))),
+        ValueType::Accounts if value != "all" => Some(Value::Names(parse_names(value))),
         _ => Some(Value::text(value)),
     };
-    match read {
-        Some(read) if value_type.allows(&read) => Ok((setting, read)),
+    match parsed {
+        Some(parsed) if value_type.allows(&parsed) => Ok((setting, parsed)),
         _ => Err(CtlError::Usage(format!(
             "{name}={value} is not allowed: {}",
             value_type.allowed()
@@ -208,7 +209,7 @@
     }
 }
 
-fn names(list: &str) -> Vec<Box<str>> {
+fn parse_names(list: &str) -> Vec<Box<str>> {
     list.split(',')
         .map(str::trim)
         .filter(|name| !name.is_empty())
@@ -216,22 +217,22 @@
         .collect()
 }
 
-/// The options that commands which edit have in common.
+/// Options of commands that submit an edit.
 pub(super) fn edit_args() -> [Arg; 4] {
     [
         Arg::new("dry-run")
             .long("dry-run")
             .action(clap::ArgAction::SetTrue)
-            .help("Checks the edit and writes nothing"),
+            .help("Validates the edit and writes nothing"),
         Arg::new("base")
             .long("base")
             .value_name("REVISION")
             .value_parser(clap::value_parser!(u64))
-            .help("Refuses the edit if others have changed the same since this revision"),
+            .help("Refuses the edit if it conflicts with a change made since this revision"),
         Arg::new("edit-id")
             .long("edit-id")
             .value_name("ID")
-            .help("Id of the edit; with the same id and --base it is never done twice"),
+            .help("Id of the edit; with the same id and --base it is applied at most once"),
         Arg::new("wait")
             .long("wait")
             .value_name("SECONDS")
@@ -240,7 +241,7 @@
     ]
 }
 
-/// The argument that names a node.
+/// The positional path of a node.
 pub(super) fn path() -> Arg {
     Arg::new("path")
         .value_name("PATH")
@@ -248,7 +249,7 @@
         .help("Path of the node, such as /accounts/clinics/san-juan")
 }
 
-/// The `setting=value` arguments.
+/// The positional `setting=value` arguments.
 pub(super) fn settings() -> Arg {
     Arg::new("settings")
         .value_name("SETTING=VALUE")
--- a/crates/ctl/src/cli/edit_commands.rs
+++ b/crates/ctl/src/cli/edit_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that change the tree.
+//! Definitions of the commands that edit the configuration tree.
 
 use {
     super::{
@@ -9,7 +9,7 @@
     jasmine_conf::tree::NodeKind,
 };
 
-/// All of them.
+/// All edit commands.
 pub(super) fn all() -> [Command; 8] {
     [
         create(),
@@ -36,7 +36,7 @@
                 .value_name("KIND")
                 .required(true)
                 .value_parser(NodeKind::ALL.map(NodeKind::name))
-                .help("What the node stands for"),
+                .help("Kind of the node"),
         )
         .arg(settings())
         .args(edit_args())
@@ -53,7 +53,7 @@
 
 fn unset() -> Command {
     Command::new("unset")
-        .about("Takes a setting of a node away, so that it is inherited again")
+        .about("Removes a setting from a node, so that it is inherited again")
         .after_help("Example:\n  jasminectl unset /accounts/clinics/san-juan rate")
         .arg(path())
         .arg(setting())
@@ -70,7 +70,7 @@
 
 fn apply() -> Command {
     Command::new("apply")
-        .about("Carries out all ops of a JSON file as one edit, or none")
+        .about("Applies all ops of a JSON file atomically, as one edit")
         .after_help(
             "The file is a list of ops, or an object with a list \"ops\":\n\n  \
              [{\"op\": \"create\", \"path\": \"/accounts/farm\", \"kind\": \"account\", \"settings\": {\"rate\": 100}},\n   \
@@ -83,18 +83,18 @@
             Arg::new("file")
                 .value_name("FILE")
                 .required(true)
-                .help("The file; - for standard input"),
+                .help("The JSON file, or - for standard input"),
         )
         .args(edit_args())
 }
 
 fn key() -> Command {
     Command::new("key")
-        .about("Issues and withdraws callers' keys")
+        .about("Issues and withdraws API keys of client accounts")
         .subcommand_required(true)
         .subcommand(
             Command::new("issue")
-                .about("Makes a key of a client account and shows it, this once")
+                .about("Creates a key of a client account and prints it; it can't be shown again")
                 .after_help("Example:\n  jasminectl key issue /accounts/clinics/san-juan phones")
                 .arg(path())
                 .arg(
@@ -107,7 +107,7 @@
         )
         .subcommand(
             Command::new("withdraw")
-                .about("Withdraws a key for good; what it has open is closed")
+                .about("Withdraws a key permanently and closes its open requests")
                 .after_help(
                     "Example:\n  jasminectl key withdraw /accounts/clinics/san-juan/phones --wait 10",
                 )
@@ -118,7 +118,7 @@
 
 fn adapter() -> Command {
     Command::new("adapter")
-        .about("Rolls versions of an adapter out and back")
+        .about("Manages the versions of an adapter")
         .subcommand_required(true)
         .subcommand(
             Command::new("add-version")
@@ -137,13 +137,13 @@
                     Arg::new("live")
                         .long("live")
                         .action(ArgAction::SetTrue)
-                        .help("Makes it the live version at once"),
+                        .help("Makes the new version live in the same edit"),
                 )
                 .args(edit_args()),
         )
         .subcommand(
             Command::new("live")
-                .about("Makes a version the one that requests without a version get")
+                .about("Makes a version live: requests that name no version get it")
                 .after_help("Example:\n  jasminectl adapter live /adapters/enrolment 3")
                 .arg(path())
                 .arg(
@@ -156,7 +156,7 @@
         )
         .subcommand(
             Command::new("rollback")
-                .about("Makes the version live that was live before")
+                .about("Makes the previously live version live again")
                 .after_help("Example:\n  jasminectl adapter rollback /adapters/enrolment --wait 10")
                 .arg(path())
                 .args(edit_args()),
@@ -165,11 +165,11 @@
 
 fn upstream() -> Command {
     Command::new("upstream")
-        .about("Takes upstreams out of work and back in")
+        .about("Drains and resumes upstreams")
         .subcommand_required(true)
         .subcommand(
             Command::new("drain")
-                .about("Gives an upstream, or all of a group, no new work")
+                .about("Sends no new requests to an upstream or to all upstreams of a group")
                 .after_help(
                     "Example:\n  jasminectl upstream drain /upstreams/gt-1/engine-1 --wait 10",
                 )
@@ -178,7 +178,7 @@
         )
         .subcommand(
             Command::new("resume")
-                .about("Gives an upstream, or all of a group, work again")
+                .about("Sends requests to an upstream or to all upstreams of a group again")
                 .arg(path())
                 .args(edit_args()),
         )
--- a/crates/ctl/src/cli/mod.rs
+++ b/crates/ctl/src/cli/mod.rs
@@ -1,12 +1,12 @@
-//! The command line: what can be typed, and what it means.
+//! Definition and parsing of the command line.
 
 mod app;
 mod args;
 mod edit_commands;
 mod read_commands;
 
-pub(crate) use args::{path_arg, required, settings_arg};
+pub(crate) use args::{parse_path_arg, parse_settings_args, required};
 pub use {
     app::app,
-    args::{EditArgs, GlobalArgs, OutputForm},
+    args::{EditArgs, GlobalArgs, OutputFormat},
 };
--- a/crates/ctl/src/cli/read_commands.rs
+++ b/crates/ctl/src/cli/read_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that only read.
+//! Definitions of the read-only commands.
 
 use {
     super::args::path,
@@ -6,7 +6,7 @@
     jasmine_conf::tree::Setting,
 };
 
-/// All of them.
+/// All read-only commands.
 pub(super) fn all() -> [Command; 6] {
     [list(), show(), explain(), history(), fleet(), edit()]
 }
@@ -21,20 +21,20 @@
                 .long("depth")
                 .value_name("LEVELS")
                 .value_parser(value_parser!(u16))
-                .help("Levels below the path; all when absent"),
+                .help("Levels below the path; all if not given"),
         )
 }
 
 fn show() -> Command {
     Command::new("show")
-        .about("Shows a node with every value in force and where it comes from")
+        .about("Shows a node with each value in force and the level it comes from")
         .after_help("Example:\n  jasminectl show /accounts/clinics/san-juan")
         .arg(path())
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tells which level the value of a setting comes from")
+        .about("Shows which level the value of a setting comes from")
         .after_help("Example:\n  jasminectl explain /accounts/clinics/san-juan rate")
         .arg(path())
         .arg(setting())
@@ -42,7 +42,7 @@
 
 fn history() -> Command {
     Command::new("history")
-        .about("Lists the newest edits about a path, newest first")
+        .about("Lists the edits that touch a path, newest first")
         .after_help("Example:\n  jasminectl history /adapters/enrolment --limit 5")
         .arg(path().required(false).default_value("/"))
         .arg(
@@ -50,20 +50,20 @@
                 .long("limit")
                 .value_parser(value_parser!(u16).range(1..=5000))
                 .default_value("20")
-                .help("Edits at most"),
+                .help("Maximum number of edits"),
         )
 }
 
 fn fleet() -> Command {
     Command::new("fleet")
-        .about("Shows every VM: its daemons, the revision in force, the store, engines owned")
+        .about("Shows each VM: its daemons, the revision in force, the store and the engines owned")
         .after_help("Example:\n  jasminectl fleet --output json")
 }
 
 fn edit() -> Command {
     let id = Arg::new("id").value_name("ID").required(true);
     Command::new("edit")
-        .about("Tells about one edit")
+        .about("Shows an edit or its progress")
         .subcommand_required(true)
         .subcommand(
             Command::new("show")
@@ -72,7 +72,7 @@
         )
         .subcommand(
             Command::new("status")
-                .about("Tells how far an edit is in force on every VM")
+                .about("Shows on which VMs an edit is in force")
                 .after_help("Example:\n  jasminectl edit status 0c5e --wait 10")
                 .arg(id)
                 .arg(
@@ -80,12 +80,12 @@
                         .long("wait")
                         .value_name("SECONDS")
                         .value_parser(value_parser!(u64).range(1..=3_600))
-                        .help("Waits until it is in force everywhere"),
+                        .help("Waits until the edit is in force on every VM"),
                 ),
         )
 }
 
-/// The argument that names a setting.
+/// The positional name of a setting.
 pub(super) fn setting() -> Arg {
     Arg::new("setting")
         .value_name("SETTING")
--- a/crates/ctl/src/client/api.rs
+++ b/crates/ctl/src/client/api_client.rs
@@ -1,5 +1,5 @@
 use {
-    super::attempt::Attempt,
+    super::call_error::CallError,
     crate::{CtlError, cli::GlobalArgs},
     awc::{Client, ClientRequest, Connector, http::Method},
     jasmine_conf::{
@@ -11,39 +11,37 @@
     std::time::Duration,
 };
 
-/// Bytes that an answer may have.
-const MAX_ANSWER: usize = 64 << 20;
-/// How often all controllers are asked in turn before an edit's outcome is left open.
-const ROUNDS: usize = 3;
-/// Pause between two rounds.
-const BETWEEN_ROUNDS: Duration = Duration::from_millis(500);
-/// How long a controller may take to accept a connection.
-const CONNECT: Duration = Duration::from_secs(2);
+/// Upper bound of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Rounds over all controllers before an edit's outcome is reported as unknown.
+const MAX_SUBMIT_ROUNDS: usize = 3;
+const SUBMIT_RETRY_DELAY: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The operators' HTTP of whichever controller answers.
-pub struct Api {
+/// Client of the operator API; tries the controllers in turn.
+pub struct ApiClient {
     controllers: Vec<String>,
     token: String,
     client: Client,
 }
 
-impl std::fmt::Debug for Api {
-    /// Leaves the token out: debug output ends up in logs.
+impl std::fmt::Debug for ApiClient {
+    /// Omits the token, as debug output may be logged.
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
     ) -> std::fmt::Result {
-        f.debug_struct("Api")
+        f.debug_struct("ApiClient")
             .field("controllers", &self.controllers)
             .finish_non_exhaustive()
     }
 }
 
-impl Api {
-    /// A client of the controllers that the command line names.
+impl ApiClient {
+    /// Creates a client of the controllers given on the command line.
     pub fn new(args: &GlobalArgs) -> Self {
         let client = Client::builder()
-            .connector(Connector::new().timeout(CONNECT.min(args.timeout)))
+            .connector(Connector::new().timeout(CONNECT_TIMEOUT.min(args.timeout)))
             .timeout(args.timeout)
             .finish();
         Self {
@@ -53,11 +51,11 @@
         }
     }
 
-    /// One page of the nodes at and below a path.
+    /// Fetches one page of the nodes at and below a path.
     ///
     /// # Errors
     ///
-    /// [`CtlError`] where no controller answers or the answer is an error; so for all questions.
+    /// [`CtlError`] if no controller could be reached or the response is an error.
     pub async fn tree(
         &self,
         path: &Path,
@@ -70,7 +68,7 @@
             .await
     }
 
-    /// Where a value comes from.
+    /// Fetches a setting's value in force and the level that it comes from.
     ///
     /// # Errors
     ///
@@ -84,7 +82,7 @@
             .await
     }
 
-    /// The newest edits about a path.
+    /// Fetches the newest edits that touch a path.
     ///
     /// # Errors
     ///
@@ -98,7 +96,7 @@
             .await
     }
 
-    /// All VMs.
+    /// Fetches the state of all VMs.
     ///
     /// # Errors
     ///
@@ -107,7 +105,7 @@
         self.get("/v1/fleet").await
     }
 
-    /// One accepted edit.
+    /// Fetches an accepted edit.
     ///
     /// # Errors
     ///
@@ -119,7 +117,7 @@
         self.get(&format!("/v1/edits/{id}")).await
     }
 
-    /// How far an edit is in force.
+    /// Fetches on which VMs an edit is in force.
     ///
     /// # Errors
     ///
@@ -131,44 +129,43 @@
         self.get(&format!("/v1/fleet/edit/{id}")).await
     }
 
-    /// Sends an edit until one controller says what became of it.
+    /// Submits an edit, retrying until a controller reports the outcome.
     ///
-    /// An answer can be lost after the edit has taken effect, and an operator told "failed" would do it
-    /// again. The same edit, with its id and base, goes to the next controller instead: the id makes
-    /// sure that it takes effect once, and whoever has it already answers with its record.
+    /// The response can be lost after the edit was applied. Retrying with the same id and base is
+    /// idempotent: a controller that has already accepted the edit returns the existing record.
     ///
     /// # Errors
     ///
-    /// [`CtlError::OutcomeUnknown`] where no controller could tell; else as [`Self::tree`].
+    /// [`CtlError::OutcomeUnknown`] if no controller could report the outcome; otherwise as [`Self::tree`].
     pub async fn submit(
         &self,
         edit: &Edit,
         dry_run: bool,
     ) -> Result<EditResponse, CtlError> {
         let path = format!("/v1/edits?dry_run={dry_run}");
-        let mut tried = Vec::new();
+        let mut failures = Vec::new();
         let mut may_have_run = false;
         let mut last = None;
-        for round in 0..ROUNDS {
+        for round in 0..MAX_SUBMIT_ROUNDS {
             if round > 0 {
-                actix_web::rt::time::sleep(BETWEEN_ROUNDS).await;
+                actix_web::rt::time::sleep(SUBMIT_RETRY_DELAY).await;
             }
             for controller in &self.controllers {
                 let req = self.request(Method::POST, controller, &path);
-                let attempt = match finish(req.send_json(edit).await).await {
+                let call_error = match read_response(req.send_json(edit).await).await {
                     Ok(answer) => return Ok(answer),
-                    Err(attempt) => attempt,
+                    Err(call_error) => call_error,
                 };
-                may_have_run |= attempt.may_have_run() && !dry_run;
-                match attempt {
-                    // Refused for good: the controller has looked for the id among all that was
-                    // accepted since the base, unless it can't look back that far.
-                    Attempt::Refused(body) if is_final(&body, may_have_run) => {
+                may_have_run |= call_error.may_have_run() && !dry_run;
+                match call_error {
+                    // Final: the controller has searched its log since the base for the id, unless
+                    // its log begins after the base.
+                    CallError::ErrorResponse(body) if is_final(&body, may_have_run) => {
                         return Err(CtlError::from(body));
                     }
-                    attempt => {
-                        tried.push(format!("{controller}: {}", attempt.reason()));
-                        last = Some(attempt);
+                    call_error => {
+                        failures.push(format!("{controller}: {}", call_error.reason()));
+                        last = Some(call_error);
                     }
                 }
             }
@@ -176,10 +173,10 @@
         match last {
             _ if may_have_run => Err(CtlError::OutcomeUnknown {
                 id: edit.id.clone(),
-                tried,
+                failures,
             }),
-            Some(Attempt::Refused(body)) => Err(CtlError::from(body)),
-            _ => Err(CtlError::Unreachable { tried }),
+            Some(CallError::ErrorResponse(body)) => Err(CtlError::from(body)),
+            _ => Err(CtlError::Unreachable { failures }),
         }
     }
 
@@ -190,24 +187,24 @@
     where
         T: DeserializeOwned,
     {
-        let mut tried = Vec::new();
+        let mut failures = Vec::new();
         for controller in &self.controllers {
             let req = self.request(Method::GET, controller, path);
-            match finish(req.send().await).await {
+            match read_response(req.send().await).await {
                 Ok(answer) => return Ok(answer),
-                Err(Attempt::Garbled(reason)) => {
-                    return Err(CtlError::BadAnswer {
+                Err(CallError::InvalidResponse(reason)) => {
+                    return Err(CtlError::InvalidResponse {
                         controller: controller.clone(),
                         reason,
                     });
                 }
-                Err(Attempt::Refused(body)) if !is_passing(&body) => {
+                Err(CallError::ErrorResponse(body)) if !is_transient(&body) => {
                     return Err(CtlError::from(body));
                 }
-                Err(attempt) => tried.push(format!("{controller}: {}", attempt.reason())),
+                Err(call_error) => failures.push(format!("{controller}: {}", call_error.reason())),
             }
         }
-        Err(CtlError::Unreachable { tried })
+        Err(CtlError::Unreachable { failures })
     }
 
     fn request(
@@ -222,43 +219,47 @@
     }
 }
 
-/// Whether another controller, or the same one later, may answer otherwise.
-fn is_passing(body: &ErrorBody) -> bool {
-    Attempt::Refused(Box::new(body.clone())).is_worth_another()
+/// Whether a retry, on this or another controller, may succeed.
+fn is_transient(body: &ErrorBody) -> bool {
+    CallError::ErrorResponse(Box::new(body.clone())).is_retryable()
 }
 
-/// Whether a refusal of an edit settles what became of it.
+/// Whether an error response settles the outcome of an edit.
 fn is_final(
     body: &ErrorBody,
     may_have_run: bool,
 ) -> bool {
-    let in_doubt = may_have_run && looks_back_too_little(body);
-    !in_doubt && !is_passing(body)
+    let may_be_accepted = may_have_run && is_base_too_old(body);
+    !may_be_accepted && !is_transient(body)
 }
 
-/// Whether a controller refused the base alone, because its log begins later.
-fn looks_back_too_little(body: &ErrorBody) -> bool {
+/// Whether the edit was refused only because the controller's log begins after the base.
+fn is_base_too_old(body: &ErrorBody) -> bool {
     body.kind() == Some(ErrorKind::EditConflict) && body.error.conflicts.is_empty()
 }
 
-type Sent<S> = Result<awc::ClientResponse<S>, awc::error::SendRequestError>;
+type SendResult<S> = Result<awc::ClientResponse<S>, awc::error::SendRequestError>;
 
-async fn finish<S, T>(sent: Sent<S>) -> Result<T, Attempt>
+async fn read_response<S, T>(send_result: SendResult<S>) -> Result<T, CallError>
 where
     S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
     T: DeserializeOwned,
 {
-    let mut res = sent?;
+    let mut res = send_result?;
     let body = res
         .body()
-        .limit(MAX_ANSWER)
+        .limit(MAX_RESPONSE_BYTES)
         .await
-        .map_err(|e| Attempt::Lost(e.to_string()))?;
+        .map_err(|e| CallError::ResponseLost(e.to_string()))?;
     if res.status().is_success() {
-        return serde_json::from_slice(&body).map_err(|e| Attempt::Garbled(e.to_string()));
+        return serde_json::from_slice(&body)
+            .map_err(|e| CallError::InvalidResponse(e.to_string()));
     }
     match serde_json::from_slice(&body) {
-        Ok(error) => Err(Attempt::Refused(Box::new(error))),
-        Err(_) => Err(Attempt::Garbled(format!("status {}", res.status()))),
+        Ok(error) => Err(CallError::ErrorResponse(Box::new(error))),
+        Err(_) => Err(CallError::InvalidResponse(format!(
+            "status {}",
+            res.status()
+        ))),
     }
 }
--- a/crates/ctl/src/client/mod.rs
+++ b/crates/ctl/src/client/mod.rs
@@ -1,6 +1,6 @@
-//! Calls of the operators' HTTP.
+//! Client of the controllers' operator API.
 
-mod api;
-mod attempt;
+mod api_client;
+mod call_error;
 
-pub use api::Api;
+pub use api_client::ApiClient;
--- a/crates/ctl/src/commands/apply_file.rs
+++ b/crates/ctl/src/commands/apply_file.rs
@@ -5,19 +5,19 @@
     std::{fs, io::Read},
 };
 
-/// What a bulk file may hold.
+/// A bulk file in object form.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Bulk {
+struct OpsFile {
     ops: Vec<EditOp>,
 }
 
 /// Reads the ops of a file, or of standard input for `-`.
 ///
-/// The file's form is checked here, so that an error tells the line; whether the ops fit the tree is
-/// checked by the controller as a whole, before anything is written.
+/// Only the syntax is checked here, with line numbers in errors; the controller validates the ops
+/// against the tree before it writes anything.
 pub(super) fn read(file: &str) -> Result<Vec<EditOp>, CtlError> {
-    let refused = |reason: String| CtlError::File {
+    let file_error = |reason: String| CtlError::File {
         file: file.to_owned(),
         reason,
     };
@@ -28,11 +28,11 @@
         }
         file => fs::read_to_string(file),
     }
-    .map_err(|e| refused(e.to_string()))?;
+    .map_err(|e| file_error(e.to_string()))?;
     let ops = if text.trim_start().starts_with('[') {
         serde_json::from_str(&text)
     } else {
-        serde_json::from_str::<Bulk>(&text).map(|bulk| bulk.ops)
+        serde_json::from_str::<OpsFile>(&text).map(|file| file.ops)
     };
-    ops.map_err(|e| refused(e.to_string()))
+    ops.map_err(|e| file_error(e.to_string()))
 }
--- a/crates/ctl/src/commands/change.rs
+++ b/crates/ctl/src/commands/change.rs
@@ -2,21 +2,21 @@
     super::{apply_file, key, rollback, send::send, versions},
     crate::{
         CtlError,
-        cli::{EditArgs, GlobalArgs, path_arg, required, settings_arg},
-        client::Api,
+        cli::{EditArgs, GlobalArgs, parse_path_arg, parse_settings_args, required},
+        client::ApiClient,
     },
     clap::ArgMatches,
     jasmine_conf::tree::{EditOp, NodeKind, Path, Setting, Settings, Value},
     std::collections::BTreeMap,
 };
 
-/// Carries out a command that changes the tree.
+/// Runs a command that changes the configuration tree.
 ///
 /// # Errors
 ///
 /// [`CtlError`] with its exit code.
 pub async fn change(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     name: &str,
     command: &ArgMatches,
@@ -31,11 +31,15 @@
         ("set", _) => set(matches)?,
         ("unset", _) => vec![unset(matches)?],
         ("delete", _) => vec![EditOp::Delete {
-            path: path_arg(matches)?,
+            path: parse_path_arg(matches)?,
         }],
         ("apply", _) => apply_file::read(required::<String>(matches, "file"))?,
         ("key", "issue") => return key::issue(api, args, &edit_args, matches).await,
-        ("key", _) => vec![set_one(matches, Setting::Withdrawn, Value::Flag(true))?],
+        ("key", _) => vec![set_op_from_args(
+            matches,
+            Setting::Withdrawn,
+            Value::Flag(true),
+        )?],
         ("adapter", "add-version") => {
             let (ops, base) = versions::add(api, matches).await?;
             edit_args.base.get_or_insert(base);
@@ -48,14 +52,22 @@
         }
         ("adapter", _) => {
             let version = *required::<u32>(matches, "version");
-            vec![set_one(
+            vec![set_op_from_args(
                 matches,
                 Setting::Live,
                 Value::Number(version.into()),
             )?]
         }
-        (_, "drain") => vec![set_one(matches, Setting::State, Value::text("leaving"))?],
-        (_, _) => vec![set_one(matches, Setting::State, Value::text("active"))?],
+        (_, "drain") => vec![set_op_from_args(
+            matches,
+            Setting::State,
+            Value::text("leaving"),
+        )?],
+        (_, _) => vec![set_op_from_args(
+            matches,
+            Setting::State,
+            Value::text("active"),
+        )?],
     };
     send(api, args, &edit_args, ops).await.map(drop)
 }
@@ -63,23 +75,23 @@
 fn create(matches: &ArgMatches) -> Result<Vec<EditOp>, CtlError> {
     let name = required::<String>(matches, "kind");
     let kind = NodeKind::from_name(name)
-        .ok_or_else(|| CtlError::Usage(format!("there is no kind {name:?}")))?;
-    let settings: BTreeMap<_, _> = settings_arg(matches)?.into_iter().collect();
+        .ok_or_else(|| CtlError::Usage(format!("unknown node kind {name:?}")))?;
+    let settings: BTreeMap<_, _> = parse_settings_args(matches)?.into_iter().collect();
     Ok(vec![EditOp::Create {
-        path: path_arg(matches)?,
+        path: parse_path_arg(matches)?,
         kind,
         settings: Settings::from(settings),
     }])
 }
 
 fn set(matches: &ArgMatches) -> Result<Vec<EditOp>, CtlError> {
-    let path = path_arg(matches)?;
+    let path = parse_path_arg(matches)?;
     let op = |(setting, value)| EditOp::Set {
         path: path.clone(),
         setting,
         value,
     };
-    Ok(settings_arg(matches)?.into_iter().map(op).collect())
+    Ok(parse_settings_args(matches)?.into_iter().map(op).collect())
 }
 
 fn unset(matches: &ArgMatches) -> Result<EditOp, CtlError> {
@@ -87,21 +99,21 @@
     let setting = Setting::from_name(name)
         .ok_or_else(|| CtlError::Usage(format!("there is no setting {name:?}")))?;
     Ok(EditOp::Unset {
-        path: path_arg(matches)?,
+        path: parse_path_arg(matches)?,
         setting,
     })
 }
 
-fn set_one(
+fn set_op_from_args(
     matches: &ArgMatches,
     setting: Setting,
     value: Value,
 ) -> Result<EditOp, CtlError> {
-    Ok(set_at(path_arg(matches)?, setting, value))
+    Ok(set_op(parse_path_arg(matches)?, setting, value))
 }
 
-/// The op that sets one setting.
-pub(super) const fn set_at(
+/// Builds the op that sets one setting.
+pub(super) const fn set_op(
     path: Path,
     setting: Setting,
     value: Value,
--- a/crates/ctl/src/commands/key.rs
+++ b/crates/ctl/src/commands/key.rs
@@ -1,11 +1,11 @@
-//! A key is made here and only its digest is sent: no daemon ever sees a key before its caller.
+//! Issuing of API keys. The key is generated here, and only its digest is sent to the controller.
 
 use {
     super::send::{submit, wait},
     crate::{
         CtlError,
-        cli::{EditArgs, GlobalArgs, OutputForm, path_arg, required},
-        client::Api,
+        cli::{EditArgs, GlobalArgs, OutputFormat, parse_path_arg, required},
+        client::ApiClient,
         output,
     },
     clap::ArgMatches,
@@ -18,9 +18,9 @@
     std::collections::BTreeMap,
 };
 
-/// What is printed about a new key, this once.
+/// JSON output of `key issue`.
 #[derive(Serialize)]
-struct Issued<'a> {
+struct IssuedKeyOutput<'a> {
     path: &'a Path,
     key: Option<&'a str>,
     revision: Revision,
@@ -28,14 +28,14 @@
     dry_run: bool,
 }
 
-/// Makes a key, has its digest accepted, and shows it.
+/// Generates a key, submits its digest and prints the key.
 pub(super) async fn issue(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     edit_args: &EditArgs,
     matches: &ArgMatches,
 ) -> Result<(), CtlError> {
-    let path = path_arg(matches)?.child(required::<String>(matches, "name"))?;
+    let path = parse_path_arg(matches)?.child(required::<String>(matches, "name"))?;
     let key = IssuedKey::random();
     let digest = Value::text(&String::from(key.digest()));
     let op = EditOp::Create {
@@ -44,7 +44,7 @@
         settings: Settings::from(BTreeMap::from([(Setting::Digest, digest)])),
     };
     let answer = submit(api, args, edit_args, vec![op]).await?;
-    let issued = Issued {
+    let issued = IssuedKeyOutput {
         path: &path,
         key: (!answer.dry_run).then(|| key.reveal()),
         revision: answer.revision,
@@ -52,12 +52,12 @@
         dry_run: answer.dry_run,
     };
     match (args.output, issued.key) {
-        (OutputForm::Json, _) => output::json(&issued)?,
-        (OutputForm::Table, Some(key)) => output::line(&format!(
-            "{key}\n\naccepted: revision {}, edit {}\nThis is the key of {path}. It is shown only now and kept nowhere.",
+        (OutputFormat::Json, _) => output::json(&issued)?,
+        (OutputFormat::Table, Some(key)) => output::line(&format!(
+            "{key}\n\naccepted: revision {}, edit {}\nThis is the key of {path}. It is not stored and can't be shown again.",
             issued.revision, issued.edit
         ))?,
-        (OutputForm::Table, None) => output::line("valid; no key was made")?,
+        (OutputFormat::Table, None) => output::line("valid; no key was issued")?,
     }
     wait(api, args, edit_args).await
 }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands that change the tree: each becomes one edit.
+//! Commands that change the configuration tree; each submits one edit.
 
 mod apply_file;
 mod change;
--- a/crates/ctl/src/commands/rollback.rs
+++ b/crates/ctl/src/commands/rollback.rs
@@ -1,6 +1,6 @@
 use {
-    super::change::set_at,
-    crate::{CtlError, cli::path_arg, client::Api},
+    super::change::set_op,
+    crate::{CtlError, cli::parse_path_arg, client::ApiClient},
     clap::ArgMatches,
     jasmine_conf::{
         api::NodeRow,
@@ -9,39 +9,41 @@
     jasmine_core::ids::Revision,
 };
 
-/// Edits that are searched for the version that was live before.
-const SEARCHED: u16 = 1_000;
+/// Edits searched for the previously live version.
+const MAX_HISTORY_EDITS: u16 = 1_000;
 
-/// The op that makes the earlier live version live again, and the revision that it was made from.
+/// Builds the op that restores the previously live version.
+///
+/// Also returns the revision that the op is based on.
 pub(super) async fn ops(
-    api: &Api,
+    api: &ApiClient,
     matches: &ArgMatches,
 ) -> Result<(Vec<EditOp>, Revision), CtlError> {
-    let adapter = path_arg(matches)?;
+    let adapter = parse_path_arg(matches)?;
     let page = api.tree(&adapter, Some(1), None).await?;
-    let now = page
+    let current = page
         .nodes
         .first()
         .and_then(|row| row.node.settings.get(Setting::Live));
-    let history = api.history(&adapter, SEARCHED).await?;
-    let earlier = history
+    let history = api.history(&adapter, MAX_HISTORY_EDITS).await?;
+    let previous = history
         .edits
         .iter()
         .filter(|accepted| accepted.revision <= page.revision)
         .flat_map(|accepted| accepted.edit.ops.iter().rev())
-        .filter_map(|op| live_set_by(op, &adapter))
-        .find(|value| Some(*value) != now && exists(value, &adapter, &page.nodes));
-    match earlier {
+        .filter_map(|op| live_version_set_by(op, &adapter))
+        .find(|value| Some(*value) != current && version_exists(value, &adapter, &page.nodes));
+    match previous {
         Some(value) => Ok((
-            vec![set_at(adapter, Setting::Live, value.clone())],
+            vec![set_op(adapter, Setting::Live, value.clone())],
             page.revision,
         )),
-        None => Err(CtlError::NoEarlierVersion { path: adapter }),
+        None => Err(CtlError::NoPreviousVersion { path: adapter }),
     }
 }
 
-/// The live version that an op gave the adapter.
-fn live_set_by<'o>(
+/// Returns the live version that an op sets on the adapter.
+fn live_version_set_by<'o>(
     op: &'o EditOp,
     adapter: &Path,
 ) -> Option<&'o Value> {
@@ -56,7 +58,7 @@
     }
 }
 
-fn exists(
+fn version_exists(
     version: &Value,
     adapter: &Path,
     nodes: &[NodeRow],
--- a/crates/ctl/src/commands/send.rs
+++ b/crates/ctl/src/commands/send.rs
@@ -1,8 +1,8 @@
 use {
     crate::{
         CtlError,
-        cli::{EditArgs, GlobalArgs, OutputForm},
-        client::Api,
+        cli::{EditArgs, GlobalArgs, OutputFormat},
+        client::ApiClient,
         output, queries,
     },
     jasmine_conf::{
@@ -11,25 +11,25 @@
     },
 };
 
-/// Sends ops as one edit and prints what became of it.
+/// Submits ops as one edit, prints the result and waits if `--wait` is given.
 pub(super) async fn send(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     edit_args: &EditArgs,
     ops: Vec<EditOp>,
 ) -> Result<EditResponse, CtlError> {
     let answer = submit(api, args, edit_args, ops).await?;
     match args.output {
-        OutputForm::Json => output::json(&answer)?,
-        OutputForm::Table => output::line(&describe(&answer))?,
+        OutputFormat::Json => output::json(&answer)?,
+        OutputFormat::Table => output::line(&describe(&answer))?,
     }
     wait(api, args, edit_args).await?;
     Ok(answer)
 }
 
-/// Sends ops as one edit, based on the newest revision unless another is named.
+/// Submits ops as one edit, based on the newest revision unless `--base` is given.
 pub(super) async fn submit(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     edit_args: &EditArgs,
     ops: Vec<EditOp>,
@@ -47,15 +47,15 @@
     api.submit(&edit, edit_args.dry_run).await
 }
 
-/// Waits until the edit is in force everywhere, where that was asked for.
+/// Waits until the edit is in force on every VM, if `--wait` is given.
 pub(super) async fn wait(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     edit_args: &EditArgs,
 ) -> Result<(), CtlError> {
     match edit_args.wait {
         Some(time) if !edit_args.dry_run => {
-            queries::wait_everywhere(api, args, &edit_args.id, time).await
+            queries::wait_until_in_force(api, args, &edit_args.id, time).await
         }
         _ => Ok(()),
     }
--- a/crates/ctl/src/commands/versions.rs
+++ b/crates/ctl/src/commands/versions.rs
@@ -1,9 +1,9 @@
 use {
-    super::change::set_at,
+    super::change::set_op,
     crate::{
         CtlError,
-        cli::{path_arg, required},
-        client::Api,
+        cli::{parse_path_arg, required},
+        client::ApiClient,
     },
     clap::ArgMatches,
     jasmine_conf::tree::{EditOp, NodeKind, Setting, Settings, Value},
@@ -11,19 +11,21 @@
     std::collections::BTreeMap,
 };
 
-/// The ops that add the next version of an adapter, and the revision that they were made from.
+/// Builds the ops that add the next version of an adapter.
+///
+/// Also returns the revision that the ops are based on.
 pub(super) async fn add(
-    api: &Api,
+    api: &ApiClient,
     matches: &ArgMatches,
 ) -> Result<(Vec<EditOp>, Revision), CtlError> {
-    let adapter = path_arg(matches)?;
+    let adapter = parse_path_arg(matches)?;
     let page = api.tree(&adapter, Some(0), None).await?;
     let last = page
         .nodes
         .first()
         .filter(|row| row.node.kind == NodeKind::Adapter)
         .map(|row| row.node.last_version)
-        .ok_or_else(|| CtlError::Usage(format!("{adapter} is no adapter")))?;
+        .ok_or_else(|| CtlError::Usage(format!("{adapter} is not an adapter")))?;
     let version = last.saturating_add(1);
     let weights = Value::text(required::<String>(matches, "weights"));
     let mut ops = vec![EditOp::Create {
@@ -32,7 +34,7 @@
         settings: Settings::from(BTreeMap::from([(Setting::Weights, weights)])),
     }];
     if matches.get_flag("live") {
-        ops.push(set_at(
+        ops.push(set_op(
             adapter,
             Setting::Live,
             Value::Number(version.into()),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -6,98 +6,96 @@
     jasmine_core::error::{ErrorKind, Execution},
 };
 
-/// Why a command did not do what was asked.
+/// Error of a command.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From)]
 pub enum CtlError {
-    /// The command line or the environment lacks something or holds what is not allowed.
+    /// A required argument or environment variable is missing, or a value is not allowed.
     #[display("{_0}")]
     #[from(skip)]
     Usage(String),
-    /// A path or id on the command line is none.
+    /// A path or edit id on the command line is malformed.
     #[display("{_0}")]
-    Form(EditError),
-    /// A file can't be read or is not what is expected.
+    InvalidName(EditError),
+    /// A file can't be read or its content is invalid.
     #[display("{file}: {reason}")]
     #[from(skip)]
     File {
-        /// The file.
+        /// Path of the file, `-` for standard input.
         file: String,
-        /// What is wrong with it.
+        /// The read or parse error.
         reason: String,
     },
-    /// No controller could be asked.
-    #[display("no controller could be reached: {}", tried.join("; "))]
+    /// No controller could be reached.
+    #[display("no controller could be reached: {}", failures.join("; "))]
     #[from(skip)]
     Unreachable {
-        /// Each controller and what happened there.
-        tried: Vec<String>,
+        /// One entry per failed call: the controller and its error.
+        failures: Vec<String>,
     },
-    /// A controller answered with an error.
+    /// A controller returned an error response.
     #[display("{}{}", _0.error.message, conflict_lines(_0))]
-    Refused(Box<ErrorBody>),
-    /// It is not known whether the edit is accepted.
+    ErrorResponse(Box<ErrorBody>),
+    /// No controller could confirm whether the edit was accepted.
     #[display(
         "it is not known whether edit {id} is accepted ({}); see: jasminectl edit status {id}",
-        tried.join("; ")
+        failures.join("; ")
     )]
     #[from(skip)]
     OutcomeUnknown {
-        /// The edit.
+        /// Id of the edit.
         id: EditId,
-        /// Each controller and what happened there.
-        tried: Vec<String>,
+        /// One entry per failed call: the controller and its error.
+        failures: Vec<String>,
     },
-    /// A controller's answer is not what this version understands.
-    #[display("{controller}: the answer is not understood: {reason}")]
+    /// A controller returned a response that this version can't parse.
+    #[display("{controller}: invalid response: {reason}")]
     #[from(skip)]
-    BadAnswer {
-        /// The controller.
+    InvalidResponse {
+        /// Base URL of the controller.
         controller: String,
-        /// What is wrong with it.
+        /// The parse error, or the unexpected status.
         reason: String,
     },
-    /// The edit is accepted but was not in force everywhere within the time given.
-    #[display("edit {id} is accepted, but after {secs} s not in force on: {lacking}")]
+    /// The edit is accepted but was not in force on every VM within the timeout.
+    #[display("edit {id} is accepted, but not in force after {secs} s on: {pending_vms}")]
     #[from(skip)]
-    NotEverywhere {
-        /// The edit.
+    WaitTimedOut {
+        /// Id of the edit.
         id: EditId,
-        /// The time given.
+        /// The timeout, in seconds.
         secs: u64,
-        /// The VMs that lack it.
-        lacking: String,
+        /// The VMs where the edit is not in force.
+        pending_vms: String,
     },
-    /// The history known to the controllers does not say what was live before.
-    #[display(
-        "{path}: the history at hand names no earlier live version: name it with `adapter live`"
-    )]
+    /// The history that the controllers keep has no earlier live version.
+    #[display("{path}: the history has no earlier live version; choose one with `adapter live`")]
     #[from(skip)]
-    NoEarlierVersion {
-        /// The adapter.
+    NoPreviousVersion {
+        /// Path of the adapter.
         path: Path,
     },
-    /// Standard output can't be written.
+    /// Writing to standard output failed.
     #[display("standard output: {_0}")]
     Output(std::io::Error),
 }
 
 impl CtlError {
-    /// The exit code, as documented in `--help` and in docs/OPERATING.md.
+    /// The process exit code, as documented in `--help` and docs/OPERATING.md.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Output(_) | Self::BadAnswer { .. } => 1,
-            Self::Usage(_) | Self::Form(_) | Self::File { .. } => 2,
-            Self::Refused(body) => refused_code(body),
-            Self::NoEarlierVersion { .. } => 3,
+            Self::Output(_) | Self::InvalidResponse { .. } => 1,
+            Self::Usage(_) | Self::InvalidName(_) | Self::File { .. } => 2,
+            Self::ErrorResponse(body) => error_response_exit_code(body),
+            Self::NoPreviousVersion { .. } => 3,
             Self::Unreachable { .. } => 5,
             Self::OutcomeUnknown { .. } => 6,
-            Self::NotEverywhere { .. } => 8,
+            Self::WaitTimedOut { .. } => 8,
         }
     }
 }
 
-fn refused_code(body: &ErrorBody) -> u8 {
+fn error_response_exit_code(body: &ErrorBody) -> u8 {
     match body.kind() {
         Some(ErrorKind::EditConflict) => 4,
         Some(ErrorKind::KeyMissing | ErrorKind::KeyUnknown) => 7,
@@ -110,7 +108,7 @@
     }
 }
 
-/// One line for each change that somebody else made.
+/// Formats the conflicting edits, one per line.
 fn conflict_lines(body: &ErrorBody) -> String {
     let mut text = String::new();
     for conflict in &body.error.conflicts {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,6 +1,6 @@
-//! `jasminectl`, the operators' command line.
+//! `jasminectl`, the command line for operators.
 //!
-//! It holds no state: every command is one or a few calls of the operators' HTTP of any controller.
+//! It is stateless: each command makes one or a few calls to the operator API of any controller.
 
 pub mod cli;
 pub mod client;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Entry point of `jasminectl`.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/output/mod.rs
+++ b/crates/ctl/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for scripts.
+//! Printing of tables, JSON and plain lines.
 
 mod print;
 mod utc_time;
--- a/crates/ctl/src/output/print.rs
+++ b/crates/ctl/src/output/print.rs
@@ -5,8 +5,8 @@
     std::io::{Write, stdout},
 };
 
-/// Nothing but a line below the header, so that a row is a line to search and cut.
-const LINE_BELOW_HEADER: &str = "    ────           ";
+/// Table preset with only a rule below the header, so that rows work with `grep` and `cut`.
+const TABLE_PRESET: &str = "    ────           ";
 
 /// Prints a value as JSON.
 pub fn json<T>(value: &T) -> Result<(), CtlError>
@@ -17,9 +17,9 @@
     line(&text)
 }
 
-/// Prints a line.
+/// Prints a line to standard output.
 pub fn line(text: &str) -> Result<(), CtlError> {
-    // Not `println!`, which panics when the reader of a pipe has gone.
+    // `println!` would panic if the reading end of a pipe was closed.
     Ok(writeln!(stdout(), "{text}")?)
 }
 
@@ -33,14 +33,14 @@
 {
     let mut table = Table::new();
     table
-        .load_preset(LINE_BELOW_HEADER)
+        .load_preset(TABLE_PRESET)
         .set_content_arrangement(ContentArrangement::Dynamic)
         .set_header(header)
         .add_rows(rows);
     line(&table.to_string())
 }
 
-/// A flag as a word.
+/// Formats a flag as `yes` or `no`.
 pub fn yes_no(yes: bool) -> String {
     if yes { "yes" } else { "no" }.to_owned()
 }
--- a/crates/ctl/src/output/utc_time.rs
+++ b/crates/ctl/src/output/utc_time.rs
@@ -1,18 +1,17 @@
-/// Seconds of a day.
-const DAY: u64 = 86_400;
+const SECS_PER_DAY: u64 = 86_400;
 
-/// A point in time as `2026-12-02 23:59:59`, in UTC.
+/// Formats Unix time in milliseconds as UTC, such as `2026-12-02 23:59:59`.
 pub fn utc(unix_ms: u64) -> String {
     let secs = unix_ms / 1000;
-    let (year, month, day) = date(secs / DAY);
-    let rest = secs % DAY;
+    let (year, month, day) = date(secs / SECS_PER_DAY);
+    let rest = secs % SECS_PER_DAY;
     let (hour, minute, second) = (rest / 3600, rest / 60 % 60, rest % 60);
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}")
 }
 
-/// Year, month and day of a number of days since 1970, in the Gregorian calendar.
+/// Converts days since 1970-01-01 to a Gregorian year, month and day.
 ///
-/// Years are counted from March, so that the leap day is the last of its year.
+/// Counts years from March, so that the leap day is the last day of the year.
 const fn date(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let era = days / 146_097;
--- a/crates/ctl/src/queries/edits.rs
+++ b/crates/ctl/src/queries/edits.rs
@@ -1,8 +1,8 @@
 use {
     crate::{
         CtlError,
-        cli::{GlobalArgs, OutputForm, path_arg, required},
-        client::Api,
+        cli::{GlobalArgs, OutputFormat, parse_path_arg, required},
+        client::ApiClient,
         output,
     },
     clap::ArgMatches,
@@ -14,31 +14,31 @@
     std::time::{Duration, Instant},
 };
 
-/// Pause between two looks at how far an edit has got.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(250);
-/// Ops that the history shows of one edit.
-const OPS_SHOWN: usize = 3;
+/// Interval between two polls of an edit's progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Ops listed per edit in the history table.
+const MAX_OPS_SHOWN: usize = 3;
 
-/// Lists the newest edits about a path.
+/// Lists the newest edits that touch a path.
 pub async fn history(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     matches: &ArgMatches,
 ) -> Result<(), CtlError> {
-    let path = path_arg(matches)?;
+    let path = parse_path_arg(matches)?;
     let history = api
         .history(&path, *required::<u16>(matches, "limit"))
         .await?;
     match args.output {
-        OutputForm::Json => output::json(&history),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(&history),
+        OutputFormat::Table => {
             let rows = history.edits.iter().map(|accepted| {
                 vec![
                     accepted.revision.to_string(),
                     output::utc(accepted.at_unix_ms),
                     accepted.edit.author.clone(),
                     accepted.edit.id.to_string(),
-                    ops_text(accepted, OPS_SHOWN),
+                    ops_text(accepted, MAX_OPS_SHOWN),
                 ]
             });
             output::table(&["revision", "at (UTC)", "author", "edit", "changes"], rows)
@@ -46,34 +46,34 @@
     }
 }
 
-/// Tells about one edit.
+/// Shows an edit or its progress.
 pub async fn edit(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     command: &ArgMatches,
 ) -> Result<(), CtlError> {
     let Some((action, matches)) = command.subcommand() else {
-        return Err(CtlError::Usage("no command is named".to_owned()));
+        return Err(CtlError::Usage("no subcommand given".to_owned()));
     };
     let id = EditId::parse(required::<String>(matches, "id"))?;
     if action == "show" {
         return show(api, args, &id).await;
     }
     match matches.get_one::<u64>("wait") {
-        Some(&secs) => wait_everywhere(api, args, &id, Duration::from_secs(secs)).await,
+        Some(&secs) => wait_until_in_force(api, args, &id, Duration::from_secs(secs)).await,
         None => print_progress(args, &api.progress(&id).await?),
     }
 }
 
 async fn show(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     id: &EditId,
 ) -> Result<(), CtlError> {
     let accepted = api.edit(id).await?;
     match args.output {
-        OutputForm::Json => output::json(&accepted),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(&accepted),
+        OutputFormat::Table => {
             output::line(&format!(
                 "revision {}, {} UTC, by {}, based on {}",
                 accepted.revision,
@@ -86,49 +86,49 @@
     }
 }
 
-/// Waits until an edit is in force on every VM, then prints how far it is.
+/// Waits until an edit is in force on every VM, then prints its progress.
 ///
 /// # Errors
 ///
-/// [`CtlError::NotEverywhere`] with the VMs that lack it when the time is over.
-pub async fn wait_everywhere(
-    api: &Api,
+/// [`CtlError::WaitTimedOut`] with the remaining VMs if the timeout expires.
+pub async fn wait_until_in_force(
+    api: &ApiClient,
     args: &GlobalArgs,
     id: &EditId,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<(), CtlError> {
     let started = Instant::now();
     loop {
         let progress = match api.progress(id).await {
             Ok(progress) => Some(progress),
-            // The controller that answers may not have got the edit yet.
-            Err(CtlError::Refused(body)) if body.kind() == Some(ErrorKind::NotFound) => None,
+            // The controller may not have received the edit yet.
+            Err(CtlError::ErrorResponse(body)) if body.kind() == Some(ErrorKind::NotFound) => None,
             Err(e) => return Err(e),
         };
-        let over = started.elapsed() >= time;
+        let has_timed_out = started.elapsed() >= timeout;
         match progress {
             Some(progress) if progress.everywhere => return print_progress(args, &progress),
-            Some(progress) if over => {
+            Some(progress) if has_timed_out => {
                 print_progress(args, &progress)?;
-                return Err(CtlError::NotEverywhere {
+                return Err(CtlError::WaitTimedOut {
                     id: id.clone(),
-                    secs: time.as_secs(),
-                    lacking: lacking(&progress.vms),
+                    secs: timeout.as_secs(),
+                    pending_vms: pending_vms(&progress.vms),
                 });
             }
-            None if over => {
-                return Err(CtlError::NotEverywhere {
+            None if has_timed_out => {
+                return Err(CtlError::WaitTimedOut {
                     id: id.clone(),
-                    secs: time.as_secs(),
-                    lacking: "the VM that answers".to_owned(),
+                    secs: timeout.as_secs(),
+                    pending_vms: "the VM of the controller that was asked".to_owned(),
                 });
             }
-            _ => actix_web::rt::time::sleep(BETWEEN_LOOKS).await,
+            _ => actix_web::rt::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-fn lacking(vms: &[VmProgress]) -> String {
+fn pending_vms(vms: &[VmProgress]) -> String {
     vms.iter()
         .filter(|vm| !vm.in_force)
         .map(|vm| format!("VM {}", vm.vm))
@@ -141,8 +141,8 @@
     progress: &EditProgress,
 ) -> Result<(), CtlError> {
     match args.output {
-        OutputForm::Json => output::json(progress),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(progress),
+        OutputFormat::Table => {
             let rows = progress.vms.iter().map(|vm| {
                 vec![
                     vm.vm.to_string(),
@@ -156,24 +156,27 @@
                 &["VM", "data centre", "controller", "gateway", "in force"],
                 rows,
             )?;
-            let done = if progress.everywhere {
+            let extent = if progress.everywhere {
                 "everywhere"
             } else {
                 "not everywhere"
             };
-            output::line(&format!("revision {}: in force {done}", progress.revision))
+            output::line(&format!(
+                "revision {}: in force {extent}",
+                progress.revision
+            ))
         }
     }
 }
 
 fn ops_text(
     accepted: &AcceptedEdit,
-    most: usize,
+    max_ops: usize,
 ) -> String {
     let ops = &accepted.edit.ops;
-    let mut lines: Vec<_> = ops.iter().take(most).map(ToString::to_string).collect();
-    if ops.len() > most {
-        lines.push(format!("and {} more", ops.len() - most));
+    let mut lines: Vec<_> = ops.iter().take(max_ops).map(ToString::to_string).collect();
+    if ops.len() > max_ops {
+        lines.push(format!("and {} more", ops.len() - max_ops));
     }
     lines.join("\n")
 }
--- a/crates/ctl/src/queries/fleet.rs
+++ b/crates/ctl/src/queries/fleet.rs
@@ -1,19 +1,19 @@
 use crate::{
     CtlError,
-    cli::{GlobalArgs, OutputForm},
-    client::Api,
+    cli::{GlobalArgs, OutputFormat},
+    client::ApiClient,
     output,
 };
 
-/// Shows every VM.
+/// Shows the state of every VM.
 pub async fn fleet(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
 ) -> Result<(), CtlError> {
     let fleet = api.fleet().await?;
     match args.output {
-        OutputForm::Json => output::json(&fleet),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(&fleet),
+        OutputFormat::Table => {
             let unknown = || "?".to_owned();
             let rows = fleet.vms.iter().map(|vm| {
                 vec![
--- a/crates/ctl/src/queries/mod.rs
+++ b/crates/ctl/src/queries/mod.rs
@@ -1,11 +1,11 @@
-//! Commands that only read.
+//! Read-only commands.
 
 mod edits;
 mod fleet;
 mod nodes;
 
 pub use {
-    edits::{edit, history, wait_everywhere},
+    edits::{edit, history, wait_until_in_force},
     fleet::fleet,
     nodes::{explain, list, show},
 };
--- a/crates/ctl/src/queries/nodes.rs
+++ b/crates/ctl/src/queries/nodes.rs
@@ -1,8 +1,8 @@
 use {
     crate::{
         CtlError,
-        cli::{GlobalArgs, OutputForm, path_arg, required},
-        client::Api,
+        cli::{GlobalArgs, OutputFormat, parse_path_arg, required},
+        client::ApiClient,
         output,
     },
     clap::ArgMatches,
@@ -13,9 +13,9 @@
     serde::Serialize,
 };
 
-/// A node with every value in force.
+/// JSON output of `show`: a node with all values in force.
 #[derive(Serialize)]
-struct Shown {
+struct NodeDetails {
     #[serde(flatten)]
     row: NodeRow,
     values: Vec<Explanation>,
@@ -23,16 +23,16 @@
 
 /// Lists the nodes at and below a path.
 pub async fn list(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     matches: &ArgMatches,
 ) -> Result<(), CtlError> {
-    let path = path_arg(matches)?;
+    let path = parse_path_arg(matches)?;
     let depth = matches.get_one::<u16>("depth").copied();
     let all = all_pages(api, &path, depth).await?;
     match args.output {
-        OutputForm::Json => output::json(&all),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(&all),
+        OutputFormat::Table => {
             let rows = all.nodes.iter().map(|row| {
                 vec![
                     row.path.to_string(),
@@ -45,16 +45,16 @@
     }
 }
 
-/// Shows a node with every value in force and where it comes from.
+/// Shows a node with each value in force and the level it comes from.
 pub async fn show(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     matches: &ArgMatches,
 ) -> Result<(), CtlError> {
-    let path = path_arg(matches)?;
+    let path = parse_path_arg(matches)?;
     let page = api.tree(&path, Some(0), None).await?;
     let Some(row) = page.nodes.into_iter().next() else {
-        return Err(CtlError::Usage(format!("{path}: nothing was found")));
+        return Err(CtlError::Usage(format!("{path}: node not found")));
     };
     let mut values = Vec::new();
     for setting in Setting::ALL {
@@ -63,8 +63,8 @@
         }
     }
     match args.output {
-        OutputForm::Json => output::json(&Shown { row, values }),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(&NodeDetails { row, values }),
+        OutputFormat::Table => {
             output::line(&format!(
                 "{path}  {}  number {}",
                 row.node.kind, row.node.number
@@ -73,7 +73,7 @@
                 vec![
                     value.setting.to_string(),
                     value_text(value),
-                    from_text(value),
+                    source_text(value),
                     value.setting.purpose().to_owned(),
                 ]
             });
@@ -82,24 +82,24 @@
     }
 }
 
-/// Tells which level a value comes from.
+/// Shows which level a value comes from.
 pub async fn explain(
-    api: &Api,
+    api: &ApiClient,
     args: &GlobalArgs,
     matches: &ArgMatches,
 ) -> Result<(), CtlError> {
-    let path = path_arg(matches)?;
+    let path = parse_path_arg(matches)?;
     let name = required::<String>(matches, "setting");
     let setting = Setting::from_name(name)
         .ok_or_else(|| CtlError::Usage(format!("there is no setting {name:?}")))?;
     let value = api.explain(&path, setting).await?;
     match args.output {
-        OutputForm::Json => output::json(&value),
-        OutputForm::Table => {
+        OutputFormat::Json => output::json(&value),
+        OutputFormat::Table => {
             output::line(&format!(
                 "{setting} of {path} is {}, from {}",
                 value_text(&value),
-                from_text(&value)
+                source_text(&value)
             ))?;
             let mut rows: Vec<_> = value
                 .levels
@@ -123,7 +123,7 @@
 }
 
 async fn all_pages(
-    api: &Api,
+    api: &ApiClient,
     path: &Path,
     depth: Option<u16>,
 ) -> Result<TreePage, CtlError> {
@@ -151,7 +151,7 @@
         .map_or("unset".to_owned(), ToString::to_string)
 }
 
-fn from_text(value: &Explanation) -> String {
+fn source_text(value: &Explanation) -> String {
     match (&value.from, &value.value) {
         (Some(path), _) => path.to_string(),
         (None, Some(_)) => "(default)".to_owned(),
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -2,7 +2,7 @@
     crate::{
         CtlError,
         cli::{GlobalArgs, app, required},
-        client::Api,
+        client::ApiClient,
         commands, output, queries, trace,
     },
     clap::ArgMatches,
@@ -10,14 +10,14 @@
     std::{io, path::PathBuf},
 };
 
-/// Carries out one command line.
+/// Runs the parsed command.
 ///
 /// # Errors
 ///
 /// [`CtlError`] with its exit code.
 pub async fn run(matches: &ArgMatches) -> Result<(), CtlError> {
     let Some((name, command)) = matches.subcommand() else {
-        return Err(CtlError::Usage("no command is named".to_owned()));
+        return Err(CtlError::Usage("no subcommand given".to_owned()));
     };
     if let Some(&shell) = command.try_get_one::<Shell>("shell").ok().flatten() {
         clap_complete::generate(shell, &mut app(), "jasminectl", &mut io::stdout());
@@ -27,7 +27,7 @@
         return print_trace(command);
     }
     let args = GlobalArgs::read(command)?;
-    let api = Api::new(&args);
+    let api = ApiClient::new(&args);
     match name {
         "list" => queries::list(&api, &args, command).await,
         "show" => queries::show(&api, &args, command).await,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Tells what happened to a request; needs logs and no controller.
+/// Prints the trace of a request; reads only log files.
 fn print_trace(command: &ArgMatches) -> Result<(), CtlError> {
     let id: &String = required(command, "id");
     let files: Vec<PathBuf> = command
@@ -49,7 +49,7 @@
     let story = trace::trace(id, &files)?;
     if command
         .get_one::<String>("output")
-        .is_some_and(|form| form == "json")
+        .is_some_and(|format| format == "json")
     {
         return output::json(&story);
     }
--- a/crates/ctl/src/trace/log_line.rs
+++ b/crates/ctl/src/trace/log_line.rs
@@ -1,21 +1,21 @@
 use serde::Serialize;
 
-/// One event of a log.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct LogLine {
-    /// The process, as its log's file is called.
+    /// Process name: the log file's name without extension.
     pub process: String,
-    /// When, as the log has it.
+    /// Timestamp as logged.
     pub time: String,
-    /// The event's name.
+    /// Event name.
     pub event: String,
-    /// Its other pairs, in their order.
+    /// The remaining key-value pairs, in log order.
     pub pairs: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; none where it is torn or no log line.
+    /// Parses a line; `None` if it is truncated or not a log line.
     pub fn parse(
         process: &str,
         text: &str,
@@ -29,7 +29,7 @@
         let mut rest = text.trim_end();
         while !rest.is_empty() {
             let (key, after) = rest.split_once('=')?;
-            let (value, after) = value(after)?;
+            let (value, after) = split_value(after)?;
             match key {
                 "time" => line.time = value,
                 "event" => line.event = value,
@@ -40,7 +40,7 @@
         (!line.time.is_empty() && !line.event.is_empty()).then_some(line)
     }
 
-    /// The value of a pair.
+    /// Returns the value of a key.
     pub fn get(
         &self,
         key: &str,
@@ -49,8 +49,8 @@
         pair.map(|(_, value)| value.as_str())
     }
 
-    /// The value of a pair, or a dash.
-    pub fn word(
+    /// Returns the value of a key, or `-`.
+    pub fn get_or_dash(
         &self,
         key: &str,
     ) -> &str {
@@ -58,8 +58,8 @@
     }
 }
 
-/// A value, which is quoted where it holds spaces, and what follows it.
-fn value(text: &str) -> Option<(String, &str)> {
+/// Splits off a value, quoted or up to the next space, and returns it with the rest.
+fn split_value(text: &str) -> Option<(String, &str)> {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
         return Some((text[..end].to_owned(), &text[end..]));
--- a/crates/ctl/src/trace/mod.rs
+++ b/crates/ctl/src/trace/mod.rs
@@ -1,7 +1,7 @@
-//! What happened to a request, from what the daemons logged.
+//! Traces a request through the daemons' logs.
 //!
-//! Files are read line by line, twice, and only what concerns the request is kept, so that they may be of any
-//! size. Lines that are torn or no log lines are counted and passed over.
+//! Files are streamed twice and only matching lines are kept, so memory use does not grow with file size.
+//! Lines that can't be parsed are counted and skipped.
 
 mod log_line;
 mod read;
--- a/crates/ctl/src/trace/read.rs
+++ b/crates/ctl/src/trace/read.rs
@@ -8,8 +8,8 @@
     },
 };
 
-/// Events that say what a daemon believed, whatever the request.
-const BELIEFS: [&str; 13] = [
+/// Events about the state of a whole process rather than a request.
+const PROCESS_STATE_EVENTS: [&str; 13] = [
     "store_read",
     "config_taken",
     "lead_taken",
@@ -25,25 +25,25 @@
     "log_dropped",
 ];
 
-/// Events about one upstream.
-const OF_UPSTREAM: [&str; 4] = [
+/// Events about the state of one upstream.
+const UPSTREAM_EVENTS: [&str; 4] = [
     "upstream_seen",
     "upstream_gone",
     "order_given",
     "report_failed",
 ];
 
-/// Gathers from logs what concerns the request `id`.
+/// Collects the log lines related to the request `id`.
 ///
 /// # Errors
 ///
-/// [`CtlError::File`] where a file can't be read.
+/// [`CtlError::File`] if a file can't be read.
 pub fn trace(
     id: &str,
     files: &[PathBuf],
 ) -> Result<Story, CtlError> {
     let mut story = Story::new(id);
-    each_line(files, &mut story, |story, line| {
+    for_each_line(files, &mut story, |story, line| {
         if line.get("id") == Some(id) {
             story.own.push(line);
         }
@@ -56,20 +56,20 @@
     let processes: Vec<&str> = own.iter().map(|line| line.process.as_str()).collect();
     let upstreams: Vec<&str> = own.iter().filter_map(|line| line.get("upstream")).collect();
     story.torn = 0;
-    each_line(files, &mut story, |story, line| {
-        let is_belief =
-            BELIEFS.contains(&line.event.as_str()) && processes.contains(&line.process.as_str());
-        let is_about = OF_UPSTREAM.contains(&line.event.as_str())
-            && upstreams.contains(&line.word("upstream"));
-        if (is_belief || is_about) && line.time <= end {
-            story.note(line);
+    for_each_line(files, &mut story, |story, line| {
+        let is_process_state = PROCESS_STATE_EVENTS.contains(&line.event.as_str())
+            && processes.contains(&line.process.as_str());
+        let is_upstream_event = UPSTREAM_EVENTS.contains(&line.event.as_str())
+            && upstreams.contains(&line.get_or_dash("upstream"));
+        if (is_process_state || is_upstream_event) && line.time <= end {
+            story.add_context(line);
         }
     })?;
     story.context.sort_by(|a, b| a.time.cmp(&b.time));
     Ok(story)
 }
 
-fn each_line<F>(
+fn for_each_line<F>(
     files: &[PathBuf],
     story: &mut Story,
     mut f: F,
@@ -78,16 +78,16 @@
     F: FnMut(&mut Story, LogLine),
 {
     for path in files {
-        let told = |e: std::io::Error| CtlError::File {
+        let file_error = |e: std::io::Error| CtlError::File {
             file: path.display().to_string(),
             reason: e.to_string(),
         };
         let process = path
             .file_stem()
             .map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-        let mut reader = BufReader::new(File::open(path).map_err(told)?);
+        let mut reader = BufReader::new(File::open(path).map_err(file_error)?);
         let mut bytes = Vec::new();
-        while reader.read_until(b'\n', &mut bytes).map_err(told)? > 0 {
+        while reader.read_until(b'\n', &mut bytes).map_err(file_error)? > 0 {
             let text = String::from_utf8_lossy(&bytes);
             match LogLine::parse(&process, &text) {
                 Some(line) => f(story, line),
--- a/crates/ctl/src/trace/story.rs
+++ b/crates/ctl/src/trace/story.rs
@@ -1,16 +1,18 @@
 use {super::LogLine, serde::Serialize};
 
-/// What concerns one request.
+/// The log lines related to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Story {
     /// The request's id.
     pub id: String,
-    /// The lines that name it, in order of time.
+    /// Lines with the request's id, in time order.
+    #[serde(rename = "own")]
     pub own: Vec<LogLine>,
-    /// What the daemons concerned believed, the latest of each kind, in order of time.
+    /// State of the involved processes and upstreams: the latest line of each kind, in time order.
     pub context: Vec<LogLine>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
+    #[serde(rename = "torn")]
     pub torn: u64,
 }
 
@@ -24,21 +26,21 @@
         }
     }
 
-    /// Keeps the latest line of each kind, process and upstream.
-    pub(super) fn note(
+    /// Adds a line, replacing an older one of the same event, process and upstream.
+    pub(super) fn add_context(
         &mut self,
         line: LogLine,
     ) {
-        let is_same = |known: &LogLine| {
+        let is_same_kind = |known: &LogLine| {
             known.event == line.event
                 && known.process == line.process
                 && known.get("upstream") == line.get("upstream")
         };
-        self.context.retain(|known| !is_same(known));
+        self.context.retain(|known| !is_same_kind(known));
         self.context.push(line);
     }
 
-    /// The line that says how it ended.
+    /// The last line that reports the end of the request.
     pub fn end(&self) -> Option<&LogLine> {
         self.own.iter().rev().find(|line| {
             matches!(
@@ -48,78 +50,78 @@
         })
     }
 
-    /// The cause in a sentence.
+    /// Describes how the request ended, in one sentence.
     pub fn cause(&self) -> String {
         let Some(end) = self.end() else {
-            return "No line says how it ended: the process that had it was killed, or its lines were dropped."
+            return "No line reports its end: the process that handled it was killed, or log lines were dropped."
                 .to_owned();
         };
-        let failed = self
+        let last_failure = self
             .own
             .iter()
             .rev()
             .find(|line| line.event == "attempt_failed");
-        let upstream = failed.map_or("-", |line| line.word("upstream"));
-        let how = failed.map_or("-", |line| line.word("outcome"));
-        match (end.event.as_str(), end.word("kind")) {
-            ("request_ended", _) if end.word("result") == "caller_gone" => format!(
-                "Its caller left after {} ms; {}.",
-                end.word("took_ms"),
-                match end.word("upstream") {
+        let upstream = last_failure.map_or("-", |line| line.get_or_dash("upstream"));
+        let outcome = last_failure.map_or("-", |line| line.get_or_dash("outcome"));
+        match (end.event.as_str(), end.get_or_dash("kind")) {
+            ("request_ended", _) if end.get_or_dash("result") == "caller_gone" => format!(
+                "The caller disconnected after {} ms; {}.",
+                end.get_or_dash("took_ms"),
+                match end.get_or_dash("upstream") {
                     "-" => "it was still waiting for an upstream".to_owned(),
                     upstream => format!(
                         "it had been sent to {upstream} after {} ms",
-                        end.word("sent_ms")
+                        end.get_or_dash("sent_ms")
                     ),
                 }
             ),
             ("request_ended", _) => format!(
-                "It was answered by {} after {} ms, {} ms of them in wait for an upstream.",
-                end.word("upstream"),
-                end.word("took_ms"),
-                end.word("waited_ms")
+                "It was answered by {} after {} ms, including {} ms waiting for an upstream.",
+                end.get_or_dash("upstream"),
+                end.get_or_dash("took_ms"),
+                end.get_or_dash("waited_ms")
             ),
             (_, "rate_limited") => format!(
-                "Account {} was over its rate: {} tokens were not there, and would be after {} ms. Decided by {}.",
-                end.word("account"),
-                end.word("cost"),
-                end.word("retry_after_ms"),
-                end.word("decided_by")
+                "Account {} was over its rate: {} tokens were not available; retry after {} ms. Decided by {}.",
+                end.get_or_dash("account"),
+                end.get_or_dash("cost"),
+                end.get_or_dash("retry_after_ms"),
+                end.get_or_dash("decided_by")
             ),
             (_, "cannot_meet_deadline") => format!(
-                "It could not be sent before its deadline: {} ms in wait, decided by {}.",
-                end.word("waited_ms"),
-                end.word("decided_by")
+                "It could not be sent before its deadline: {} ms waiting, decided by {}.",
+                end.get_or_dash("waited_ms"),
+                end.get_or_dash("decided_by")
             ),
             (_, "no_upstream") => format!(
-                "No upstream took it: the last one tried, {upstream}, ended with {how}. Nothing ran."
+                "No upstream took it: the last one tried, {upstream}, ended with {outcome}. Nothing ran."
             ),
             (_, "answer_cut") => format!(
-                "Upstream {upstream} stopped in the middle ({how}); the caller has {} events.",
-                end.word("events")
+                "Upstream {upstream} stopped in the middle ({outcome}); the caller has {} events.",
+                end.get_or_dash("events")
             ),
-            (_, "upstream_lost" | "deadline_exceeded") if failed.is_some() => {
+            (_, "upstream_lost" | "deadline_exceeded") if last_failure.is_some() => {
                 format!(
-                    "Upstream {upstream} had it and ended with {how}; whether it ran is not known."
+                    "Upstream {upstream} had it and ended with {outcome}; whether it ran is not known."
                 )
             }
             (_, "key_unknown" | "key_missing" | "not_found") => format!(
                 "Configuration {} has no such key or route.",
-                end.word("config")
+                end.get_or_dash("config")
             ),
             (_, "config_unavailable") => "This VM had no configuration yet.".to_owned(),
-            (_, "shutting_down") => "This VM was being stopped.".to_owned(),
+            (_, "shutting_down") => "This VM was shutting down.".to_owned(),
             (_, kind) => format!("It was refused: {kind}."),
         }
     }
 
-    /// The whole story in plain sentences, a line each.
+    /// Formats the whole trace, one line per event.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!("Request {}: {}", self.id, self.cause())];
-        lines.extend(self.own.iter().map(sentence));
+        lines.extend(self.own.iter().map(format_line));
         if !self.context.is_empty() {
-            lines.push("What was known then:".to_owned());
-            lines.extend(self.context.iter().map(sentence));
+            lines.push("State at that time:".to_owned());
+            lines.extend(self.context.iter().map(format_line));
         }
         if self.torn > 0 {
             lines.push(format!("{} lines could not be read.", self.torn));
@@ -128,7 +130,7 @@
     }
 }
 
-fn sentence(line: &LogLine) -> String {
+fn format_line(line: &LogLine) -> String {
     let pairs: Vec<String> = line
         .pairs
         .iter()
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The operators' command line as its users run it.
+//! Runs `jasminectl` against fake controllers.
 
 mod ctl_runner;
 #[path = "../../controller/tests/fake_controller/mod.rs"]
@@ -13,13 +13,13 @@
     tokio::net::TcpSocket,
 };
 
-/// A fleet of one fake controller.
-fn with(fake: FakeController) -> Ctl {
+/// Starts a fake controller and returns a runner for it.
+fn start_controller(fake: FakeController) -> Ctl {
     Ctl::at(&[serve(fake)], TOKEN)
 }
 
-async fn small_fleet() -> Ctl {
-    let ctl = with(FakeController::default());
+async fn sample_tree() -> Ctl {
+    let ctl = start_controller(FakeController::default());
     ctl.ok("create /models/base model").await;
     ctl.ok("create /accounts/clinics group rate=500").await;
     ctl.ok("create /accounts/clinics/san-juan account burst=900")
@@ -29,10 +29,10 @@
     ctl
 }
 
-/// A port that is taken and where nobody listens, for as long as the socket lives.
+/// Binds a port without listening on it.
 ///
-/// Were it given free, a controller of another test could get it.
-fn nobody_listens() -> (TcpSocket, SocketAddr) {
+/// The bound socket keeps controllers of other tests from getting the port.
+fn bind_without_listening() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap();
@@ -41,20 +41,20 @@
 
 #[actix::test]
 async fn a_value_is_explained_down_to_its_level() {
-    let ctl = small_fleet().await;
-    let told = ctl.ok("explain /accounts/clinics/san-juan rate").await;
+    let ctl = sample_tree().await;
+    let ran = ctl.ok("explain /accounts/clinics/san-juan rate").await;
     assert!(
-        told.out
+        ran.out
             .contains("rate of /accounts/clinics/san-juan is 500, from /accounts/clinics"),
-        "{told:?}"
+        "{ran:?}"
     );
     ctl.ok("set /accounts/clinics/san-juan rate=70").await;
     ctl.ok("unset /accounts/clinics/san-juan rate").await;
-    let told = ctl
+    let ran = ctl
         .ok("show /accounts/clinics/san-juan -o json")
         .await
         .json();
-    let rate = &told["values"].as_array().unwrap()[0];
+    let rate = &ran["values"].as_array().unwrap()[0];
     assert_eq!(
         (&rate["value"], &rate["from"]),
         (&json!(500), &json!("/accounts/clinics"))
@@ -65,7 +65,7 @@
 
 #[actix::test]
 async fn a_key_is_shown_once_and_withdrawn() {
-    let ctl = small_fleet().await;
+    let ctl = sample_tree().await;
     let issued = ctl.ok("key issue /accounts/clinics/san-juan phones").await;
     let key = issued.out.lines().next().unwrap();
     assert!(key.starts_with(KEY_PREFIX) && key.len() > 40, "{key}");
@@ -84,20 +84,20 @@
 
 #[actix::test]
 async fn a_version_is_rolled_out_and_back() {
-    let ctl = small_fleet().await;
+    let ctl = sample_tree().await;
     ctl.ok("adapter add-version /adapters/enrolment v1 --live")
         .await;
     ctl.ok("adapter add-version /adapters/enrolment v2").await;
     ctl.ok("adapter live /adapters/enrolment 2").await;
     ctl.ok("adapter rollback /adapters/enrolment").await;
-    let told = ctl
+    let ran = ctl
         .ok("explain /adapters/enrolment live -o json")
         .await
         .json();
-    assert_eq!(told["value"], 1);
+    assert_eq!(ran["value"], 1);
     ctl.ok("delete /adapters/enrolment/2").await;
-    let told = ctl.run("adapter rollback /adapters/enrolment").await;
-    assert_eq!(told.code, 3, "{told:?}");
+    let ran = ctl.run("adapter rollback /adapters/enrolment").await;
+    assert_eq!(ran.code, 3, "{ran:?}");
     ctl.ok("adapter add-version /adapters/enrolment v3").await;
     let listed = ctl.ok("list /adapters").await;
     assert!(listed.out.contains("/adapters/enrolment/3"), "{listed:?}");
@@ -105,8 +105,8 @@
 
 #[actix::test]
 async fn a_racing_edit_is_refused_and_told_what_changed() {
-    // Ana and Ben have both read the same revision; Ben would undo Ana's change without having seen it.
-    let ctl = small_fleet().await;
+    // Two edits are based on the same revision; the second would overwrite the first unseen.
+    let ctl = sample_tree().await;
     ctl.ok("set /accounts/clinics rate=600 --base 4").await;
     let late = ctl.run("set /accounts/clinics rate=700 --base 4").await;
     assert_eq!(late.code, 4, "{late:?}");
@@ -137,9 +137,8 @@
 
 #[actix::test]
 async fn an_edit_whose_answer_is_lost_is_done_once() {
-    // The controller accepts the edit, and its answer never comes; an operator told "failed" would
-    // issue a second key and forget the first.
-    let ctl = with(FakeController::default().losing_answers(2));
+    // The controller accepts the edit and its response is lost; the retry must not apply it again.
+    let ctl = start_controller(FakeController::default().losing_answers(2));
     let ran = ctl.ok("create /accounts/farm account -o json").await;
     assert_eq!(ran.json()["revision"], 1);
     let ran = ctl.ok("history -o json").await;
@@ -148,8 +147,8 @@
 
 #[actix::test]
 async fn an_edit_whose_fate_stays_unknown_says_so() {
-    // Every answer is lost: neither "done" nor "failed" would be true.
-    let ctl = with(FakeController::default().answering_nothing());
+    // Every response is lost, so neither success nor failure may be reported.
+    let ctl = start_controller(FakeController::default().answering_nothing());
     let ran = ctl
         .run("create /accounts/farm account --base 0 --edit-id e-7")
         .await;
@@ -159,9 +158,9 @@
 
 #[actix::test]
 async fn an_edit_that_nobody_remembers_is_not_called_refused() {
-    // The answer is lost and the controller that is asked next has started since: it can't look back
-    // to the edit's base. It refuses the base, but the edit may be in force, as it is here.
-    let ctl = with(
+    // The response is lost, and the retry is refused because the controller's log begins after the
+    // edit's base. The edit may still be in force, as it is here.
+    let ctl = start_controller(
         FakeController::default()
             .losing_answers(1)
             .forgetting_the_log(),
@@ -173,9 +172,8 @@
 
 #[actix::test]
 async fn an_id_used_for_another_edit_is_refused() {
-    // An operator types "key issue" again with the id of the first try. The controller knows the id and
-    // would answer with the first edit's record; the key shown would be one that no VM takes.
-    let ctl = small_fleet().await;
+    // Returning the first edit's record for a repeated `key issue` would print a key that no VM accepts.
+    let ctl = sample_tree().await;
     let first = "key issue /accounts/clinics/san-juan phones --edit-id e9";
     ctl.ok(first).await;
     let again = ctl.run(first).await;
@@ -191,8 +189,8 @@
 
 #[actix::test]
 async fn the_next_controller_is_tried() {
-    // The first VM of the list has just been replaced and nobody listens there.
-    let (_taken, nobody) = nobody_listens();
+    // Nothing listens at the first address of the list.
+    let (_taken, nobody) = bind_without_listening();
     let ctl = Ctl::at(&[nobody, serve(FakeController::default())], TOKEN);
     ctl.ok("create /accounts/farm account").await;
     let none = Ctl::at(&[nobody], TOKEN);
@@ -204,22 +202,22 @@
 
 #[actix::test]
 async fn the_token_is_asked_for_and_never_shown() {
-    let mut ctl = with(FakeController::default());
-    let told = ctl.run("fleet --token-file /nowhere").await;
-    assert_eq!(told.code, 2, "{told:?}");
+    let mut ctl = start_controller(FakeController::default());
+    let ran = ctl.run("fleet --token-file /nowhere").await;
+    assert_eq!(ran.code, 2, "{ran:?}");
     ctl.token = None;
     assert_eq!(ctl.run("fleet").await.code, 2);
     ctl.token = Some("guessed-token".to_owned());
-    let told = ctl.run("fleet").await;
-    assert_eq!(told.code, 7, "{told:?}");
-    assert!(!format!("{told:?}").contains("guessed-token"));
+    let ran = ctl.run("fleet").await;
+    assert_eq!(ran.code, 7, "{ran:?}");
+    assert!(!format!("{ran:?}").contains("guessed-token"));
     let help = ctl.ok("--help").await;
     assert!(help.out.contains("Exit codes") && !help.out.contains(TOKEN));
 }
 
 #[actix::test]
 async fn a_bulk_file_is_applied_whole_or_not_at_all() {
-    let ctl = small_fleet().await;
+    let ctl = sample_tree().await;
     let file = std::env::temp_dir().join(format!("jasminectl-bulk-{}.json", std::process::id()));
     let name = file.to_str().unwrap();
     let good = json!({"op": "create", "path": "/accounts/a", "kind": "account"});
@@ -246,12 +244,12 @@
 
 #[actix::test]
 async fn waiting_ends_when_the_edit_is_in_force_everywhere() {
-    let ctl = with(FakeController::default());
+    let ctl = start_controller(FakeController::default());
     let ran = ctl
         .ok("create /accounts/farm account --edit-id e1 --wait 10")
         .await;
     assert!(ran.out.contains("in force everywhere"), "{ran:?}");
-    let ctl = with(FakeController::default().with_silent_gateway());
+    let ctl = start_controller(FakeController::default().with_silent_gateway());
     let ran = ctl
         .run("create /accounts/farm account --edit-id e1 --wait 1")
         .await;
@@ -261,7 +259,7 @@
 
 #[actix::test]
 async fn the_fleet_is_shown() {
-    let ctl = with(FakeController::default());
+    let ctl = start_controller(FakeController::default());
     let shown = ctl.ok("fleet").await;
     assert!(
         shown.out.contains("gt-2") && shown.out.contains("store reached"),
@@ -272,7 +270,7 @@
 
 #[actix::test]
 async fn a_mistyped_command_line_is_told_what_is_allowed() {
-    let ctl = small_fleet().await;
+    let ctl = sample_tree().await;
     let rows = [
         (
             "set /accounts/clinics rate=many",
@@ -286,9 +284,12 @@
         ("show accounts", "names of 1 to 64"),
         ("explain /accounts colour", "rate"),
     ];
-    for (line, told) in rows {
+    for (line, expected) in rows {
         let ran = ctl.run(line).await;
-        assert!(ran.code == 2 && ran.err.contains(told), "{line}: {ran:?}");
+        assert!(
+            ran.code == 2 && ran.err.contains(expected),
+            "{line}: {ran:?}"
+        );
     }
 }
 
--- a/crates/ctl/tests/ctl_runner/mod.rs
+++ b/crates/ctl/tests/ctl_runner/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real binary against some controllers.
+//! Runs the `jasminectl` binary against given controllers.
 
 use {
     serde_json::Value,
@@ -8,10 +8,10 @@
     },
 };
 
-/// What a command gave.
+/// Result of a command.
 #[derive(Debug)]
-pub struct Ran {
-    /// Its exit code.
+pub struct CommandOutput {
+    /// Exit code.
     pub code: i32,
     /// Standard output.
     pub out: String,
@@ -19,24 +19,24 @@
     pub err: String,
 }
 
-impl Ran {
+impl CommandOutput {
     /// Standard output as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.out).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 }
 
-/// The binary with the addresses and token of one fleet.
+/// Environment for running `jasminectl` against one fleet.
 #[derive(Clone, Debug)]
 pub struct Ctl {
-    /// Addresses as the environment gives them.
+    /// Value of `JASMINE_CONTROLLERS`.
     pub controllers: String,
-    /// The token, if any.
+    /// Value of `JASMINE_TOKEN`, if set.
     pub token: Option<String>,
 }
 
 impl Ctl {
-    /// A fleet of controllers at these addresses.
+    /// Creates a runner for the controllers at these addresses.
     pub fn at(
         addresses: &[SocketAddr],
         token: &str,
@@ -52,7 +52,7 @@
     pub async fn run(
         &self,
         line: &str,
-    ) -> Ran {
+    ) -> CommandOutput {
         let mut command = Command::new(env!("CARGO_BIN_EXE_jasminectl"));
         command
             .args(line.split_whitespace())
@@ -70,18 +70,18 @@
             .await
             .expect("the thread ends")
             .expect("the binary starts");
-        Ran {
+        CommandOutput {
             code: status.code().expect("the binary ends by itself"),
             out: String::from_utf8(stdout).expect("text"),
             err: String::from_utf8(stderr).expect("text"),
         }
     }
 
-    /// Runs a command line that must succeed.
+    /// Runs a command line and asserts that it succeeds.
     pub async fn ok(
         &self,
         line: &str,
-    ) -> Ran {
+    ) -> CommandOutput {
         let ran = self.run(line).await;
         assert_eq!(ran.code, 0, "{line}: {ran:?}");
         ran
--- a/crates/ctl/tests/operating_page.rs
+++ b/crates/ctl/tests/operating_page.rs
@@ -1,4 +1,4 @@
-//! The commands of docs/OPERATING.md are commands, and those of the first day work in their order.
+//! Checks that the commands in docs/OPERATING.md parse, and that those of its first-day section succeed in order.
 
 mod ctl_runner;
 #[path = "../../controller/tests/fake_controller/mod.rs"]
@@ -13,7 +13,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATING.md");
 
-/// The command lines of a part of the page.
+/// Extracts the command lines from a part of the page.
 fn commands(part: &str) -> Vec<&str> {
     part.lines()
         .filter_map(|line| line.strip_prefix("    "))
@@ -42,7 +42,7 @@
         .unwrap();
     let ctl = Ctl::at(&[serve(FakeController::default())], TOKEN);
     for line in commands(part) {
-        // The file that is applied is the reader's own.
+        // The applied file is not part of the page.
         if !line.starts_with("apply ") {
             let ran = ctl.ok(line).await;
             assert_eq!(ran.err, "", "{line}");
--- a/crates/ctl/tests/real_fleet.rs
+++ b/crates/ctl/tests/real_fleet.rs
@@ -1,4 +1,4 @@
-//! The operators' command line against a fleet of real processes.
+//! Runs `jasminectl` against a fleet of real processes.
 
 mod ctl_runner;
 
@@ -12,7 +12,7 @@
     std::collections::BTreeSet,
 };
 
-/// How long an edit may take until it is in force everywhere, as the client is told to wait.
+/// Option that waits until an edit is in force on every VM.
 const WAIT: &str = "--wait 8";
 
 async fn fleet() -> (Cluster, Ctl) {
@@ -36,7 +36,7 @@
 
 #[actix_web::test]
 async fn a_key_works_everywhere_once_issued_and_nowhere_once_withdrawn() {
-    // A phone is lost; its key must stop working at every VM, not only at the one that was asked.
+    // A withdrawn key must stop working on every VM, not only on the one that took the edit.
     let (cluster, ctl) = fleet().await;
     let issued = ctl
         .ok(&format!("key issue /accounts/courier second {WAIT}"))
@@ -86,7 +86,7 @@
 
 #[actix_web::test]
 async fn operators_go_on_when_a_controller_is_gone() {
-    // The VM that the operator's list names first has died.
+    // The first controller of the operator's list is down.
     let (mut cluster, ctl) = fleet().await;
     cluster.vms[0].controller.take();
     ctl.ok("set /accounts/courier weight=7").await;
@@ -108,7 +108,7 @@
     let ran = ctl.run("set /accounts/courier weight=7").await;
     assert_eq!(ran.code, 5, "{ran:?}");
     assert!(ran.err.contains("nothing was written"), "{ran:?}");
-    // Reading goes on, from what the controllers have in force.
+    // Reads are still served from the configuration in force.
     ctl.ok("show /accounts/courier").await;
     ctl.ok("fleet").await;
     cluster.platform_fault(json!({})).await.unwrap();
@@ -119,7 +119,7 @@
 
 #[actix_web::test]
 async fn a_reply_of_the_platform_lost_after_the_write_does_not_double_the_edit() {
-    // The write takes effect in the store and its reply is lost on the way.
+    // The store applies the write and its reply is lost; the retry must not write it again.
     let (cluster, ctl) = fleet().await;
     let before = cluster.revision(1).await.unwrap();
     cluster
@@ -134,11 +134,11 @@
     assert_eq!(history["edits"][0]["revision"], before + 1);
 }
 
-/// Runs one command line for each controller at the same moment.
-async fn at_once(
+/// Runs one command line per controller concurrently.
+async fn run_on_all_controllers(
     cluster: &Cluster,
     line: impl Fn(u32) -> String,
-) -> Vec<ctl_runner::Ran> {
+) -> Vec<ctl_runner::CommandOutput> {
     let runs = cluster.vms.iter().zip(1..).map(|(vm, number)| {
         let ctl = Ctl::at(&[vm.operators()], OPERATOR_TOKEN);
         let line = line(number);
@@ -149,14 +149,13 @@
 
 #[actix_web::test]
 async fn of_racing_operators_one_wins_and_the_others_are_told() {
-    // Operators at different controllers set one value, all having read the same revision. Were the
-    // last one to win, the others would believe in a value that is nowhere.
+    // Concurrent edits of one value from the same base: a silent last write would override accepted edits.
     let (cluster, ctl) = fleet().await;
     for round in 1..=5 {
         let base = cluster.revision(1).await.unwrap();
         ctl.ok(&format!("set /accounts/clinic weight={round} {WAIT}"))
             .await;
-        let ran = at_once(&cluster, |vm| {
+        let ran = run_on_all_controllers(&cluster, |vm| {
             format!(
                 "set /accounts/courier rate={} --base {}",
                 round * 10 + vm,
@@ -200,7 +199,7 @@
     let (cluster, ctl) = fleet().await;
     let base = cluster.revision(1).await.unwrap();
     for round in 0..5 {
-        let ran = at_once(&cluster, |vm| {
+        let ran = run_on_all_controllers(&cluster, |vm| {
             format!("create /accounts/firm-{round}-{vm} account --base {base}")
         })
         .await;
--- a/crates/ctl/tests/trace_request.rs
+++ b/crates/ctl/tests/trace_request.rs
@@ -1,4 +1,4 @@
-//! The story of a request from the daemons' logs.
+//! Tests of tracing a request through the daemons' logs.
 
 use {
     jasmine_ctl::trace::{LogLine, trace},
@@ -47,7 +47,7 @@
 
 #[test]
 fn lines_of_several_processes_are_put_in_order() {
-    // A request is sent by one VM and the order that it waited for was given by another one. Each wrote its own log.
+    // One VM sends the request; the adapter load it waited for was ordered by another VM, with its own log.
     let first = "\
 time=2026-01-01T00:00:01.500Z level=info event=request_sent id=r1 upstream=e-1 waited_ms=400 decided_by=vm-2/9
 time=2026-01-01T00:00:02.000Z level=info event=attempt_failed id=r1 upstream=e-1 outcome=Lost again=false
