--- a/crates/testkit/src/bin/jasmine-bench.rs
+++ b/crates/testkit/src/bin/jasmine-bench.rs
@@ -2,7 +2,9 @@
 
 use {
     clap::{Arg, Command, value_parser},
-    jasmine_testkit::decisions::{Figures, Load, Policy, Scenario, all_slots, compare, run, table},
+    jasmine_testkit::decisions::{
+        Policy, RunMetrics, Scenario, Workload, compare, run, table, total_slots,
+    },
     std::{error::Error, fs, path::PathBuf},
 };
 
@@ -49,7 +51,7 @@
         if only.is_some_and(|only| *only != scenario.to_string()) {
             continue;
         }
-        let best = Load::draw(scenario, seed).best_fixed_share(all_slots());
+        let best = Workload::generate(scenario, seed).best_static_hit_rate(total_slots());
         println!(
             "{scenario}: a fixed choice that knows all requests finds {:.1} % loaded",
             best * 100.0
@@ -61,7 +63,7 @@
     }
     print!("{}", table(&all));
     if let Some(path) = args.get_one::<PathBuf>("before") {
-        let before: Vec<Figures> = serde_json::from_slice(&fs::read(path)?)?;
+        let before: Vec<RunMetrics> = serde_json::from_slice(&fs::read(path)?)?;
         print!("{}", compare(&before, &all));
     }
     if let Some(path) = args.get_one::<PathBuf>("out") {
--- a/crates/testkit/src/decisions/baseline.rs
+++ b/crates/testkit/src/decisions/baseline.rs
@@ -12,25 +12,25 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// What a user would pick instead: knows all engines at once and asks nobody.
+/// A centralized scheduler with an exact view of all engines, for comparison.
 #[derive(Clone, Debug)]
 pub struct Baseline {
     policy: Policy,
     waiting: VecDeque<usize>,
-    used: BTreeMap<Instance, Millis>,
+    last_used: BTreeMap<Instance, Millis>,
 }
 
 impl Baseline {
-    /// Nothing is loaded and nobody waits.
+    /// Creates a scheduler with an empty queue.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
             waiting: VecDeque::new(),
-            used: BTreeMap::new(),
+            last_used: BTreeMap::new(),
         }
     }
 
-    /// Decides for one step of time.
+    /// Admits the new requests and schedules the queued ones for one time step.
     pub fn step(
         &mut self,
         world: &mut World,
@@ -38,16 +38,16 @@
     ) {
         for &id in ids {
             let arrival = world.arrivals[id];
-            if world.outcomes[id].within {
+            if world.outcomes[id].is_within_limit {
                 world.admit(id);
                 self.waiting.push_back(id);
             } else {
-                let bucket = &world.whole[arrival.account.0 as usize];
+                let bucket = &world.reference_buckets[arrival.account.0 as usize];
                 let delay = bucket.time_until(arrival.tokens);
                 world.refuse(id, Refusal::after(ErrorKind::RateLimited, delay));
             }
         }
-        // First come, first served; who waits for a load doesn't hold up the others.
+        // FIFO, but a request that waits for a load doesn't block those behind it.
         for id in std::mem::take(&mut self.waiting) {
             if !self.place(world, id) {
                 self.waiting.push_back(id);
@@ -61,25 +61,25 @@
         id: usize,
     ) -> bool {
         let adapter = world.arrivals[id].adapter;
-        let home = match self.policy {
-            Policy::ConsistentHash => Some(hashed(adapter)),
+        let hash_target = match self.policy {
+            Policy::ConsistentHash => Some(hashed_engine(adapter)),
             _ => None,
         };
-        let has = |engine: &usize| {
+        let is_resident = |engine: &usize| {
             world.engines[*engine]
                 .loaded
                 .contains(&instance(*engine, adapter))
         };
         let least = |engines: &mut dyn Iterator<Item = usize>| {
-            engines.min_by_key(|&engine| world.engines[engine].load())
+            engines.min_by_key(|&engine| world.engines[engine].request_count())
         };
-        let resident = least(&mut (0..ENGINES).filter(has));
+        let resident = least(&mut (0..ENGINES).filter(is_resident));
         if let Some(engine) = resident {
-            if world.engines[engine].load() >= MAX_BATCH as usize * 5 / 4 {
+            if world.engines[engine].request_count() >= MAX_BATCH as usize * 5 / 4 {
                 return false;
             }
             let instance = instance(engine, adapter);
-            self.used.insert(instance, world.now);
+            self.last_used.insert(instance, world.now);
             world.send(id, engine, instance);
             return true;
         }
@@ -89,7 +89,7 @@
                 .contains_key(&instance(engine, adapter))
         });
         if !loading {
-            let target = home.or_else(|| least(&mut (0..ENGINES)));
+            let target = hash_target.or_else(|| least(&mut (0..ENGINES)));
             self.load(world, instance(target.unwrap_or(0), adapter));
         }
         false
@@ -103,12 +103,13 @@
         let engine = wanted.upstream.0 as usize;
         let state = &world.engines[engine];
         if state.loaded.len() + state.loading.len() >= SLOTS as usize {
-            let used = |instance: &&Instance| self.used.get(instance).copied().unwrap_or_default();
+            let last_used =
+                |instance: &&Instance| self.last_used.get(instance).copied().unwrap_or_default();
             let idle = state
                 .loaded
                 .iter()
-                .filter(|&&instance| !state.uses(instance));
-            let Some(&victim) = idle.min_by_key(used) else {
+                .filter(|&&instance| !state.has_request_on(instance));
+            let Some(&victim) = idle.min_by_key(last_used) else {
                 return;
             };
             if world.store.grant(1) == 0 {
@@ -118,12 +119,12 @@
         } else if world.store.grant(1) == 0 {
             return;
         }
-        self.used.insert(wanted, world.now);
+        self.last_used.insert(wanted, world.now);
         world.engines[engine].loading.insert(wanted, Store::LOAD_MS);
     }
 }
 
-fn hashed(adapter: AdapterVersion) -> usize {
+fn hashed_engine(adapter: AdapterVersion) -> usize {
     let score = |engine: &usize| rendezvous_score(u64::from(adapter.adapter.0), *engine as u64, 1);
     (0..ENGINES)
         .max_by(|a, b| score(a).total_cmp(&score(b)))
--- a/crates/testkit/src/decisions/caller.rs
+++ b/crates/testkit/src/decisions/caller.rs
@@ -1,34 +1,35 @@
 use {
-    super::{load::RATES, sim::World},
+    super::{sim::World, workload::ACCOUNT_RATES},
     jasmine_core::{clock::Millis, error::Refusal, ids::AccountId, rights::Limit},
 };
 
-/// Tokens of a mean answer, and the room that operators left above the usual rate.
+/// Mean answer length in tokens.
 const MEAN_TOKENS: f64 = 60.0;
+/// Factor of the limit above the usual rate.
 const HEADROOM: f64 = 1.5;
 
-/// The limits of an account.
-pub fn limit(account: AccountId) -> Limit {
-    let rate = (RATES[account.0 as usize] * MEAN_TOKENS * HEADROOM) as u64;
+/// Returns the rate limit of an account, in tokens per second.
+pub fn account_limit(account: AccountId) -> Limit {
+    let rate = (ACCOUNT_RATES[account.0 as usize] * MEAN_TOKENS * HEADROOM) as u64;
     Limit {
         rate,
         burst: (rate * 10).max(1000),
     }
 }
 
-/// A bucket of tokens for a whole account: the measure of what may be refused.
+/// A global token bucket of one account, the reference for refusals.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
     at: Millis,
 }
 
-impl Bucket {
-    /// A full bucket of an account's limits.
+impl TokenBucket {
+    /// Creates a full bucket with the account's limits.
     pub fn new(account: AccountId) -> Self {
-        let limit = limit(account);
+        let limit = account_limit(account);
         let burst = limit.burst as f64;
         Self {
             rate: limit.rate as f64,
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Whether it has so many tokens now.
-    pub fn has(
+    /// Refills the bucket and returns whether it holds at least `tokens`.
+    pub fn has_tokens(
         &mut self,
         tokens: u32,
         now: Millis,
@@ -50,7 +51,7 @@
         self.tokens >= f64::from(tokens)
     }
 
-    /// Takes tokens out.
+    /// Removes tokens from the bucket.
     pub fn take(
         &mut self,
         tokens: u32,
@@ -58,7 +59,7 @@
         self.tokens -= f64::from(tokens);
     }
 
-    /// When it will have so many tokens.
+    /// Time until the bucket holds `tokens`.
     pub fn time_until(
         &self,
         tokens: u32,
@@ -68,31 +69,31 @@
 }
 
 impl World {
-    /// The request may run.
+    /// Marks a request as admitted.
     pub fn admit(
         &mut self,
         id: usize,
     ) {
-        self.pending.insert(id);
+        self.awaiting_first_token.insert(id);
     }
 
-    /// The request is refused; its caller comes back once if told when.
+    /// Marks a request as refused and schedules one retry if the refusal has a retry time.
     pub fn refuse(
         &mut self,
         id: usize,
         refusal: Refusal,
     ) {
         let arrival = self.arrivals[id];
-        self.pending.remove(&id);
-        self.outcomes[id].refused = true;
-        if let (Some(secs), false) = (refusal.retry_after_secs(), arrival.returned) {
+        self.awaiting_first_token.remove(&id);
+        self.outcomes[id].is_refused = true;
+        if let (Some(secs), false) = (refusal.retry_after_secs(), arrival.is_retry) {
             let at = self.now + Millis::from_secs(secs);
-            let again = super::load::Arrival {
+            let again = super::workload::Arrival {
                 at,
-                returned: true,
+                is_retry: true,
                 ..arrival
             };
-            self.back.entry(at).or_default().push(again);
+            self.retries.entry(at).or_default().push(again);
         }
     }
 }
--- a/crates/testkit/src/decisions/engine.rs
+++ b/crates/testkit/src/decisions/engine.rs
@@ -3,54 +3,54 @@
     std::collections::{BTreeMap, BTreeSet, VecDeque},
 };
 
-/// Adapters an engine holds.
+/// Adapter slots of an engine.
 pub const SLOTS: u32 = 8;
-/// Requests it batches.
+/// Maximum number of requests in a batch.
 pub const MAX_BATCH: u32 = 16;
-/// A step takes this long, in microseconds, and more for each request and each distinct adapter.
-const STEP_US: u64 = 20_000;
-const REQUEST_US: u64 = 400;
-const ADAPTER_US: u64 = 1_500;
+/// Duration of a decode step: a base, plus a part per request and per distinct adapter.
+const BASE_STEP_US: u64 = 20_000;
+const STEP_PER_REQUEST_US: u64 = 400;
+const STEP_PER_ADAPTER_US: u64 = 1_500;
 
-/// A request on an engine.
+/// A request queued or running on an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Running {
-    /// Its number.
+    /// Index of the request.
     pub id: usize,
-    /// The instance it runs on.
+    /// Adapter instance that serves it.
     pub instance: Instance,
-    /// Tokens still to be made.
-    pub left: u32,
+    /// Tokens still to be generated.
+    pub remaining_tokens: u32,
 }
 
-/// A model engine: continuous batching that slows with the batch and its distinct adapters.
+/// A simulated engine with continuous batching and a step time that depends on the batch.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
-    /// What is loaded.
+    /// Loaded adapter instances.
     pub loaded: BTreeSet<Instance>,
-    /// Loads under way: how much time each still needs at full speed, in milliseconds.
+    /// Loads in progress with their remaining time at full speed, in milliseconds.
     pub loading: BTreeMap<Instance, f64>,
-    /// The batch.
+    /// Requests in the current batch.
     pub running: Vec<Running>,
-    /// Requests before the batch.
+    /// Requests queued for the batch.
     pub waiting: VecDeque<Running>,
-    /// Changes with each restart.
+    /// Boot counter, incremented by each restart.
     pub boot: u64,
-    /// Steps made.
+    /// Number of steps run.
     pub steps: u64,
-    /// Tokens made.
+    /// Number of tokens generated.
     pub tokens: u64,
     next_step_us: u64,
 }
 
 impl Engine {
-    /// Requests on it.
-    pub fn load(&self) -> usize {
+    /// Number of running and queued requests.
+    pub fn request_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Whether any work needs this instance.
-    pub fn uses(
+    /// Whether a running or queued request has_request_on this instance.
+    pub fn has_request_on(
         &self,
         instance: Instance,
     ) -> bool {
@@ -58,7 +58,7 @@
         work.any(|running| running.instance == instance)
     }
 
-    /// Runs until `now`; gives the requests that have made their first and their last token.
+    /// Runs all steps up to `now`; returns the requests that entered the batch and those that finished.
     pub fn advance(
         &mut self,
         now: Millis,
@@ -77,19 +77,26 @@
             }
             let distinct: BTreeSet<Instance> = self.running.iter().map(|r| r.instance).collect();
             let batch = self.running.len() as u64;
-            self.next_step_us += STEP_US + REQUEST_US * batch + ADAPTER_US * distinct.len() as u64;
+            self.next_step_us += BASE_STEP_US
+                + STEP_PER_REQUEST_US * batch
+                + STEP_PER_ADAPTER_US * distinct.len() as u64;
             self.steps += 1;
             self.tokens += batch;
             for running in &mut self.running {
-                running.left -= 1;
+                running.remaining_tokens -= 1;
             }
-            ended.extend(self.running.iter().filter(|r| r.left == 0).copied());
-            self.running.retain(|running| running.left > 0);
+            ended.extend(
+                self.running
+                    .iter()
+                    .filter(|r| r.remaining_tokens == 0)
+                    .copied(),
+            );
+            self.running.retain(|running| running.remaining_tokens > 0);
         }
         (first, ended)
     }
 
-    /// Everything is lost; gives the requests that it had.
+    /// Drops all adapters and requests; returns the lost requests.
     pub fn restart(&mut self) -> Vec<Running> {
         self.boot += 1;
         self.loaded.clear();
@@ -101,56 +108,57 @@
     }
 }
 
-/// The weight store: so many loads a second, and full speed up to eight at a time.
+/// A simulated weight store with a rate limit on loads and a shared bandwidth.
 #[derive(Clone, Debug)]
 pub struct Store {
     tokens: f64,
-    /// Loads begun.
-    pub begun: u64,
+    /// Number of loads granted.
+    pub granted_loads: u64,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Self {
-            tokens: Self::BURST,
-            begun: 0,
+            tokens: Self::LOAD_BURST,
+            granted_loads: 0,
         }
     }
 }
 
 impl Store {
-    const BURST: f64 = 4.0;
-    const FULL_SPEED: f64 = 8.0;
-    /// What a load takes at full speed, in milliseconds.
+    const LOAD_BURST: f64 = 4.0;
+    /// Concurrent loads that the bandwidth serves at full speed.
+    const FULL_SPEED_LOADS: f64 = 8.0;
+    /// Duration of a load at full speed, in milliseconds.
     pub const LOAD_MS: f64 = 250.0;
 
-    /// Earns and tells how many of `wanted` loads may begin.
+    /// Takes tokens for up to `wanted` loads; returns how many may start.
     pub fn grant(
         &mut self,
         wanted: u32,
     ) -> u32 {
         let granted = wanted.min(self.tokens as u32);
         self.tokens -= f64::from(granted);
-        self.begun += u64::from(granted);
+        self.granted_loads += u64::from(granted);
         granted
     }
 
-    /// Earns what a step of time brings.
-    pub fn earn(
+    /// Refills the token bucket at `rate` loads per second.
+    pub fn refill(
         &mut self,
         rate: f64,
         step: Millis,
     ) {
-        self.tokens = (self.tokens + rate * step.as_secs_f64()).min(Self::BURST);
+        self.tokens = (self.tokens + rate * step.as_secs_f64()).min(Self::LOAD_BURST);
     }
 
-    /// Brings all loads forward; gives those that have ended.
+    /// Advances all loads by `step`; returns the completed ones.
     pub fn advance(
         engines: &mut [Engine],
         step: Millis,
     ) -> Vec<Instance> {
         let in_flight: usize = engines.iter().map(|engine| engine.loading.len()).sum();
-        let speed = (Self::FULL_SPEED / in_flight.max(1) as f64).min(1.0);
+        let speed = (Self::FULL_SPEED_LOADS / in_flight.max(1) as f64).min(1.0);
         let mut ended = Vec::new();
         for engine in engines {
             for left in engine.loading.values_mut() {
--- a/crates/testkit/src/decisions/fleet.rs
+++ b/crates/testkit/src/decisions/fleet.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        caller::limit,
+        caller::account_limit,
         engine::{MAX_BATCH, Running, SLOTS},
-        load::{RATES, VMS},
         sim::{ENGINES, World},
+        workload::{ACCOUNT_RATES, VMS},
     },
     jasmine_core::{
         clock::Millis,
@@ -28,30 +28,30 @@
 };
 
 pub(super) const MODEL: ModelId = ModelId(0);
-const POLL: u64 = 200;
-const REPORT: u64 = 500;
-const TICK: u64 = 50;
-const DEADLINE: Millis = Millis::from_secs(30);
-/// Rounds of asking peers for rights before a refusal.
-const ROUNDS: usize = 3;
+const POLL_INTERVAL_MS: u64 = 200;
+const REPORT_INTERVAL_MS: u64 = 500;
+const TICK_INTERVAL_MS: u64 = 50;
+const REQUEST_DEADLINE: Millis = Millis::from_secs(30);
+/// Rounds of take requests to peers before a request is refused.
+const MAX_TAKE_ROUNDS: usize = 3;
 
 #[derive(Debug)]
 pub(super) struct Gateway {
     pub(super) router: Router,
     pub(super) queue: FairQueue,
     pub(super) ledger: RightsLedger,
-    pub(super) asks: BTreeMap<u64, (UpstreamId, jasmine_core::ids::AdapterVersion)>,
+    pub(super) pending_acquires: BTreeMap<u64, (UpstreamId, jasmine_core::ids::AdapterVersion)>,
 }
 
-/// Loads that an owner has asked for and not been granted.
+/// Workload budget that an owner has requested and not yet received.
 #[derive(Debug)]
-pub(super) struct Asked {
+pub(super) struct BudgetRequest {
     pub(super) owner: usize,
     pub(super) loads: u32,
     pub(super) since: Millis,
 }
 
-impl Asked {
+impl BudgetRequest {
     pub(super) fn new(owner: usize) -> Self {
         let since = Millis::ZERO;
         Self {
@@ -62,14 +62,14 @@
     }
 }
 
-/// The decision code of all VMs, each with a gateway and a controller.
+/// The production decision code of all VMs, each with a gateway and an owner.
 #[derive(Debug)]
 pub struct Fleet {
     pub(super) gateways: Vec<Gateway>,
     pub(super) owners: Vec<OwnerMachine>,
     pub(super) owner_of: Vec<usize>,
-    pub(super) asked: Vec<Asked>,
-    pub(super) sent_by: BTreeMap<usize, (usize, Instance)>,
+    pub(super) budget_requests: Vec<BudgetRequest>,
+    pub(super) dispatched: BTreeMap<usize, (usize, Instance)>,
     pub(super) events: VecDeque<(usize, OwnerEvent)>,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Fleet {
-    /// All VMs, with the engines shared out and nothing loaded; `sharing`: rights move between them.
+    /// Creates all VMs and assigns the engines; `sharing` lets VMs transfer rights.
     pub fn new(sharing: bool) -> Self {
         let live: Vec<Candidate> = (0..VMS)
             .map(|vm| Candidate {
@@ -104,8 +104,8 @@
                 .map(|_| OwnerMachine::new(OwnerSettings::default()))
                 .collect(),
             owner_of: (0..ENGINES).map(owner).collect(),
-            asked: (0..VMS).map(Asked::new).collect(),
-            sent_by: BTreeMap::new(),
+            budget_requests: (0..VMS).map(BudgetRequest::new).collect(),
+            dispatched: BTreeMap::new(),
             events: VecDeque::new(),
         };
         let members: Vec<VmId> = live.iter().map(|candidate| candidate.vm).collect();
@@ -131,7 +131,7 @@
         fleet
     }
 
-    /// Decides for one step of time.
+    /// Handles the events of one time step.
     pub fn step(
         &mut self,
         world: &mut World,
@@ -145,32 +145,32 @@
                 .push_back((self.owner_of[instance.upstream.0 as usize], event));
         }
         for (_, running) in ended {
-            self.end(world, running);
+            self.finish_request(world, running);
         }
         self.admit(world, ids);
         self.periodic(world);
         self.grant_budget(world);
         self.run_events(world);
         for g in 0..VMS {
-            self.pump(world, g);
+            self.dispatch_queue(world, g);
         }
         self.run_events(world);
     }
 
-    fn end(
+    fn finish_request(
         &mut self,
         world: &World,
         running: &Running,
     ) {
-        if let Some((g, instance)) = self.sent_by.remove(&running.id) {
-            let finish = if running.left == 0 {
+        if let Some((g, instance)) = self.dispatched.remove(&running.id) {
+            let finish = if running.remaining_tokens == 0 {
                 RequestOutcome::Done
             } else {
                 RequestOutcome::Failed
             };
             let router = &mut self.gateways[g].router;
             let actions = router.finished(instance.upstream, Some(instance), finish, world.now);
-            self.act(g, actions);
+            self.execute_router_actions(g, actions);
         }
     }
 
@@ -185,7 +185,7 @@
             match self.try_admit(world, id) {
                 Admission::Admitted(_) => {}
                 Admission::NeedsRights { .. } => {
-                    let caller = CallerTag(arrival.tag);
+                    let caller = CallerTag(arrival.caller_tag);
                     let ledger = &mut self.gateways[g].ledger;
                     let refusal =
                         ledger.refuse_with_retry(arrival.account, cost, caller, world.now);
@@ -203,7 +203,7 @@
                 account: arrival.account,
                 priority: Priority::Normal,
                 cost,
-                deadline: world.now + DEADLINE,
+                deadline: world.now + REQUEST_DEADLINE,
                 target: queue::Target::Adapter(arrival.adapter),
             };
             if let Err(refusal) = self.gateways[g].queue.push(waiting, world.now) {
@@ -220,11 +220,11 @@
         let arrival = world.arrivals[id];
         let (g, account) = (arrival.vm, arrival.account);
         let cost = u64::from(arrival.tokens);
-        let caller = CallerTag(arrival.tag);
+        let caller = CallerTag(arrival.caller_tag);
         let mut last = self.gateways[g]
             .ledger
             .try_admit(account, cost, caller, world.now);
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_TAKE_ROUNDS {
             let Admission::NeedsRights { shortfall } = last else {
                 return last;
             };
@@ -251,16 +251,16 @@
         world: &World,
     ) {
         let is_due = |period: u64| world.now.0.is_multiple_of(period);
-        if is_due(TICK) {
+        if is_due(TICK_INTERVAL_MS) {
             for c in 0..VMS {
                 self.events.push_back((c, OwnerEvent::Tick));
             }
             for g in 0..VMS {
                 let actions = self.gateways[g].router.tick(world.now);
-                self.act(g, actions);
+                self.execute_router_actions(g, actions);
             }
         }
-        if is_due(REPORT) {
+        if is_due(REPORT_INTERVAL_MS) {
             for (engine, state) in world.engines.iter().enumerate() {
                 let report = Report {
                     upstream: UpstreamId(engine as u32),
@@ -272,7 +272,7 @@
                     .push_back((self.owner_of[engine], OwnerEvent::Reported(report)));
             }
         }
-        if is_due(POLL) {
+        if is_due(POLL_INTERVAL_MS) {
             for g in 0..VMS {
                 self.poll(world, g);
             }
@@ -317,28 +317,30 @@
                 actions.extend(self.gateways[g].router.recall(instance));
             }
         }
-        self.act(g, actions);
+        self.execute_router_actions(g, actions);
     }
 
     fn grant_budget(
         &mut self,
         world: &mut World,
     ) {
-        // As rights move to where the demand is: by what an owner lacks and for how long.
-        let urgency = |asked: &Asked| u64::from(asked.loads) * (world.now.since(asked.since).0 + 1);
-        while let Some(asked) = self
-            .asked
+        // Most urgent first: the number of missing loads times the waiting time.
+        let urgency = |request: &BudgetRequest| {
+            u64::from(request.loads) * (world.now.since(request.since).0 + 1)
+        };
+        while let Some(request) = self
+            .budget_requests
             .iter_mut()
-            .filter(|asked| asked.loads > 0)
-            .max_by_key(|asked| urgency(asked))
+            .filter(|request| request.loads > 0)
+            .max_by_key(|request| urgency(request))
         {
             if world.store.grant(1) == 0 {
                 return;
             }
-            asked.loads -= 1;
-            asked.since = world.now;
+            request.loads -= 1;
+            request.since = world.now;
             let granted = OwnerEvent::BudgetGranted(1);
-            self.events.push_back((asked.owner, granted));
+            self.events.push_back((request.owner, granted));
         }
     }
 }
@@ -371,14 +373,14 @@
     ledger.enter_epoch(Epoch(1), Millis::ZERO);
     let share = FULL_SHARE / VMS as u64;
     let mut grants = Vec::new();
-    for account in (0..RATES.len() as u32).map(AccountId) {
+    for account in (0..ACCOUNT_RATES.len() as u32).map(AccountId) {
         queue.set_share(account, AccountShare::default());
-        ledger.set_limit(account, limit(account), Millis::ZERO);
+        ledger.set_limit(account, account_limit(account), Millis::ZERO);
         grants.push(Right {
             account,
             rate_share: share,
             burst_share: share,
-            tokens: scale_by_share(limit(account).burst_millitokens(), share),
+            tokens: scale_by_share(account_limit(account).burst_millitokens(), share),
         });
     }
     ledger.apply_grants(Epoch(1), &grants, Millis::ZERO);
@@ -386,6 +388,6 @@
         router,
         queue,
         ledger,
-        asks: BTreeMap::new(),
+        pending_acquires: BTreeMap::new(),
     }
 }
--- a/crates/testkit/src/decisions/fleet_events.rs
+++ b/crates/testkit/src/decisions/fleet_events.rs
@@ -1,4 +1,4 @@
-//! What the daemons' machines ask for, carried out in the simulated world.
+//! Executes the actions of owners and routers in the simulation.
 
 use {
     super::{
@@ -21,12 +21,12 @@
     ) {
         while let Some((c, event)) = self.events.pop_front() {
             for action in self.owners[c].handle(event, world.now) {
-                self.carry_out(world, c, &action);
+                self.execute(world, c, &action);
             }
         }
     }
 
-    pub(super) fn carry_out(
+    pub(super) fn execute(
         &mut self,
         world: &mut World,
         c: usize,
@@ -46,7 +46,7 @@
             OwnerAction::OrderUnload { instance, .. } => {
                 let engine = &mut world.engines[instance.upstream.0 as usize];
                 assert!(
-                    !engine.uses(instance),
+                    !engine.has_request_on(instance),
                     "unload of {} in use",
                     instance.name()
                 );
@@ -55,15 +55,15 @@
                 self.events.push_back((c, gone));
             }
             OwnerAction::RequestBudget(loads) => {
-                let asked = &mut self.asked[c];
-                if asked.loads == 0 {
-                    asked.since = world.now;
+                let request = &mut self.budget_requests[c];
+                if request.loads == 0 {
+                    request.since = world.now;
                 }
-                asked.loads = loads;
+                request.loads = loads;
             }
             OwnerAction::Reply { to, ask, outcome } => {
                 let gateway = &mut self.gateways[to.vm.0 as usize];
-                if let Some((upstream, adapter)) = gateway.asks.remove(&ask) {
+                if let Some((upstream, adapter)) = gateway.pending_acquires.remove(&ask) {
                     gateway
                         .router
                         .handle_acquire_outcome(upstream, adapter, ask, outcome, world.now);
@@ -72,13 +72,13 @@
             OwnerAction::Recall { holder, instance } => {
                 let g = holder.vm.0 as usize;
                 let actions = self.gateways[g].router.recall(instance);
-                self.act(g, actions);
+                self.execute_router_actions(g, actions);
             }
             OwnerAction::RaiseFence { .. } | OwnerAction::RenewFence(_) => {}
         }
     }
 
-    pub(super) fn act(
+    pub(super) fn execute_router_actions(
         &mut self,
         g: usize,
         actions: Vec<RouterAction>,
@@ -106,7 +106,7 @@
                     account,
                     ask,
                 } => {
-                    self.ask(
+                    self.send_acquire(
                         g,
                         AcquireRequest {
                             from: holder(g),
@@ -122,20 +122,20 @@
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn send_acquire(
         &mut self,
         g: usize,
         ask: AcquireRequest,
     ) {
         self.gateways[g]
-            .asks
+            .pending_acquires
             .insert(ask.ask, (ask.upstream, ask.adapter));
         let c = self.owner_of[ask.upstream.0 as usize];
         self.events.push_back((c, OwnerEvent::Acquire(ask)));
     }
 
-    /// Sends what can be sent from a gateway's queue.
-    pub(super) fn pump(
+    /// Dispatches the queued requests of a gateway that can be routed.
+    pub(super) fn dispatch_queue(
         &mut self,
         world: &mut World,
         g: usize,
@@ -176,7 +176,7 @@
                 break;
             };
             let id = waiting.request.0 as usize;
-            self.sent_by.insert(id, (g, instance));
+            self.dispatched.insert(id, (g, instance));
             world.send(id, instance.upstream.0 as usize, instance);
         }
         for (request, refusal) in refused {
@@ -185,7 +185,7 @@
             }
         }
         for ask in asks {
-            self.ask(g, ask);
+            self.send_acquire(g, ask);
         }
     }
 }
--- a/crates/testkit/src/decisions/measure.rs
+++ b/crates/testkit/src/decisions/metrics.rs
@@ -1,62 +1,62 @@
 use {
     super::{
         engine::{Engine, MAX_BATCH},
-        load::{RATES, Scenario},
         sim::Policy,
+        workload::{ACCOUNT_RATES, Scenario},
     },
     jasmine_core::clock::Millis,
     serde::{Deserialize, Serialize},
     std::fmt::Write,
 };
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// The account's number.
+    /// Index of the client account.
     pub account: usize,
-    /// How long it waited for its adapter to be loaded.
+    /// Time spent waiting for its adapter to be loaded.
     pub stall: Millis,
-    /// From its arrival until its first token.
+    /// Time to first token, none if it was not served.
     pub first_token: Option<Millis>,
-    /// Whether one counter for the whole fleet, asked about all requests, would have admitted it.
-    pub within: bool,
+    /// Whether a global token bucket would have admitted it.
+    pub is_within_limit: bool,
     /// Whether it was refused.
-    pub refused: bool,
-    /// Whether its caller had been told to come back and has.
-    pub returned: bool,
+    pub is_refused: bool,
+    /// Whether it is a retry after a refusal.
+    pub is_retry: bool,
 }
 
-/// The measures of one run.
+/// Metrics of one run.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Figures {
-    /// The load.
+pub struct RunMetrics {
+    /// Scenario of the run.
     pub scenario: Scenario,
-    /// What decided.
+    /// Policy of the run.
     pub policy: Policy,
-    /// Requests sent, those that came back included.
+    /// Requests sent, including retries.
     pub requests: usize,
-    /// Share of the served ones that waited for a load.
+    /// Share of the served requests that waited for a load.
     pub stalled: f64,
-    /// Waits for loads of those that waited, in milliseconds: median, p95, p99.
+    /// Waiting time of stalled requests, in milliseconds: median, p95, p99.
     pub stall_ms: [u64; 3],
-    /// All of them together, in seconds.
+    /// Total waiting time for loads, in seconds.
     pub stall_total_s: u64,
-    /// Loads begun.
+    /// Number of loads started.
     pub loads: u64,
-    /// Tokens an engine step, against a full batch.
+    /// Mean batch utilization, from 0 to 1.
     pub batch: f64,
-    /// First token's p95 of the worst-served account, in milliseconds, and of the median one.
+    /// p95 of the time to first token, in milliseconds, for the worst account.
     pub worst_ms: u64,
-    /// The median account's.
+    /// p95 of the time to first token, in milliseconds, for the median account.
     pub median_ms: u64,
-    /// Requests fewer than one counter for the whole fleet would have admitted, over all accounts.
+    /// Requests refused beyond what a global token bucket would have refused.
     pub wrongful: usize,
-    /// All refusals.
+    /// Number of refused requests.
     pub refused: usize,
-    /// Share of those who came back as told that were served then.
+    /// Share of retries that were served.
     pub came_back_served: f64,
-    /// Requests that were neither served nor refused within a minute after the end.
+    /// Requests neither served nor refused by the end of the run.
     pub lost: usize,
 }
 
@@ -70,20 +70,20 @@
     }
 }
 
-/// Counted by account: which of its requests are refused when it sends too many is not judged.
+/// Counts excess refusals per account, regardless of which requests were refused.
 fn wrongful(outcomes: &[Outcome]) -> usize {
-    (0..RATES.len())
+    (0..ACCOUNT_RATES.len())
         .map(|account| {
             let of_account = || outcomes.iter().filter(|o| o.account == account);
-            let within = of_account().filter(|o| o.within).count();
-            let admitted = of_account().filter(|o| !o.refused).count();
+            let within = of_account().filter(|o| o.is_within_limit).count();
+            let admitted = of_account().filter(|o| !o.is_refused).count();
             within.saturating_sub(admitted)
         })
         .sum()
 }
 
-impl Figures {
-    /// Sums a run up.
+impl RunMetrics {
+    /// Computes the metrics of a run.
     pub fn new(
         scenario: Scenario,
         policy: Policy,
@@ -101,7 +101,7 @@
             .filter(|&stall| stall > 0)
             .collect();
         stalls.sort_unstable();
-        let mut by_account: Vec<u64> = (0..RATES.len())
+        let mut by_account: Vec<u64> = (0..ACCOUNT_RATES.len())
             .map(|account| {
                 let mut waits: Vec<u64> = served
                     .iter()
@@ -116,7 +116,7 @@
         by_account.sort_unstable();
         let steps: u64 = engines.iter().map(|engine| engine.steps).sum();
         let tokens: u64 = engines.iter().map(|engine| engine.tokens).sum();
-        let returned: Vec<&Outcome> = outcomes.iter().filter(|o| o.returned).collect();
+        let returned: Vec<&Outcome> = outcomes.iter().filter(|o| o.is_retry).collect();
         let returned_served = returned.iter().filter(|o| o.first_token.is_some()).count();
         Self {
             scenario,
@@ -130,18 +130,18 @@
             worst_ms: by_account.last().copied().unwrap_or(0),
             median_ms: by_account[by_account.len() / 2],
             wrongful: wrongful(outcomes),
-            refused: outcomes.iter().filter(|o| o.refused).count(),
+            refused: outcomes.iter().filter(|o| o.is_refused).count(),
             came_back_served: returned_served as f64 / returned.len().max(1) as f64,
             lost: outcomes
                 .iter()
-                .filter(|o| o.first_token.is_none() && !o.refused)
+                .filter(|o| o.first_token.is_none() && !o.is_refused)
                 .count(),
         }
     }
 }
 
-/// All runs as one table.
-pub fn table(all: &[Figures]) -> String {
+/// Formats all runs as a table.
+pub fn table(all: &[RunMetrics]) -> String {
     let mut out = format!(
         "{:<12}{:<12}{:>6}{:>8}{:>7}{:>7}{:>7}{:>8}{:>6}{:>7}{:>8}{:>8}{:>7}{:>7}{:>8}{:>6}\n",
         "load",
@@ -186,17 +186,17 @@
     out
 }
 
-/// The runs that stand in both results, side by side: before and after.
+/// Formats a before/after comparison of the runs present in both results.
 pub fn compare(
-    before: &[Figures],
-    after: &[Figures],
+    before: &[RunMetrics],
+    after: &[RunMetrics],
 ) -> String {
     let mut out = format!(
         "{:<12}{:<12}{:>18}{:>18}{:>18}{:>14}\n",
         "load", "policy", "stall total s", "stall p99", "worst95", "wrongful"
     );
     for new in after {
-        let same = |old: &&Figures| (old.scenario, old.policy) == (new.scenario, new.policy);
+        let same = |old: &&RunMetrics| (old.scenario, old.policy) == (new.scenario, new.policy);
         if let Some(old) = before.iter().find(same) {
             let pair = |old: u64, new: u64| format!("{old} -> {new}");
             let _ = writeln!(
--- a/crates/testkit/src/decisions/mod.rs
+++ b/crates/testkit/src/decisions/mod.rs
@@ -1,20 +1,19 @@
-//! The decision bench: loads at today's size against the decision code, on a virtual clock.
+//! Simulation of the scheduling decisions on a virtual clock.
 //!
-//! Small fakes stand for engines, the weight store and callers; the router, the owners' machines,
-//! the fair queue and the rights ledger are the ones that the daemons run. The same seed gives the
-//! same figures.
+//! Engines, the weight store and callers are simulated; the router, the owner state machine, the
+//! fair queue and the rights ledger are the production code. The same seed gives the same results.
 
 mod baseline;
 mod caller;
 mod engine;
 mod fleet;
 mod fleet_events;
-mod load;
-mod measure;
+mod metrics;
 mod sim;
+mod workload;
 
 pub use {
-    load::{Load, Scenario},
-    measure::{Figures, compare, table},
-    sim::{Policy, all_slots, run},
+    metrics::{RunMetrics, compare, table},
+    sim::{Policy, run, total_slots},
+    workload::{Scenario, Workload},
 };
--- a/crates/testkit/src/decisions/sim.rs
+++ b/crates/testkit/src/decisions/sim.rs
@@ -1,11 +1,13 @@
 use {
     super::{
         baseline::Baseline,
-        caller::Bucket,
+        caller::TokenBucket,
         engine::{Engine, Running, SLOTS, Store},
         fleet::Fleet,
-        load::{Arrival, LENGTH, Load, RATES, Scenario, WARM},
-        measure::{Figures, Outcome},
+        metrics::{Outcome, RunMetrics},
+        workload::{
+            ACCOUNT_RATES, ARRIVAL_DURATION, Arrival, Scenario, WARM_UP_DURATION, Workload,
+        },
     },
     jasmine_core::{
         clock::Millis,
@@ -16,35 +18,35 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Engines of the fleet; each third stands in a data centre of its own.
+/// Number of engines, spread evenly over three data centres.
 pub const ENGINES: usize = 9;
-/// Time goes in steps of this length.
-pub const STEP: Millis = Millis(5);
-/// What is under way when the callers stop has this long to end.
-const AFTER: Millis = Millis::from_secs(60);
+/// Length of a simulation step.
+pub const STEP_DURATION: Millis = Millis(5);
+/// Time for requests in flight to finish after the last arrival.
+const DRAIN_DURATION: Millis = Millis::from_secs(60);
 
-/// Who decides.
+/// The scheduling policy of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// This project's decision code.
+    /// The production decision code.
     #[display("jasmine")]
     Jasmine,
-    /// The same, but each VM keeps a fixed part of each account's rate.
+    /// The production code with a fixed share of each rate limit per VM.
     #[display("static-rate")]
     StaticRate,
-    /// The least loaded engine, load on demand, least recently used goes; rates known at once.
+    /// Least loaded engine, load on demand, LRU eviction, global rate limits.
     #[display("least+lru")]
     LeastLoaded,
-    /// Each adapter on the engine that its hash names, load on demand; rates known at once.
+    /// Rendezvous hashing of adapters, load on demand, LRU eviction, global rate limits.
     #[display("hash+lru")]
     ConsistentHash,
 }
 
 impl Policy {
-    /// All of them.
+    /// All policies.
     pub const ALL: [Self; 4] = [
         Self::Jasmine,
         Self::StaticRate,
@@ -53,79 +55,81 @@
     ];
 }
 
-/// What all policies work on.
+/// The simulated environment, the same for all policies.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// The time.
+    /// Current virtual time.
     pub now: Millis,
-    /// The engines.
+    /// All engines.
     pub engines: Vec<Engine>,
-    /// The weight store.
+    /// The store that engines load adapter weights from.
     pub store: Store,
     /// All requests so far.
     pub arrivals: Vec<Arrival>,
-    /// What became of each.
+    /// Outcome of each request, by index.
     pub outcomes: Vec<Outcome>,
     /// Admitted requests without a first token.
-    pub pending: BTreeSet<usize>,
-    /// Callers who will come back.
-    pub back: BTreeMap<Millis, Vec<Arrival>>,
-    /// Each account's limits as one counter that sees all requests would hold them.
-    pub whole: Vec<Bucket>,
+    pub awaiting_first_token: BTreeSet<usize>,
+    /// Scheduled retries by time.
+    pub retries: BTreeMap<Millis, Vec<Arrival>>,
+    /// Global token bucket of each account.
+    pub reference_buckets: Vec<TokenBucket>,
 }
 
 impl World {
     fn new() -> Self {
-        let accounts = 0..RATES.len() as u32;
+        let accounts = 0..ACCOUNT_RATES.len() as u32;
         Self {
             now: Millis::ZERO,
             engines: vec![Engine::default(); ENGINES],
             store: Store::default(),
             arrivals: Vec::new(),
             outcomes: Vec::new(),
-            pending: BTreeSet::new(),
-            back: BTreeMap::new(),
-            whole: accounts
-                .map(|account| Bucket::new(AccountId(account)))
+            awaiting_first_token: BTreeSet::new(),
+            retries: BTreeMap::new(),
+            reference_buckets: accounts
+                .map(|account| TokenBucket::new(AccountId(account)))
                 .collect(),
         }
     }
 
-    /// Puts a request on an engine.
+    /// Queues a request on an engine.
     pub fn send(
         &mut self,
         id: usize,
         engine: usize,
         instance: Instance,
     ) {
-        let left = self.arrivals[id].tokens;
-        self.engines[engine]
-            .waiting
-            .push_back(Running { id, instance, left });
+        let remaining_tokens = self.arrivals[id].tokens;
+        self.engines[engine].waiting.push_back(Running {
+            id,
+            instance,
+            remaining_tokens,
+        });
     }
 
-    fn enter(
+    fn add_request(
         &mut self,
         arrival: Arrival,
     ) -> usize {
         let account = arrival.account.0 as usize;
-        let within = self.whole[account].has(arrival.tokens, self.now);
-        if within {
-            self.whole[account].take(arrival.tokens);
+        let is_within_limit = self.reference_buckets[account].has_tokens(arrival.tokens, self.now);
+        if is_within_limit {
+            self.reference_buckets[account].take(arrival.tokens);
         }
         self.arrivals.push(arrival);
         self.outcomes.push(Outcome {
             account,
-            within,
-            returned: arrival.returned,
+            is_within_limit,
+            is_retry: arrival.is_retry,
             ..Outcome::default()
         });
         self.arrivals.len() - 1
     }
 
-    /// Counts a step's wait for those whose adapter no engine has.
-    fn note_stalls(&mut self) {
-        if self.pending.is_empty() {
+    /// Adds a step of stall time to pending requests whose adapter is loaded nowhere.
+    fn count_stalls(&mut self) {
+        if self.awaiting_first_token.is_empty() {
             return;
         }
         let loaded: BTreeSet<AdapterVersion> = self
@@ -133,20 +137,20 @@
             .iter()
             .flat_map(|e| e.loaded.iter().map(|i| i.adapter))
             .collect();
-        for &id in &self.pending {
+        for &id in &self.awaiting_first_token {
             if !loaded.contains(&self.arrivals[id].adapter) {
-                self.outcomes[id].stall += STEP;
+                self.outcomes[id].stall += STEP_DURATION;
             }
         }
     }
 
-    /// Engines work; gives the requests that have ended.
-    fn work(&mut self) -> Vec<(usize, Running)> {
+    /// Advances all engines; returns the finished requests.
+    fn advance_engines(&mut self) -> Vec<(usize, Running)> {
         let mut all = Vec::new();
         for engine in 0..ENGINES {
             let (first, ended) = self.engines[engine].advance(self.now);
             for id in first {
-                self.pending.remove(&id);
+                self.awaiting_first_token.remove(&id);
                 self.outcomes[id].first_token = Some(self.now.since(self.arrivals[id].at));
             }
             all.extend(ended.into_iter().map(|running| (engine, running)));
@@ -155,44 +159,53 @@
     }
 }
 
-/// What decides in a run.
+/// Scheduler under test.
 #[derive(Debug)]
 enum Decider {
     Fleet(Box<Fleet>),
     Baseline(Baseline),
 }
 
-/// Runs one load under one policy.
+/// Runs one scenario under one policy.
 pub fn run(
     scenario: Scenario,
     policy: Policy,
     seed: u64,
-) -> Figures {
+) -> RunMetrics {
     let mut world = World::new();
     let mut decider = match policy {
         Policy::Jasmine => Decider::Fleet(Box::new(Fleet::new(true))),
         Policy::StaticRate => Decider::Fleet(Box::new(Fleet::new(false))),
         Policy::LeastLoaded | Policy::ConsistentHash => Decider::Baseline(Baseline::new(policy)),
     };
-    let mut arrivals = Load::draw(scenario, seed).arrivals.into_iter().peekable();
-    while world.now < LENGTH + AFTER {
-        world.now += STEP;
-        world.store.earn(scenario.store_rate(world.now), STEP);
+    let mut arrivals = Workload::generate(scenario, seed)
+        .arrivals
+        .into_iter()
+        .peekable();
+    while world.now < ARRIVAL_DURATION + DRAIN_DURATION {
+        world.now += STEP_DURATION;
+        world
+            .store
+            .refill(scenario.store_rate(world.now), STEP_DURATION);
         let mut due: Vec<Arrival> = Vec::new();
         while let Some(arrival) = arrivals.next_if(|arrival| arrival.at <= world.now) {
             due.push(arrival);
         }
-        while let Some(entry) = world.back.first_entry().filter(|e| *e.key() <= world.now) {
+        while let Some(entry) = world
+            .retries
+            .first_entry()
+            .filter(|e| *e.key() <= world.now)
+        {
             due.extend(entry.remove());
         }
         let ids: Vec<usize> = due
             .into_iter()
-            .map(|arrival| world.enter(arrival))
+            .map(|arrival| world.add_request(arrival))
             .collect();
-        let loaded = Store::advance(&mut world.engines, STEP);
-        let mut ended = world.work();
+        let loaded = Store::advance(&mut world.engines, STEP_DURATION);
+        let mut ended = world.advance_engines();
         for engine in 0..ENGINES {
-            if scenario.restarts(engine, world.now) {
+            if scenario.is_restart_due(engine, world.now) {
                 let lost = world.engines[engine].restart();
                 ended.extend(lost.into_iter().map(|running| (engine, running)));
             }
@@ -201,20 +214,20 @@
             Decider::Fleet(fleet) => fleet.step(&mut world, &ids, &loaded, &ended),
             Decider::Baseline(baseline) => baseline.step(&mut world, &ids),
         }
-        world.note_stalls();
+        world.count_stalls();
     }
-    let loads = world.store.begun;
+    let loads = world.store.granted_loads;
     let measured: Vec<Outcome> = world
         .arrivals
         .iter()
         .zip(&world.outcomes)
-        .filter(|(arrival, _)| arrival.at >= WARM)
+        .filter(|(arrival, _)| arrival.at >= WARM_UP_DURATION)
         .map(|(_, &outcome)| outcome)
         .collect();
-    Figures::new(scenario, policy, &measured, &world.engines, loads)
+    RunMetrics::new(scenario, policy, &measured, &world.engines, loads)
 }
 
-/// Adapter slots of the whole fleet.
-pub const fn all_slots() -> usize {
+/// Total number of adapter slots.
+pub const fn total_slots() -> usize {
     ENGINES * SLOTS as usize
 }
--- a/crates/testkit/src/decisions/load.rs
+++ b/crates/testkit/src/decisions/workload.rs
@@ -8,54 +8,55 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Adapters of the fleet.
+/// Number of adapters over all accounts.
 pub const ADAPTERS: u32 = 3000;
-/// How sharply the popularity of an account's adapters falls.
-const ZIPF: f64 = 1.6;
-/// Requests a second of each account when all is quiet.
-pub const RATES: [f64; 5] = [3.4, 2.2, 1.4, 0.7, 0.3];
-/// Adapters of each account, in thousandths.
-const SHARES: [u32; 5] = [400, 250, 200, 100, 50];
-/// How long the callers send, and when the disturbance begins and ends.
-pub const LENGTH: Millis = Millis::from_secs(200);
-const FROM: Millis = Millis::from_secs(80);
-const UNTIL: Millis = Millis::from_secs(140);
-/// What arrives before this time finds a cold fleet and is not measured.
-pub const WARM: Millis = Millis::from_secs(40);
-/// VMs of the serving layer.
+/// Zipf exponent of adapter popularity within an account.
+const ZIPF_EXPONENT: f64 = 1.6;
+/// Base request rate of each account, per second.
+pub const ACCOUNT_RATES: [f64; 5] = [3.4, 2.2, 1.4, 0.7, 0.3];
+/// Each account's share of the adapters, in thousandths.
+const ADAPTER_SHARES_PER_MILLE: [u32; 5] = [400, 250, 200, 100, 50];
+/// Duration of the request arrivals.
+pub const ARRIVAL_DURATION: Millis = Millis::from_secs(200);
+/// Start and end of the disturbance.
+const DISTURBANCE_START: Millis = Millis::from_secs(80);
+const DISTURBANCE_END: Millis = Millis::from_secs(140);
+/// Warm-up period; its requests are not measured.
+pub const WARM_UP_DURATION: Millis = Millis::from_secs(40);
+/// Number of VMs in the serving layer.
 pub const VMS: usize = 7;
 
-/// What happens in the middle third of a run.
+/// The disturbance during the middle of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[derive(derive_more::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum Scenario {
-    /// Nothing.
+    /// No disturbance.
     #[display("steady")]
     Steady,
-    /// Other adapters become popular, without warning.
+    /// The popular adapters change.
     #[display("shift")]
     Shift,
     /// One account sends five times its rate.
     #[display("one-account")]
     OneAccount,
-    /// Everybody sends twice as much.
+    /// All accounts send twice their rate.
     #[display("everybody")]
     Everybody,
-    /// An engine restarts and is cold.
+    /// One engine is_restart_due with no adapters loaded.
     #[display("restart")]
     Restart,
-    /// The weight store gives a quarter of its rate.
+    /// The weight store is limited to a quarter of its rate.
     #[display("slow-store")]
     SlowStore,
-    /// The most used adapters get a new version.
+    /// The most popular adapters get a new version.
     #[display("rollout")]
     Rollout,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [Self; 7] = [
         Self::Steady,
         Self::Shift,
@@ -66,122 +67,123 @@
         Self::Rollout,
     ];
 
-    /// Whether the disturbance is on.
-    pub fn is_on(
+    /// Whether the disturbance is active.
+    pub fn is_disturbed(
         self,
         now: Millis,
     ) -> bool {
-        (FROM..UNTIL).contains(&now)
+        (DISTURBANCE_START..DISTURBANCE_END).contains(&now)
     }
 
-    /// Loads a second that the weight store allows.
+    /// Rate limit of the weight store, in loads per second.
     pub fn store_rate(
         self,
         now: Millis,
     ) -> f64 {
         match self {
-            Self::SlowStore if self.is_on(now) => 0.5,
+            Self::SlowStore if self.is_disturbed(now) => 0.5,
             _ => 2.0,
         }
     }
 
-    /// Whether the engine with that number restarts in the step that ends at `now`.
-    pub fn restarts(
+    /// Whether this engine is_restart_due at `now`.
+    pub fn is_restart_due(
         self,
         engine: usize,
         now: Millis,
     ) -> bool {
-        self == Self::Restart && engine == 0 && now == FROM
+        self == Self::Restart && engine == 0 && now == DISTURBANCE_START
     }
 
-    fn factor(
+    fn rate_factor(
         self,
         account: usize,
         now: Millis,
     ) -> f64 {
         match self {
-            Self::OneAccount if self.is_on(now) && account == 1 => 5.0,
-            Self::Everybody if self.is_on(now) => 2.0,
+            Self::OneAccount if self.is_disturbed(now) && account == 1 => 5.0,
+            Self::Everybody if self.is_disturbed(now) => 2.0,
             _ => 1.0,
         }
     }
 
-    fn version(
+    fn adapter_version(
         self,
         rank: u32,
         now: Millis,
     ) -> u32 {
         match self {
-            Self::Rollout if now >= FROM && rank < 8 => 2,
+            Self::Rollout if now >= DISTURBANCE_START && rank < 8 => 2,
             _ => 1,
         }
     }
 }
 
-/// A request as its caller sends it.
+/// A request sent by a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When.
+    /// Arrival time.
     pub at: Millis,
-    /// To which VM the balancer gives it.
+    /// VM that the load balancer picks.
     pub vm: usize,
-    /// For which account.
+    /// Client account that sends it.
     pub account: AccountId,
-    /// What it asks for.
+    /// Requested adapter version.
     pub adapter: AdapterVersion,
-    /// Tokens of its answer.
+    /// Answer length in tokens.
     pub tokens: u32,
-    /// What makes its caller known when it comes back.
-    pub tag: u64,
-    /// Whether its caller was told to come back and has.
-    pub returned: bool,
+    /// Identifies the caller across retries.
+    pub caller_tag: u64,
+    /// Whether this is a retry after a refusal.
+    pub is_retry: bool,
 }
 
-/// All requests of a run.
+/// The generated requests of a run.
 #[derive(Clone, Debug)]
-pub struct Load {
-    /// In the order of their times.
+pub struct Workload {
+    /// Requests ordered by arrival time.
     pub arrivals: Vec<Arrival>,
 }
 
-impl Load {
-    /// Draws the requests of a scenario.
-    pub fn draw(
+impl Workload {
+    /// Generates the requests of a scenario.
+    pub fn generate(
         scenario: Scenario,
         seed: u64,
     ) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut arrivals = Vec::new();
         let mut first = 0;
-        for (account, share) in SHARES.iter().enumerate() {
+        for (account, share) in ADAPTER_SHARES_PER_MILLE.iter().enumerate() {
             let count = ADAPTERS * share / 1000;
-            let ranks = cumulated(count);
+            let ranks = cumulative_weights(count);
             let mut at = 0.0;
             loop {
-                let rate = RATES[account] * scenario.factor(account, Millis(at as u64));
+                let rate =
+                    ACCOUNT_RATES[account] * scenario.rate_factor(account, Millis(at as u64));
                 at += -rng.random::<f64>().max(1e-12).ln() / rate * 1000.0;
                 let now = Millis(at as u64);
-                if now >= LENGTH {
+                if now >= ARRIVAL_DURATION {
                     break;
                 }
-                let draw = rng.random::<f64>() * ranks.last().copied().unwrap_or(1.0);
-                let rank = ranks.partition_point(|&sum| sum < draw) as u32;
-                let moved = scenario == Scenario::Shift && now >= FROM;
-                let place = if moved {
+                let sample = rng.random::<f64>() * ranks.last().copied().unwrap_or(1.0);
+                let rank = ranks.partition_point(|&sum| sum < sample) as u32;
+                let is_shifted = scenario == Scenario::Shift && now >= DISTURBANCE_START;
+                let place = if is_shifted {
                     (rank + count / 2) % count
                 } else {
                     rank
                 };
                 let adapter = AdapterId(first + place);
-                let version = scenario.version(rank, now);
+                let version = scenario.adapter_version(rank, now);
                 arrivals.push(Arrival {
                     at: now,
-                    vm: vm(&mut rng, account),
+                    vm: pick_vm(&mut rng, account),
                     account: AccountId(account as u32),
                     adapter: AdapterVersion { adapter, version },
                     tokens: rng.random_range(20..100),
-                    tag: arrivals.len() as u64,
-                    returned: false,
+                    caller_tag: arrivals.len() as u64,
+                    is_retry: false,
                 });
             }
             first += count;
@@ -190,9 +192,10 @@
         Self { arrivals }
     }
 
-    /// The share of requests whose adapter is among the `slots` most used ones of the run: what a
-    /// fixed choice made by somebody who knows all requests beforehand would find loaded.
-    pub fn best_fixed_share(
+    /// Hit rate of the best static placement.
+    ///
+    /// This is the share of requests whose adapter is among the `slots` most used ones of the run.
+    pub fn best_static_hit_rate(
         &self,
         slots: usize,
     ) -> f64 {
@@ -207,8 +210,8 @@
     }
 }
 
-/// Most callers of an account come through two VMs: their connections stay where they are.
-fn vm(
+/// Picks a VM; persistent connections keep most callers of an account on two VMs.
+fn pick_vm(
     rng: &mut ChaCha8Rng,
     account: usize,
 ) -> usize {
@@ -220,11 +223,11 @@
     }
 }
 
-fn cumulated(count: u32) -> Vec<f64> {
+fn cumulative_weights(count: u32) -> Vec<f64> {
     let mut sum = 0.0;
     (1..=count)
         .map(|rank| {
-            sum += f64::from(rank).powf(-ZIPF);
+            sum += f64::from(rank).powf(-ZIPF_EXPONENT);
             sum
         })
         .collect()
--- a/crates/testkit/src/engine/api.rs
+++ b/crates/testkit/src/engine/api.rs
@@ -18,7 +18,7 @@
     tokio::time,
 };
 
-/// Starts an engine at `address`.
+/// Starts an engine that listens on `address`.
 ///
 /// # Errors
 ///
@@ -31,7 +31,7 @@
     let stepping = Arc::clone(&engine);
     let routes = move |cfg: &mut web::ServiceConfig| {
         let v1 = web::scope("/v1")
-            .wrap(from_fn(remember))
+            .wrap(from_fn(record_request))
             .route("/chat/completions", web::post().to(generate))
             .route("/completions", web::post().to(generate))
             .route("/streams/{stream}", web::get().to(resume))
@@ -52,7 +52,7 @@
     server::start(address, routes, move || batch::run(stepping))
 }
 
-/// Holds an answer back for as long as the engine hangs.
+/// Blocks a response while the engine hangs.
 pub(super) async fn wait_while_hung(engine: &Engine) {
     let mut rx = engine.tick.subscribe();
     while engine.lock().faults.hang {
@@ -60,8 +60,8 @@
     }
 }
 
-/// Keeps all that a request brought, so that a test can look for keys in it.
-async fn remember<B>(
+/// Records each request in full, so that tests can search it for leaked keys.
+async fn record_request<B>(
     engine: Data<Engine>,
     mut req: ServiceRequest,
     next: Next<B>,
@@ -81,7 +81,7 @@
     if !polled {
         engine
             .lock()
-            .see(format!("{head} {}", String::from_utf8_lossy(&body)));
+            .record_raw_request(format!("{head} {}", String::from_utf8_lossy(&body)));
     }
     req.set_payload(actix_web::dev::Payload::from(body));
     next.call(req).await
--- a/crates/testkit/src/engine/batch.rs
+++ b/crates/testkit/src/engine/batch.rs
@@ -12,23 +12,23 @@
     tokio::time,
 };
 
-/// How long an engine without work waits before it looks again.
-const IDLE: Duration = Duration::from_millis(50);
+/// Poll interval of an idle engine.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an ended stream can still be read.
-const KEEP_ENDED: Duration = Duration::from_secs(30);
+/// How long an ended stream remains readable.
+const ENDED_STREAM_RETENTION: Duration = Duration::from_secs(30);
 
-/// Makes steps for as long as the engine lives.
+/// Runs the batch loop of the engine.
 pub(super) async fn run(engine: Arc<Engine>) {
-    let mut looked = None;
+    let mut last_report_at = None;
     let mut rx = engine.tick.subscribe();
     loop {
         let lag = Duration::from_millis(engine.cfg.load_lag_ms);
-        if looked.is_none_or(|at: Instant| at.elapsed() >= lag) {
+        if last_report_at.is_none_or(|at: Instant| at.elapsed() >= lag) {
             let mut state = engine.lock();
-            state.look(&engine.cfg);
-            forget(&engine, &mut state);
-            looked = Some(Instant::now());
+            state.refresh_load_report(&engine.cfg);
+            expire_streams(&engine, &mut state);
+            last_report_at = Some(Instant::now());
         }
         rx.mark_unchanged();
         let begun = begin_step(&engine);
@@ -38,12 +38,12 @@
                 end_step(&mut engine.lock());
                 engine.tick.send_replace(());
             }
-            None => drop(time::timeout(IDLE, rx.changed()).await),
+            None => drop(time::timeout(IDLE_POLL_INTERVAL, rx.changed()).await),
         }
     }
 }
 
-/// Fills the batch and tells how long its step takes; none without work.
+/// Fills the batch and returns the duration of its step; `None` if it is empty or the engine hangs.
 fn begin_step(engine: &Engine) -> Option<Duration> {
     let cfg = &engine.cfg;
     let mut state = engine.lock();
@@ -82,7 +82,7 @@
     }
 }
 
-/// Gives each running stream its token, or works on its prompt.
+/// Generates a token or advances the prefill for each running stream.
 fn end_step(state: &mut State) {
     state.record.steps += 1;
     for name in state.running.clone() {
@@ -101,22 +101,24 @@
     }
 }
 
-/// Ends streams whose caller didn't come back and drops those that ended long ago.
-fn forget(
+/// Ends streams that were not resumed in time and drops expired ones.
+fn expire_streams(
     engine: &Engine,
     state: &mut State,
 ) {
     let resume = Duration::from_millis(engine.cfg.resume_ms);
-    let alone: Vec<_> = state
+    let abandoned: Vec<_> = state
         .streams
         .iter()
-        .filter(|(_, stream)| stream.readers == 0 && stream.alone_since.elapsed() > resume)
+        .filter(|(_, stream)| stream.readers == 0 && stream.unread_since.elapsed() > resume)
         .map(|(name, _)| name.clone())
         .collect();
-    for name in alone {
+    for name in abandoned {
         state.end(&name, Ended::Abandoned);
     }
     state.streams.retain(|_, stream| {
-        stream.ended.is_none() || stream.readers > 0 || stream.alone_since.elapsed() < KEEP_ENDED
+        stream.ended.is_none()
+            || stream.readers > 0
+            || stream.unread_since.elapsed() < ENDED_STREAM_RETENTION
     });
 }
--- a/crates/testkit/src/engine/generate.rs
+++ b/crates/testkit/src/engine/generate.rs
@@ -4,7 +4,7 @@
         api::wait_while_hung,
         record::Ended,
         state::{Engine, Job},
-        stream_body::{Reader, finish_reason, usage},
+        stream_body::{StreamReader, finish_reason, usage},
     },
     crate::server::{header, lost_reply},
     actix_web::{
@@ -16,13 +16,13 @@
     serde_json::{Value, json},
 };
 
-/// Tokens of an answer whose request names no bound.
+/// Default limit of the answer length, in tokens.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// Where to go on in a stream.
+/// Query parameters of a resumed stream.
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(super) struct Resume {
+pub(super) struct ResumeQuery {
     #[serde(default)]
     offset: u32,
 }
@@ -33,7 +33,7 @@
     Json(body): Json<Value>,
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
-    let (name, told, answer_id) = {
+    let (name, source, answer_id) = {
         let mut state = engine.lock();
         let instance = body["model"].as_str().unwrap_or_default().to_owned();
         let weights = match state.instances.get(&instance) {
@@ -45,7 +45,7 @@
             }
         };
         let name = state.enqueue(&engine.cfg, job(&req, &body, instance, weights));
-        let told = if state.faults.crossed_answers == 0 {
+        let source = if state.faults.crossed_answers == 0 {
             name.clone()
         } else {
             state.faults.crossed_answers -= 1;
@@ -55,13 +55,13 @@
             other.prompt.push_str(" of another");
             state.enqueue(&engine.cfg, other)
         };
-        let answer_id = state.streams[&told].job.request_id.clone();
-        (name, told, answer_id)
+        let answer_id = state.streams[&source].job.request_id.clone();
+        (name, source, answer_id)
     };
-    let reader = Reader::new(engine.clone().into_inner(), name.clone(), told.clone(), 0);
+    let reader = StreamReader::new(engine.clone().into_inner(), name.clone(), source.clone(), 0);
     match body["stream"].as_bool() {
-        Some(true) => streamed(reader, &name, &answer_id),
-        _ => whole(&engine, reader, &name, &told).await,
+        Some(true) => streaming_response(reader, &name, &answer_id),
+        _ => complete_response(&engine, reader, &name, &source).await,
     }
 }
 
@@ -71,7 +71,7 @@
     instance: String,
     weights: String,
 ) -> Job {
-    let most = body["max_tokens"]
+    let token_limit = body["max_tokens"]
         .as_u64()
         .or(body["max_completion_tokens"].as_u64());
     let priority = match header(req, "x-priority").as_str() {
@@ -87,13 +87,13 @@
         chat: req.path().starts_with("/v1/chat"),
         prompt: prompt_of(body),
         priority,
-        max_tokens: most.unwrap_or(DEFAULT_MAX_TOKENS).max(1) as u32,
+        max_tokens: token_limit.unwrap_or(DEFAULT_MAX_TOKENS).max(1) as u32,
         made: 0,
     }
 }
 
-fn streamed(
-    reader: Reader,
+fn streaming_response(
+    reader: StreamReader,
     name: &str,
     answer_id: &str,
 ) -> HttpResponse {
@@ -103,20 +103,20 @@
         .insert_header(("x-request-id", answer_id))
         .insert_header(("x-stream", name))
         .insert_header(("x-adapter", weights))
-        .streaming(stream::unfold(reader, Reader::piece))
+        .streaming(stream::unfold(reader, StreamReader::next_chunk))
 }
 
-async fn whole(
+async fn complete_response(
     engine: &Engine,
-    mut reader: Reader,
+    mut reader: StreamReader,
     name: &str,
-    told: &str,
+    source: &str,
 ) -> HttpResponse {
-    let ended = reader.ended().await;
+    let ended = reader.wait_ended().await;
     let state = engine.lock();
     let Some(stream) = state
         .streams
-        .get(told)
+        .get(source)
         .filter(|_| ended == Some(Ended::Done))
     else {
         return lost_reply();
@@ -155,7 +155,7 @@
 pub(super) async fn resume(
     engine: Data<Engine>,
     name: Path<String>,
-    Query(from): Query<Resume>,
+    Query(from): Query<ResumeQuery>,
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
     let known = engine
@@ -167,8 +167,8 @@
         return HttpResponse::NotFound().json(json!({"error": {"code": "stream_unknown"}}));
     };
     let name = name.into_inner();
-    let reader = Reader::new(engine.into_inner(), name.clone(), name.clone(), from.offset);
-    streamed(reader, &name, &request_id)
+    let reader = StreamReader::new(engine.into_inner(), name.clone(), name.clone(), from.offset);
+    streaming_response(reader, &name, &request_id)
 }
 
 pub(super) async fn cancel(
--- a/crates/testkit/src/engine/mod.rs
+++ b/crates/testkit/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stands in for a model engine: continuous batching, few adapter slots, deterministic answers.
+//! A fake model engine with continuous batching, adapter slots and deterministic answers.
 
 mod answer;
 mod api;
--- a/crates/testkit/src/engine/orders.rs
+++ b/crates/testkit/src/engine/orders.rs
@@ -18,10 +18,10 @@
     tokio::time,
 };
 
-/// A load without a weight store takes this long.
-const LOAD: Duration = Duration::from_millis(250);
+/// Duration of a load without a weight store.
+const DEFAULT_LOAD_DURATION: Duration = Duration::from_millis(250);
 
-/// How long an engine waits for the weight store.
+/// Timeout of a fetch_weights from the weight store.
 const WEIGHTS_TIMEOUT: Duration = Duration::from_mins(2);
 
 #[derive(Debug)]
@@ -54,20 +54,20 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(super) struct After {
+pub(super) struct CacheEventsQuery {
     #[serde(default)]
     after: u64,
 }
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(super) struct Export {
+pub(super) struct ExportRequest {
     stream: String,
 }
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(super) struct Import {
+pub(super) struct ImportRequest {
     blob: String,
 }
 
@@ -78,24 +78,24 @@
     answer.json(json!({"error": {"code": code, "message": code}}))
 }
 
-/// The order's fencing token is older than one that the engine has seen.
-struct Stale;
+/// The order's fencing token is older than the highest one seen.
+struct StaleFence;
 
-impl From<Stale> for HttpResponse {
-    fn from(_: Stale) -> Self {
+impl From<StaleFence> for HttpResponse {
+    fn from(_: StaleFence) -> Self {
         error(Self::Conflict(), "stale_fence")
     }
 }
 
-/// Refuses an order with an old fencing token, on an engine that checks them.
+/// Refuses an order with a stale fencing token if the engine checks fencing.
 fn check_fence(
     engine: &Engine,
     state: &mut State,
     fence: u64,
-) -> Result<(), Stale> {
+) -> Result<(), StaleFence> {
     if engine.cfg.checks_fencing && fence < state.fence {
         state.record.stale_orders += 1;
-        return Err(Stale);
+        return Err(StaleFence);
     }
     state.fence = state.fence.max(fence);
     Ok(())
@@ -107,12 +107,12 @@
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
     match begin_load(&engine, &order) {
-        Begun::Answered(answer) => return answer,
-        Begun::Joined => return joined(&engine, &order.instance).await,
-        Begun::First => {}
+        LoadStart::Answered(answer) => return answer,
+        LoadStart::InProgress => return wait_for_load(&engine, &order.instance).await,
+        LoadStart::Started => {}
     }
     let boot = engine.lock().boot;
-    let fetched = fetch(&engine, &order.weights).await;
+    let fetched = fetch_weights(&engine, &order.weights).await;
     let slow = engine.lock().faults.slow_load_ms;
     time::sleep(Duration::from_millis(slow)).await;
     let mut state = engine.lock();
@@ -132,41 +132,41 @@
     answer
 }
 
-enum Begun {
+enum LoadStart {
     Answered(HttpResponse),
-    Joined,
-    First,
+    InProgress,
+    Started,
 }
 
 fn begin_load(
     engine: &Engine,
     order: &LoadOrder,
-) -> Begun {
+) -> LoadStart {
     let mut state = engine.lock();
     match check_fence(engine, &mut state, order.fence) {
-        Err(refusal) => Begun::Answered(refusal.into()),
+        Err(refusal) => LoadStart::Answered(refusal.into()),
         Ok(()) if state.instances.contains_key(&order.instance) => {
-            Begun::Answered(HttpResponse::Ok().json(json!({"loaded": true})))
+            LoadStart::Answered(HttpResponse::Ok().json(json!({"loaded": true})))
         }
-        Ok(()) if state.loading.contains(&order.instance) => Begun::Joined,
+        Ok(()) if state.loading.contains(&order.instance) => LoadStart::InProgress,
         Ok(()) if state.instances.len() + state.loading.len() >= engine.cfg.slots => {
-            Begun::Answered(error(HttpResponse::InsufficientStorage(), "no_free_slot"))
+            LoadStart::Answered(error(HttpResponse::InsufficientStorage(), "no_free_slot"))
         }
         Ok(()) => {
             state.loading.insert(order.instance.clone());
-            Begun::First
+            LoadStart::Started
         }
     }
 }
 
-/// Waits for the load of the same instance that was ordered before.
-async fn joined(
+/// Waits for a load of the same instance that is already in progress.
+async fn wait_for_load(
     engine: &Engine,
     instance: &str,
 ) -> HttpResponse {
     let mut rx = engine.tick.subscribe();
     while engine.lock().loading.contains(instance) {
-        drop(time::timeout(LOAD, rx.changed()).await);
+        drop(time::timeout(DEFAULT_LOAD_DURATION, rx.changed()).await);
     }
     if engine.lock().instances.contains_key(instance) {
         HttpResponse::Ok().json(json!({"loaded": true}))
@@ -175,12 +175,12 @@
     }
 }
 
-async fn fetch(
+async fn fetch_weights(
     engine: &Engine,
     weights: &str,
 ) -> bool {
     let Some(store) = engine.cfg.weight_store else {
-        time::sleep(LOAD).await;
+        time::sleep(DEFAULT_LOAD_DURATION).await;
         return true;
     };
     let client = awc::Client::builder().timeout(WEIGHTS_TIMEOUT).finish();
@@ -203,7 +203,7 @@
     if state.instances.remove(&order.instance).is_none() {
         return error(HttpResponse::NotFound(), "instance_not_loaded");
     }
-    let open = state.open_on(&order.instance);
+    let open = state.open_streams_on(&order.instance);
     state.record.cut_by_unload += open.len() as u32;
     for name in open {
         state.end(&name, Ended::Unloaded);
@@ -247,21 +247,21 @@
 
 pub(super) async fn cache_events(
     engine: Data<Engine>,
-    Query(from): Query<After>,
+    Query(from): Query<CacheEventsQuery>,
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
     let lag = Duration::from_millis(engine.cfg.cache_lag_ms);
     let state = engine.lock();
-    let shown = state.cache_events.iter();
-    let shown: Vec<_> = shown
+    let visible = state.cache_events.iter();
+    let visible: Vec<_> = visible
         .filter(|event| event.seq > from.after && event.at.elapsed() >= lag)
         .collect();
-    HttpResponse::Ok().json(json!({"events": shown}))
+    HttpResponse::Ok().json(json!({"events": visible}))
 }
 
 pub(super) async fn export(
     engine: Data<Engine>,
-    Json(order): Json<Export>,
+    Json(order): Json<ExportRequest>,
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
     let mut state = engine.lock();
@@ -280,7 +280,7 @@
 
 pub(super) async fn import(
     engine: Data<Engine>,
-    Json(order): Json<Import>,
+    Json(order): Json<ImportRequest>,
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
     let job = STANDARD.decode(order.blob).ok();
@@ -288,21 +288,21 @@
         return error(HttpResponse::BadRequest(), "bad_blob");
     };
     let mut state = engine.lock();
-    let here: BTreeMap<_, _> = state
+    let instances_by_weights: BTreeMap<_, _> = state
         .instances
         .iter()
         .map(|(name, weights)| (weights, name))
         .collect();
-    match here.get(&job.weights) {
+    match instances_by_weights.get(&job.weights) {
         _ if job.weights.is_empty() => {}
         Some(instance) => job.instance.clone_from(instance),
         None => return error(HttpResponse::NotFound(), "instance_not_loaded"),
     }
     let name = state.enqueue(&engine.cfg, job);
     if let Some(stream) = state.streams.get_mut(&name) {
-        // The imported cache spares the work on the prompt.
+        // The imported KV cache makes the prefill unnecessary.
         stream.prefill_left = 1;
-        stream.alone_since = Instant::now();
+        stream.unread_since = Instant::now();
     }
     HttpResponse::Ok().json(json!({"stream": name}))
 }
--- a/crates/testkit/src/engine/record.rs
+++ b/crates/testkit/src/engine/record.rs
@@ -5,13 +5,13 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ended {
-    /// All its tokens were made.
+    /// All its tokens were generated.
     Done,
     /// It was cancelled.
     Cancelled,
-    /// Its caller was gone and didn't come back.
+    /// Its caller disconnected and didn't resume it.
     Abandoned,
-    /// Its adapter was unloaded under it.
+    /// Its adapter was unloaded while it ran.
     Unloaded,
     /// The engine restarted.
     Restarted,
@@ -19,52 +19,52 @@
     Exported,
 }
 
-/// One request as an engine ran it.
+/// Record of one request on an engine.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub struct RanRequest {
-    /// The request id it came with.
+    /// Request id from the `x-request-id` header.
     pub request_id: String,
-    /// The client account it came for.
+    /// Client account from the `x-client-account` header.
     pub account: String,
-    /// The instance it named.
+    /// Requested instance.
     pub instance: String,
-    /// The weights that ran, empty for the base model.
+    /// Adapter weights used, empty for the base model.
     pub weights: String,
-    /// Tokens of its prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u32,
-    /// Tokens made.
+    /// Tokens generated.
     pub tokens: u32,
-    /// When it came, milliseconds of Unix time.
+    /// Arrival time, in milliseconds of Unix time.
     pub start_ms: u64,
-    /// When it got into the batch.
+    /// When it entered the batch, in milliseconds of Unix time.
     pub began_ms: Option<u64>,
-    /// When it ended.
+    /// When it ended, in milliseconds of Unix time.
     pub end_ms: Option<u64>,
-    /// How it ended.
+    /// Why it ended, none while it is open.
     pub ended: Option<Ended>,
 }
 
-/// All that an engine remembers for tests.
+/// Everything that an engine records for tests.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Every request that it took.
+    /// All accepted requests.
     pub requests: Vec<RanRequest>,
-    /// Steps made.
+    /// Number of steps run.
     pub steps: u64,
-    /// Tokens made over all steps.
+    /// Tokens generated over all steps.
     pub tokens: u64,
-    /// Loads that succeeded, by instance.
+    /// Instances whose load succeeded.
     pub loads: Vec<String>,
-    /// Loads that failed, by instance.
+    /// Instances whose load failed.
     pub failed_loads: Vec<String>,
-    /// Unload orders that it carried out, by instance.
+    /// Unloaded instances.
     pub unloads: Vec<String>,
-    /// Streams that unload orders cut.
+    /// Number of streams ended by unloads.
     pub cut_by_unload: u32,
-    /// Orders refused for an old fencing token.
+    /// Orders refused because of a stale fencing token.
     pub stale_orders: u32,
-    /// Method, path, headers and body of what it was sent, the newest 4096.
+    /// Method, path, headers and body of the last 4096 requests.
     pub seen: std::collections::VecDeque<String>,
 }
--- a/crates/testkit/src/engine/settings.rs
+++ b/crates/testkit/src/engine/settings.rs
@@ -3,36 +3,36 @@
     std::net::SocketAddr,
 };
 
-/// How an engine behaves.
+/// Settings of a fake engine.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
-    /// The base model's name.
+    /// Name of the base model.
     pub model: String,
-    /// Adapters that it holds at a time.
+    /// Number of adapter slots.
     pub slots: usize,
-    /// Requests that it batches at a time.
+    /// Maximum number of requests in a batch.
     pub max_batch: usize,
-    /// Microseconds of a step of one request.
+    /// Duration of a step with one request, in microseconds.
     pub step_us: u64,
-    /// Microseconds that each further request adds to a step.
+    /// Additional step time per further request, in microseconds.
     pub step_per_request_us: u64,
-    /// Microseconds that each further adapter in the batch adds to a step.
+    /// Additional step time per further adapter in the batch, in microseconds.
     pub step_per_adapter_us: u64,
-    /// Prompt tokens that a step works through; a cached prefix needs one step.
+    /// Prompt tokens prefilled per step; a cached prefix takes one step.
     pub prefill_tokens: u32,
-    /// Prompt prefixes that it remembers.
+    /// Capacity of the prefix cache.
     pub prefix_entries: usize,
-    /// Milliseconds between two looks that the load report takes.
+    /// Refresh interval of the load report, in milliseconds.
     pub load_lag_ms: u64,
-    /// Milliseconds until a cache event shows; every seventh never does.
+    /// Delay until a cache event is visible, in milliseconds; every seventh is dropped.
     pub cache_lag_ms: u64,
-    /// Milliseconds that a stream whose caller is gone can still be resumed.
+    /// How long a stream without readers can be resumed, in milliseconds.
     pub resume_ms: u64,
-    /// Whether it refuses an order with an old fencing token.
+    /// Whether orders with a stale fencing token are refused.
     pub checks_fencing: bool,
-    /// Where weights come from; none: a load takes a quarter of a second.
+    /// Address of the weight store; without one, a load takes 250 ms.
     pub weight_store: Option<SocketAddr>,
 }
 
@@ -56,21 +56,21 @@
     }
 }
 
-/// What goes wrong at an engine from now on.
+/// Faults injected into an engine.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// So many of the next loads fail.
+    /// Number of next loads that fail.
     pub fail_loads: u32,
-    /// Each load takes this much longer, milliseconds.
+    /// Additional duration of each load, in milliseconds.
     pub slow_load_ms: u64,
-    /// Closes the connection of each new stream once it has sent so many tokens.
+    /// Closes each new stream after this many tokens.
     pub cut_streams_after: Option<u32>,
-    /// So many of the next answers are those of another request.
+    /// Number of next answers replaced by those of another request.
     pub crossed_answers: u32,
-    /// Restarts at once: a new boot id, nothing loaded, nothing running.
+    /// Restarts the engine with a new boot id and empty state.
     pub restart: bool,
-    /// Makes no step and answers nothing.
+    /// Stops all steps and responses.
     pub hang: bool,
 }
--- a/crates/testkit/src/engine/state.rs
+++ b/crates/testkit/src/engine/state.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        answer::{length, prefix_of, prompt_tokens},
+        answer::{answer_len, prefix_of, prompt_tokens},
         record::{Ended, EngineRecord, RanRequest},
         settings::{EngineFaults, EngineSettings},
     },
@@ -14,10 +14,10 @@
     tokio::sync::watch,
 };
 
-/// Requests in text that the record keeps.
-const MAX_SEEN: usize = 4096;
+/// Maximum number of raw requests kept in the record.
+const MAX_RECORDED_REQUESTS: usize = 4096;
 
-/// What a request asks the engine to make.
+/// A generation job.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct Job {
@@ -32,14 +32,14 @@
     pub(super) made: u32,
 }
 
-/// A stream of tokens, waiting, running or ended and still resumable.
+/// A token stream: waiting, running, or ended and still resumable.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) job: Job,
     pub(super) len: u32,
     pub(super) prefill_left: u32,
     pub(super) readers: u32,
-    pub(super) alone_since: Instant,
+    pub(super) unread_since: Instant,
     pub(super) ended: Option<Ended>,
     pub(super) record: usize,
 }
@@ -56,7 +56,7 @@
     pub(super) at: Instant,
 }
 
-/// What the engine tells of its load.
+/// Load report served to callers.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub(super) struct LoadReport {
@@ -90,7 +90,7 @@
     last_stream: u64,
 }
 
-/// An engine; a tick is sent whenever a stream may have moved.
+/// An engine; `tick` notifies readers when streams may have changed.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) cfg: EngineSettings,
@@ -130,7 +130,7 @@
 }
 
 impl State {
-    /// Puts a job into the queue, behind those of its priority: the stream's name.
+    /// Queues a job position others of the same or higher priority; returns the stream's name.
     pub(super) fn enqueue(
         &mut self,
         cfg: &EngineSettings,
@@ -152,26 +152,26 @@
             ended: None,
         });
         let stream = Stream {
-            len: length(&job.weights, &job.prompt, job.max_tokens),
+            len: answer_len(&job.weights, &job.prompt, job.max_tokens),
             prefill_left: prompt_tokens.div_ceil(cfg.prefill_tokens.max(1)),
             readers: 0,
-            alone_since: Instant::now(),
+            unread_since: Instant::now(),
             ended: None,
             record: self.record.requests.len() - 1,
             job,
         };
-        let behind = self.waiting.partition_point(|other| {
+        let position = self.waiting.partition_point(|other| {
             self.streams
                 .get(other)
                 .map_or(0, |other| other.job.priority)
                 <= stream.job.priority
         });
-        self.waiting.insert(behind, name.clone());
+        self.waiting.insert(position, name.clone());
         self.streams.insert(name.clone(), stream);
         name
     }
 
-    /// Ends a stream if it hasn't ended.
+    /// Ends a stream; returns whether it was still open.
     pub(super) fn end(
         &mut self,
         name: &str,
@@ -182,18 +182,18 @@
         let Some(stream) = self.streams.get_mut(name) else {
             return false;
         };
-        let open = stream.ended.is_none();
-        if open {
+        let was_open = stream.ended.is_none();
+        if was_open {
             stream.ended = Some(ended);
             let row = &mut self.record.requests[stream.record];
             row.ended = Some(ended);
             row.end_ms = Some(unix_ms());
         }
-        open
+        was_open
     }
 
-    /// Names of the streams on an instance that haven't ended.
-    pub(super) fn open_on(
+    /// Names of the open streams on an instance.
+    pub(super) fn open_streams_on(
         &self,
         instance: &str,
     ) -> Vec<String> {
@@ -202,7 +202,7 @@
         streams.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Forgets all but the record, as a process that starts anew.
+    /// Resets everything except the record, as a process restart does.
     pub(super) fn restart(&mut self) {
         let streams: Vec<_> = self.streams.keys().cloned().collect();
         for name in streams {
@@ -216,7 +216,7 @@
         self.boot = unix_ms().max(self.boot + 1);
     }
 
-    /// Remembers a prefix, forgetting the oldest: whether it was known.
+    /// Adds a prefix to the LRU cache; returns whether it was cached.
     pub(super) fn touch_prefix(
         &mut self,
         cfg: &EngineSettings,
@@ -225,21 +225,21 @@
     ) -> bool {
         let entry = (instance.to_owned(), prefix_of(prompt));
         let known = self.prefixes.iter().position(|other| *other == entry);
-        if let Some(place) = known {
-            self.prefixes.remove(place);
+        if let Some(index) = known {
+            self.prefixes.remove(index);
         } else {
-            self.cache_event("stored", entry.clone());
+            self.push_cache_event("stored", entry.clone());
         }
         self.prefixes.push_back(entry);
         while self.prefixes.len() > cfg.prefix_entries {
             if let Some(oldest) = self.prefixes.pop_front() {
-                self.cache_event("evicted", oldest);
+                self.push_cache_event("evicted", oldest);
             }
         }
         known.is_some()
     }
 
-    fn cache_event(
+    fn push_cache_event(
         &mut self,
         kind: &'static str,
         (instance, prefix): (String, String),
@@ -257,8 +257,8 @@
         });
     }
 
-    /// Looks at the load for the report that callers get from now on.
-    pub(super) fn look(
+    /// Refreshes the load report.
+    pub(super) fn refresh_load_report(
         &mut self,
         cfg: &EngineSettings,
     ) {
@@ -275,12 +275,12 @@
         };
     }
 
-    pub(super) fn see(
+    pub(super) fn record_raw_request(
         &mut self,
         text: String,
     ) {
         self.record.seen.push_back(text);
-        if self.record.seen.len() > MAX_SEEN {
+        if self.record.seen.len() > MAX_RECORDED_REQUESTS {
             self.record.seen.pop_front();
         }
     }
--- a/crates/testkit/src/engine/stream_body.rs
+++ b/crates/testkit/src/engine/stream_body.rs
@@ -14,32 +14,32 @@
     tokio::{sync::watch::Receiver, time},
 };
 
-/// Long enough for what was sent to leave before the connection is closed.
-const FLUSH: Duration = Duration::from_millis(10);
+/// Lets sent data reach the client before the connection is closed.
+const FLUSH_DELAY: Duration = Duration::from_millis(10);
 
-/// One caller reading a stream from some token on.
-pub(super) struct Reader {
+/// Reads a stream from a token offset, for one caller.
+pub(super) struct StreamReader {
     engine: Arc<Engine>,
     name: String,
-    /// Whose tokens are told: another stream's when answers are crossed.
-    told: String,
+    /// Stream whose tokens are sent; differs from `name` when answers are crossed.
+    source: String,
     offset: u32,
     cut_after: Option<u32>,
-    over: bool,
+    is_done: bool,
     rx: Receiver<()>,
 }
 
-enum Next {
+enum ReadResult {
     Chunk(Bytes),
     Cut,
     Wait,
 }
 
-impl Reader {
+impl StreamReader {
     pub(super) fn new(
         engine: Arc<Engine>,
         name: String,
-        told: String,
+        source: String,
         offset: u32,
     ) -> Self {
         let rx = engine.tick.subscribe();
@@ -52,26 +52,26 @@
         Self {
             engine,
             name,
-            told,
+            source,
             offset,
             cut_after,
-            over: false,
+            is_done: false,
             rx,
         }
     }
 
-    /// The weights that the stream runs on.
+    /// Weights used by the stream.
     pub(super) fn weights(&self) -> String {
         let state = self.engine.lock();
         state
             .streams
-            .get(&self.told)
+            .get(&self.source)
             .map(|stream| stream.job.weights.clone())
             .unwrap_or_default()
     }
 
-    /// Waits until the stream has ended: how.
-    pub(super) async fn ended(&mut self) -> Option<Ended> {
+    /// Waits until the stream has ended; returns why, or `None` if it is unknown.
+    pub(super) async fn wait_ended(&mut self) -> Option<Ended> {
         loop {
             match self.engine.lock().streams.get(&self.name) {
                 None => return None,
@@ -82,67 +82,67 @@
         }
     }
 
-    /// The next piece of the SSE body.
-    pub(super) async fn piece(mut self) -> Option<(Result<Bytes, PayloadError>, Self)> {
+    /// Returns the next chunk of the SSE body.
+    pub(super) async fn next_chunk(mut self) -> Option<(Result<Bytes, PayloadError>, Self)> {
         loop {
-            if self.over {
+            if self.is_done {
                 return None;
             }
             match self.next() {
-                Next::Chunk(chunk) => return Some((Ok(chunk), self)),
-                Next::Cut => {
-                    time::sleep(FLUSH).await;
+                ReadResult::Chunk(chunk) => return Some((Ok(chunk), self)),
+                ReadResult::Cut => {
+                    time::sleep(FLUSH_DELAY).await;
                     return Some((Err(PayloadError::Incomplete(None)), self));
                 }
-                Next::Wait => self.rx.changed().await.ok()?,
+                ReadResult::Wait => self.rx.changed().await.ok()?,
             }
         }
     }
 
-    fn next(&mut self) -> Next {
+    fn next(&mut self) -> ReadResult {
         let engine = Arc::clone(&self.engine);
         let state = engine.lock();
-        let Some(stream) = state.streams.get(&self.told) else {
-            return Next::Cut;
+        let Some(stream) = state.streams.get(&self.source) else {
+            return ReadResult::Cut;
         };
         let mut text = String::new();
         while self.offset < stream.job.made && self.cut_after.is_none_or(|cut| self.offset < cut) {
             let content = token(&stream.job.weights, &stream.job.prompt, self.offset);
             self.offset += 1;
-            text += &event(self.offset, &chunk(stream, &content, false));
+            text += &sse_event(self.offset, &chunk(stream, &content, false));
         }
         match stream.ended {
-            _ if !text.is_empty() => Next::Chunk(text.into()),
-            _ if self.cut_after == Some(self.offset) => Next::Cut,
-            None => Next::Wait,
+            _ if !text.is_empty() => ReadResult::Chunk(text.into()),
+            _ if self.cut_after == Some(self.offset) => ReadResult::Cut,
+            None => ReadResult::Wait,
             Some(Ended::Done) => {
-                self.over = true;
-                let last = event(self.offset, &chunk(stream, "", true));
-                Next::Chunk(format!("{last}data: [DONE]\n\n").into())
+                self.is_done = true;
+                let last = sse_event(self.offset, &chunk(stream, "", true));
+                ReadResult::Chunk(format!("{last}data: [DONE]\n\n").into())
             }
-            Some(_) => Next::Cut,
+            Some(_) => ReadResult::Cut,
         }
     }
 }
 
-impl Drop for Reader {
+impl Drop for StreamReader {
     fn drop(&mut self) {
         let mut state = self.engine.lock();
         if let Some(stream) = state.streams.get_mut(&self.name) {
             stream.readers -= 1;
-            stream.alone_since = Instant::now();
+            stream.unread_since = Instant::now();
         }
     }
 }
 
-fn event(
+fn sse_event(
     id: u32,
     data: &Value,
 ) -> String {
     format!("id: {id}\ndata: {data}\n\n")
 }
 
-/// Why an answer ends where it does.
+/// The `finish_reason` of an answer.
 pub(super) fn finish_reason(stream: &Stream) -> &'static str {
     if stream.len == stream.job.max_tokens {
         "length"
@@ -151,7 +151,7 @@
     }
 }
 
-/// The counts that an answer closes with.
+/// The `usage` object of an answer.
 pub(super) fn usage(stream: &Stream) -> Value {
     let prompt = super::answer::prompt_tokens(&stream.job.prompt);
     json!({
