--- a/crates/testkit/src/bin/jasmine-bench.rs
+++ b/crates/testkit/src/bin/jasmine-bench.rs
@@ -1,4 +1,4 @@
-//! Measures the decision code under load, on a virtual clock, and compares two results.
+//! Runs the scheduling simulation and optionally compares the result with an earlier one.
 
 use {
     clap::{Arg, Command, value_parser},
@@ -10,7 +10,7 @@
 
 fn command() -> Command {
     Command::new("jasmine-bench")
-        .about("Drives loads against the decision code and prints what came of them")
+        .about("Simulates the scheduling decisions under load and prints the metrics")
         .arg(
             Arg::new("seed")
                 .long("seed")
@@ -20,24 +20,24 @@
         .arg(
             Arg::new("load")
                 .long("load")
-                .help("Only the load of this name"),
+                .help("Runs only the scenario with this name"),
         )
         .arg(
             Arg::new("policy")
                 .long("policy")
-                .help("Only the policy of this name"),
+                .help("Runs only the policy with this name"),
         )
         .arg(
             Arg::new("out")
                 .long("out")
                 .value_parser(value_parser!(PathBuf))
-                .help("Writes the result as JSON"),
+                .help("Writes the result to this file as JSON"),
         )
         .arg(
             Arg::new("before")
                 .long("before")
                 .value_parser(value_parser!(PathBuf))
-                .help("A former result to compare with"),
+                .help("JSON file of an earlier result to compare with"),
         )
 }
 
@@ -53,7 +53,7 @@
         }
         let best = Workload::generate(scenario, seed).best_static_hit_rate(total_slots());
         println!(
-            "{scenario}: a fixed choice that knows all requests finds {:.1} % loaded",
+            "{scenario}: best static placement has a hit rate of {:.1} %",
             best * 100.0
         );
         let policies = Policy::ALL
--- a/crates/testkit/src/bin/jasmine-demo.rs
+++ b/crates/testkit/src/bin/jasmine-demo.rs
@@ -1,4 +1,4 @@
-//! Brings up the whole system with stand-ins on this machine and serves until it is told to stop.
+//! Runs a local cluster with stand-ins until it is stopped.
 
 use {
     awc::http::Method,
@@ -11,7 +11,7 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-fn introduce(cluster: &Cluster) {
+fn print_usage(cluster: &Cluster) {
     println!("Callers' addresses:");
     for vm in &cluster.vms {
         println!("  VM {}  http://{}", vm.number, vm.callers());
@@ -37,7 +37,7 @@
     );
 }
 
-/// Serves a few requests itself: whether all came back as they should.
+/// Sends a few requests; returns whether all answers are as expected.
 async fn check(cluster: &Cluster) -> Result<bool, Box<dyn Error>> {
     let key = cluster.key("courier");
     let chat = |vm, model, stream| Call::chat(cluster.callers(vm), key, model, "Hello", 20, stream);
@@ -52,11 +52,11 @@
         ("chat, base model", chat(3, "base", true), ""),
         ("service call", enrol.key(key), ""),
     ];
-    let mut good = true;
-    for (what, call, adapter) in calls {
+    let mut all_ok = true;
+    for (label, call, adapter) in calls {
         let answer = call.send().await?;
-        good &= answer.is_whole() && answer.header("x-jasmine-adapter") == adapter;
-        println!("{what:18} {}", describe(&answer));
+        all_ok &= answer.is_whole() && answer.header("x-jasmine-adapter") == adapter;
+        println!("{label:18} {}", describe(&answer));
     }
     let unknown = Call::chat(
         cluster.callers(1),
@@ -68,7 +68,7 @@
     );
     let unknown = unknown.send().await?;
     println!("{:18} {}", "unknown key", describe(&unknown));
-    Ok(good && unknown.status == 401)
+    Ok(all_ok && unknown.status == 401)
 }
 
 fn describe(answer: &Answer) -> String {
@@ -87,7 +87,7 @@
 async fn run(only_check: bool) -> Result<bool, Box<dyn Error>> {
     println!("Building and starting 3 VMs, 9 engines and 3 servers ...");
     let cluster = Cluster::start(ClusterSpec::demo()).await?;
-    introduce(&cluster);
+    print_usage(&cluster);
     if only_check {
         return check(&cluster).await;
     }
@@ -105,9 +105,9 @@
     let check = Arg::new("check")
         .long("check")
         .action(ArgAction::SetTrue)
-        .help("Serve a few requests itself, print them and exit");
+        .help("Send a few requests, print the answers and exit");
     let args = Command::new("jasmine-demo")
-        .about("The whole system on this machine, with stand-ins")
+        .about("Runs a local cluster with stand-ins")
         .arg(check)
         .get_matches();
     match actix_web::rt::System::new().block_on(run(args.get_flag("check"))) {
--- a/crates/testkit/src/bin/jasmine-load.rs
+++ b/crates/testkit/src/bin/jasmine-load.rs
@@ -1,4 +1,4 @@
-//! Drives real processes with a load for a while and prints what callers got.
+//! Load-tests a cluster of real daemon processes and prints a report.
 
 use {
     clap::{Arg, ArgMatches, Command, builder::PossibleValuesParser, value_parser},
@@ -23,28 +23,28 @@
 
 fn cli() -> Command {
     Command::new("jasmine-load")
-        .about("Drives real processes with a load and prints what callers got")
+        .about("Load-tests a cluster of real daemon processes and prints a report")
         .arg(
             Arg::new("load")
                 .long("load")
                 .default_value("steady")
                 .value_parser(PossibleValuesParser::new(Load::ALL.map(Load::name)))
-                .help("How requests come in"),
+                .help("Pattern of request arrivals"),
         )
         .arg(number(
             "warm-up",
             "60",
-            "Seconds sent before those that count",
+            "Seconds of load before the measurement",
         ))
-        .arg(number("seconds", "60", "Seconds that count"))
-        .arg(number("vms", "3", "VMs"))
-        .arg(number("engines", "9", "Engines"))
-        .arg(number("adapters", "300", "Adapters"))
-        .arg(number("seed", "1", "The same seed sends the same requests"))
+        .arg(number("seconds", "60", "Seconds of measurement"))
+        .arg(number("vms", "3", "Number of VMs"))
+        .arg(number("engines", "9", "Number of engines"))
+        .arg(number("adapters", "300", "Number of adapters"))
+        .arg(number("seed", "1", "Seed of the generated requests"))
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("File to write the report to"),
+                .help("Writes the report to this file as JSON"),
         )
 }
 
@@ -62,7 +62,7 @@
     };
     let cluster = Cluster::start(spec).await?;
     let overhead = measure_overhead(&cluster).await?;
-    let before = cpu(&cluster);
+    let before = cpu_times_ms(&cluster);
     let warm_up = Duration::from_secs(number("warm-up").into());
     let run = Duration::from_secs(number("seconds").into());
     let samples = drive(&cluster, load, warm_up + run, number("seed").into()).await;
@@ -72,9 +72,9 @@
         load: load.name().to_owned(),
         seconds: run.as_secs(),
         accounts: accounts
-            .map(|(place, spec)| AccountReport::new(place, spec, &samples, from_ms))
+            .map(|(index, spec)| AccountReport::new(index, spec, &samples, from_ms))
             .collect(),
-        cpu_ms: cpu(&cluster)
+        cpu_ms: cpu_times_ms(&cluster)
             .iter()
             .zip(before)
             .map(|(now, then)| now - then)
@@ -82,7 +82,7 @@
         overhead,
         ..Report::default()
     };
-    report.add_engines(&cluster.upstreams.engine_records().await);
+    report.add_engine_records(&cluster.upstreams.engine_records().await);
     print!("{report}");
     if let Some(file) = args.get_one::<String>("json") {
         fs::write(file, serde_json::to_string_pretty(&report)?)?;
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-fn cpu(cluster: &Cluster) -> Vec<u64> {
+fn cpu_times_ms(cluster: &Cluster) -> Vec<u64> {
     let gateways = cluster.vms.iter().filter_map(|vm| vm.gateway.as_ref());
     let controllers = cluster.vms.iter().filter_map(|vm| vm.controller.as_ref());
     gateways.chain(controllers).map(Daemon::cpu_ms).collect()
--- a/crates/testkit/src/bin/jasmine-stand-in.rs
+++ b/crates/testkit/src/bin/jasmine-stand-in.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs a single stand-in as a process.
 
 use {
     clap::{Arg, ArgAction, ArgMatches, Command, value_parser},
@@ -22,7 +22,7 @@
 fn cli() -> Command {
     let settings = Arg::new("settings")
         .long("settings")
-        .help("Settings as JSON text");
+        .help("Settings as JSON");
     let fencing = Arg::new("checks-fencing")
         .long("checks-fencing")
         .action(ArgAction::SetTrue);
@@ -38,13 +38,15 @@
             .arg(address("weight-store")),
         Command::new("service").about("Server of a plain service"),
         Command::new("proxy")
-            .about("Link with faults; POST /stand-in/link at the control address sets them")
+            .about(
+                "Fault-injecting proxy, controlled by POST /stand-in/link at the control address",
+            )
             .arg(address("target").required(true))
             .arg(address("control").default_value("127.0.0.1:0")),
     ];
     let listen = address("listen").default_value("127.0.0.1:0").global(true);
     Command::new("jasmine-stand-in")
-        .about("Stands in for a part that lies outside the system")
+        .about("Runs a stand-in for an external system")
         .subcommand_required(true)
         .arg(listen)
         .subcommands(subcommands)
@@ -71,7 +73,7 @@
             engine::start(at, cfg)?
         }
         _ => {
-            let target = listen("target").ok_or("no target")?;
+            let target = listen("target").ok_or("missing --target")?;
             let proxy = Proxy::start(at, target)?;
             let address = proxy.address();
             let control = start_control(listen("control").unwrap_or(at), proxy)?;
--- a/crates/testkit/src/client/answer.rs
+++ b/crates/testkit/src/client/answer.rs
@@ -3,59 +3,59 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Why a call brought no whole answer.
+/// Why a call got no complete answer.
 #[derive(Debug)]
 #[derive(derive_more::Display)]
 pub enum CallError {
-    /// No connection, or it closed before the head of an answer.
+    /// The connection failed or closed before the response head.
     #[display("no answer: {_0}")]
     NoAnswer(String),
-    /// The body stopped short.
-    #[display("answer cut: {_0}")]
+    /// The body was truncated.
+    #[display("answer truncated: {_0}")]
     Cut(String),
 }
 
 impl std::error::Error for CallError {}
 
-/// How a stream of events ended.
+/// How an SSE stream ended.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum EndOfStream {
-    /// The answer was whole and no stream.
+    /// The answer was not a stream.
     #[default]
     NoStream,
-    /// With `[DONE]`.
+    /// It ended with `[DONE]`.
     Done,
-    /// With an event that carries an error: its code.
+    /// It ended with an error event that has this code.
     Error(String),
-    /// The connection closed without either.
+    /// The connection closed before an end marker.
     Cut,
 }
 
-/// What came back.
+/// The response to a call.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers, names in small letters.
+    /// Headers with lowercase names.
     pub headers: BTreeMap<String, String>,
-    /// The body, null unless it is JSON.
+    /// The JSON body, null for other content.
     pub json: Value,
-    /// The text of a completion, whole or put together from its parts.
+    /// The completion text, concatenated if streamed.
     pub text: String,
-    /// When each part of a stream came, counted from the call's start.
+    /// Arrival time of each stream chunk since the start of the call.
     pub parts: Vec<Duration>,
-    /// The ids of the chunks, each once, in order.
+    /// Ids of the chunks in order, without consecutive duplicates.
     pub chunk_ids: Vec<String>,
-    /// The usage that the answer closed with.
+    /// The `usage` object of the answer.
     pub usage: Value,
     /// How the stream ended.
     pub end: EndOfStream,
-    /// How long the call took.
+    /// Duration of the call.
     pub took: Duration,
 }
 
 impl Answer {
-    /// A header, empty without it.
+    /// Returns a header, empty if absent.
     pub fn header(
         &self,
         name: &str,
@@ -63,7 +63,7 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The code of an error answer or of the event that ended a stream, empty without one.
+    /// Error code of the response or of the final stream event, empty if none.
     pub fn code(&self) -> &str {
         match &self.end {
             EndOfStream::Error(code) => code,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether a completion came whole.
+    /// Whether the call succeeded and the body is complete.
     pub fn is_whole(&self) -> bool {
         self.status == 200 && matches!(self.end, EndOfStream::NoStream | EndOfStream::Done)
     }
--- a/crates/testkit/src/client/call.rs
+++ b/crates/testkit/src/client/call.rs
@@ -15,10 +15,10 @@
     },
 };
 
-/// One HTTP call to be made.
+/// An HTTP request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Whom to call.
+    /// Address of the server.
     pub to: SocketAddr,
     /// The HTTP method.
     pub method: Method,
@@ -26,14 +26,14 @@
     pub path: String,
     /// Headers to send.
     pub headers: Vec<(String, String)>,
-    /// The body, as JSON; null for none.
+    /// The JSON body, null for none.
     pub body: Value,
-    /// How long the head of the answer may take.
+    /// Timeout until the response head.
     pub timeout: Duration,
 }
 
 impl Call {
-    /// A call without headers or body.
+    /// Creates a call without headers or body.
     pub fn new(
         to: SocketAddr,
         method: Method,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A chat of one message.
+    /// Creates a chat completion call with one user message.
     pub fn chat(
         to: SocketAddr,
         key: &str,
@@ -82,7 +82,7 @@
         self
     }
 
-    /// Presents a key.
+    /// Adds a bearer token.
     pub fn key(
         self,
         key: &str,
@@ -99,11 +99,11 @@
         self
     }
 
-    /// Makes the call with `client` and reads the answer to its end.
+    /// Sends the call with `client` and reads the whole response.
     ///
     /// # Errors
     ///
-    /// When no answer came or a body that is no stream stopped short.
+    /// When there is no response or a non-streamed body is truncated.
     pub async fn send_with(
         &self,
         client: &Client,
@@ -116,11 +116,11 @@
         for (name, value) in &self.headers {
             req = req.insert_header((name.as_str(), value.as_str()));
         }
-        let sent = match &self.body {
+        let result = match &self.body {
             Value::Null => req.send().await,
             body => req.send_json(body).await,
         };
-        let mut res = sent.map_err(|e| CallError::NoAnswer(e.to_string()))?;
+        let mut res = result.map_err(|e| CallError::NoAnswer(e.to_string()))?;
         let headers = res.headers().iter();
         let text = |value: &HeaderValue| String::from_utf8_lossy(value.as_bytes()).into_owned();
         let mut answer = Answer {
@@ -130,30 +130,30 @@
                 .collect(),
             ..Answer::default()
         };
-        let events = answer
+        let is_sse = answer
             .header("content-type")
             .starts_with("text/event-stream");
         let mut reader = EventReader::default();
         let mut body = Vec::new();
-        if events {
+        if is_sse {
             answer.end = EndOfStream::Cut;
         }
-        while let Some(piece) = res.next().await {
-            match piece {
-                Ok(piece) if events => reader.take(&piece, start.elapsed(), &mut answer),
-                Ok(piece) => body.extend_from_slice(&piece),
-                Err(_) if events => break,
+        while let Some(chunk) = res.next().await {
+            match chunk {
+                Ok(chunk) if is_sse => reader.feed(&chunk, start.elapsed(), &mut answer),
+                Ok(chunk) => body.extend_from_slice(&chunk),
+                Err(_) if is_sse => break,
                 Err(e) => return Err(CallError::Cut(e.to_string())),
             }
         }
         answer.took = start.elapsed();
-        if !events {
-            whole(&mut answer, &body);
+        if !is_sse {
+            parse_body(&mut answer, &body);
         }
         Ok(answer)
     }
 
-    /// Makes the call on a connection of its own.
+    /// Sends the call on a new connection.
     ///
     /// # Errors
     ///
@@ -164,7 +164,7 @@
     }
 }
 
-fn whole(
+fn parse_body(
     answer: &mut Answer,
     body: &[u8],
 ) {
@@ -177,7 +177,7 @@
     answer.usage = answer.json["usage"].clone();
 }
 
-/// Asks for a JSON document.
+/// Sends a GET request and returns the JSON response.
 ///
 /// # Errors
 ///
@@ -192,7 +192,7 @@
         .map(|answer| answer.json)
 }
 
-/// Sends a JSON document, as to a stand-in's control: the answer's document.
+/// Sends a POST request with a JSON body and returns the JSON response.
 ///
 /// # Errors
 ///
--- a/crates/testkit/src/client/event_reader.rs
+++ b/crates/testkit/src/client/event_reader.rs
@@ -4,14 +4,14 @@
     std::time::Duration,
 };
 
-/// Takes the lines of an SSE body as they come and puts the answer together.
+/// Incremental parser of an SSE body.
 #[derive(Debug, Default)]
 pub(super) struct EventReader {
     buf: Vec<u8>,
 }
 
 impl EventReader {
-    pub(super) fn take(
+    pub(super) fn feed(
         &mut self,
         bytes: &[u8],
         at: Duration,
@@ -22,13 +22,13 @@
             let line: Vec<u8> = self.buf.drain(..=end).collect();
             let line = String::from_utf8_lossy(&line);
             if let Some(data) = line.trim_end().strip_prefix("data:") {
-                event(data.trim(), at, answer);
+                handle_event(data.trim(), at, answer);
             }
         }
     }
 }
 
-fn event(
+fn handle_event(
     data: &str,
     at: Duration,
     answer: &mut Answer,
--- a/crates/testkit/src/client/mod.rs
+++ b/crates/testkit/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for tests and drivers: whole answers and SSE streams with their times.
+//! An HTTP client for tests that records SSE streams with their timing.
 
 mod answer;
 mod call;
--- a/crates/testkit/src/decisions/engine.rs
+++ b/crates/testkit/src/decisions/engine.rs
@@ -14,7 +14,7 @@
 
 /// A request queued or running on an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Running {
+pub struct EngineRequest {
     /// Index of the request.
     pub id: usize,
     /// Adapter instance that serves it.
@@ -31,9 +31,9 @@
     /// Loads in progress with their remaining time at full speed, in milliseconds.
     pub loading: BTreeMap<Instance, f64>,
     /// Requests in the current batch.
-    pub running: Vec<Running>,
+    pub running: Vec<EngineRequest>,
     /// Requests queued for the batch.
-    pub waiting: VecDeque<Running>,
+    pub waiting: VecDeque<EngineRequest>,
     /// Boot counter, incremented by each restart.
     pub boot: u64,
     /// Number of steps run.
@@ -62,7 +62,7 @@
     pub fn advance(
         &mut self,
         now: Millis,
-    ) -> (Vec<usize>, Vec<Running>) {
+    ) -> (Vec<usize>, Vec<EngineRequest>) {
         let (mut first, mut ended) = (Vec::new(), Vec::new());
         while self.next_step_us <= now.0 * 1000 {
             while self.running.len() < MAX_BATCH as usize
@@ -97,7 +97,7 @@
     }
 
     /// Drops all adapters and requests; returns the lost requests.
-    pub fn restart(&mut self) -> Vec<Running> {
+    pub fn restart(&mut self) -> Vec<EngineRequest> {
         self.boot += 1;
         self.loaded.clear();
         self.loading.clear();
--- a/crates/testkit/src/decisions/fleet.rs
+++ b/crates/testkit/src/decisions/fleet.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         caller::account_limit,
-        engine::{MAX_BATCH, Running, SLOTS},
+        engine::{EngineRequest, MAX_BATCH, SLOTS},
         sim::{ENGINES, World},
         workload::{ACCOUNT_RATES, VMS},
     },
@@ -137,7 +137,7 @@
         world: &mut World,
         ids: &[usize],
         loaded: &[Instance],
-        ended: &[(usize, Running)],
+        ended: &[(usize, EngineRequest)],
     ) {
         for &instance in loaded {
             let event = OwnerEvent::LoadEnded(instance, LoadResult::Loaded);
@@ -160,7 +160,7 @@
     fn finish_request(
         &mut self,
         world: &World,
-        running: &Running,
+        running: &EngineRequest,
     ) {
         if let Some((g, instance)) = self.dispatched.remove(&running.id) {
             let finish = if running.remaining_tokens == 0 {
--- a/crates/testkit/src/decisions/sim.rs
+++ b/crates/testkit/src/decisions/sim.rs
@@ -2,7 +2,7 @@
     super::{
         baseline::Baseline,
         caller::TokenBucket,
-        engine::{Engine, Running, SLOTS, Store},
+        engine::{Engine, EngineRequest, SLOTS, Store},
         fleet::Fleet,
         metrics::{Outcome, RunMetrics},
         workload::{
@@ -101,7 +101,7 @@
         instance: Instance,
     ) {
         let remaining_tokens = self.arrivals[id].tokens;
-        self.engines[engine].waiting.push_back(Running {
+        self.engines[engine].waiting.push_back(EngineRequest {
             id,
             instance,
             remaining_tokens,
@@ -145,7 +145,7 @@
     }
 
     /// Advances all engines; returns the finished requests.
-    fn advance_engines(&mut self) -> Vec<(usize, Running)> {
+    fn advance_engines(&mut self) -> Vec<(usize, EngineRequest)> {
         let mut all = Vec::new();
         for engine in 0..ENGINES {
             let (first, ended) = self.engines[engine].advance(self.now);
--- a/crates/testkit/src/harness/binaries.rs
+++ b/crates/testkit/src/harness/binaries.rs
@@ -8,28 +8,32 @@
     },
 };
 
-/// Builds the workspace's binaries, once for each process: the folder that they lie in.
+/// Builds the daemons once per process; returns the directory of the binaries.
 ///
 /// # Errors
 ///
-/// [`HarnessError::Build`] with what cargo said.
-pub(super) fn built() -> Result<&'static Path, HarnessError> {
-    static FOLDER: OnceLock<Result<PathBuf, String>> = OnceLock::new();
-    match FOLDER.get_or_init(build) {
-        Ok(folder) => Ok(folder),
-        Err(said) => Err(HarnessError::Build(said.clone())),
+/// [`HarnessError::Build`] with the error output of cargo.
+pub(super) fn binaries_dir() -> Result<&'static Path, HarnessError> {
+    static DIR: OnceLock<Result<PathBuf, String>> = OnceLock::new();
+    match DIR.get_or_init(build) {
+        Ok(dir) => Ok(dir),
+        Err(output) => Err(HarnessError::Build(output.clone())),
     }
 }
 
 fn build() -> Result<PathBuf, String> {
     let exe = env::current_exe().map_err(|e| e.to_string())?;
-    let beside = exe.parent().ok_or("this program lies in no folder")?;
-    let folder = if beside.ends_with("deps") || beside.ends_with("examples") {
-        beside.parent().ok_or("no folder above it")?
+    let exe_dir = exe
+        .parent()
+        .ok_or("the current executable has no parent directory")?;
+    let dir = if exe_dir.ends_with("deps") || exe_dir.ends_with("examples") {
+        exe_dir
+            .parent()
+            .ok_or("the directory of the current executable has no parent")?
     } else {
-        beside
+        exe_dir
     };
-    let target = folder.parent().ok_or("no target folder")?;
+    let target = dir.parent().ok_or("no target directory found")?;
     let mut cargo = Command::new(env!("CARGO"));
     cargo
         .current_dir(env!("CARGO_MANIFEST_DIR"))
@@ -44,12 +48,12 @@
         ])
         .arg("--target-dir")
         .arg(target);
-    if folder.ends_with("release") {
+    if dir.ends_with("release") {
         cargo.arg("--release");
     }
     let output = cargo.output().map_err(|e| e.to_string())?;
     if output.status.success() {
-        Ok(folder.to_owned())
+        Ok(dir.to_owned())
     } else {
         Err(String::from_utf8_lossy(&output.stderr).into_owned())
     }
--- a/crates/testkit/src/harness/cluster.rs
+++ b/crates/testkit/src/harness/cluster.rs
@@ -4,7 +4,7 @@
         daemon::Daemon,
         initial_edit::initial_ops,
         poll::{HarnessError, poll},
-        upstreams::{Upstreams, anywhere},
+        upstreams::{Upstreams, loopback_any_port},
         vm::Vm,
     },
     crate::{
@@ -28,55 +28,55 @@
     },
 };
 
-/// The token that operators present in tests and in the demo.
+/// Operator token of tests and the demo.
 pub const OPERATOR_TOKEN: &str = "operator-token-of-the-demo";
 
-/// How long the system may take until it serves.
-const READY_BOUND: Duration = Duration::from_secs(30);
+/// Timeout until the cluster serves requests.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Lines of each daemon that are shown when a test fails.
-const SHOWN_LINES: usize = 60;
+/// Output lines printed per daemon when a test fails.
+const MAX_PRINTED_LINES: usize = 60;
 
-/// Ops of one of the first edits, well under the size that an edit may have.
-const OPS_IN_AN_EDIT: usize = 1000;
+/// Maximum number of ops per initial edit, below the size limit of an edit.
+const MAX_OPS_PER_EDIT: usize = 1000;
 
-/// The daemons as processes, with all that they need around them.
+/// A running cluster of daemon processes and stand-ins.
 ///
-/// Fields are dropped in this order: the daemons end before what they talk to.
+/// Fields are dropped in order, so that daemons end before the stand-ins.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The VMs, the first having number 1.
+    /// The VMs; the id of the first is 1.
     pub vms: Vec<Vm>,
-    /// Engines, servers and weight store.
+    /// Engines, servers and the weight store.
     pub upstreams: Upstreams,
-    /// The key-value service and the VM list.
+    /// The platform stand-in: key-value service and VM list.
     pub platform: Running,
-    /// Status and time of what gateways answered from when they said they were ready to the first call that they served.
+    /// Status and latency of all gateway answers between readiness and the first success.
     pub answers_when_ready: Vec<(u16, Duration)>,
     spec: ClusterSpec,
     keys: Vec<String>,
-    folder: Folder,
+    temp_dir: TempDir,
 }
 
-/// A folder for settings files, removed when dropped.
+/// Directory of the settings files, removed on drop.
 #[derive(Debug)]
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         drop(fs::remove_dir_all(&self.0));
     }
 }
 
 impl Cluster {
-    /// Brings all up, applies the first configuration and waits until every gateway serves.
+    /// Starts everything, applies the initial configuration and waits until all gateways serve.
     ///
     /// # Errors
     ///
-    /// When something can't be started or the system doesn't serve in time.
+    /// When a part can't be started or the cluster doesn't serve in time.
     pub async fn start(spec: ClusterSpec) -> Result<Self, HarnessError> {
-        let folder = new_folder()?;
-        let platform = platform::start(anywhere())?;
+        let temp_dir = create_temp_dir()?;
+        let platform = platform::start(loopback_any_port())?;
         let upstreams = Upstreams::start(&spec)?;
         let keys = spec
             .accounts
@@ -90,13 +90,19 @@
             answers_when_ready: Vec::new(),
             spec,
             keys,
-            folder,
+            temp_dir,
         };
-        cluster.list_vms().await?;
+        cluster.publish_vms().await?;
         let digest = TokenDigest::of(OPERATOR_TOKEN).to_string();
         for number in 1..=cluster.spec.vms {
             let platform = cluster.platform.address();
-            let vm = Vm::start(number, &cluster.spec, platform, &digest, &cluster.folder.0)?;
+            let vm = Vm::start(
+                number,
+                &cluster.spec,
+                platform,
+                &digest,
+                &cluster.temp_dir.0,
+            )?;
             cluster.vms.push(vm);
         }
         let ops = initial_ops(&cluster.spec, &cluster.upstreams, &cluster.keys);
@@ -104,7 +110,7 @@
             cluster.start_gateways()?;
             cluster.wait_for_gateways().await?;
         }
-        cluster.edit_when_ready(&ops).await?;
+        cluster.apply_initial_edits(&ops).await?;
         if !cluster.spec.gateways_first {
             cluster.start_gateways()?;
         }
@@ -121,41 +127,41 @@
         Ok(())
     }
 
-    /// Waits for an epoch that every daemon is a member of.
+    /// Waits for an epoch with all daemons as members.
     async fn wait_for_gateways(&self) -> Result<(), HarnessError> {
-        let wanted = format!("closing=false members={}", 2 * self.spec.vms);
-        let look = || async {
+        let condition = format!("closing=false members={}", 2 * self.spec.vms);
+        let check = || async {
             let controllers = self.vms.iter().filter_map(|vm| vm.controller.as_ref());
             let mut lines = controllers.flat_map(Daemon::lines);
-            let written = lines.any(|line| line.contains(&wanted));
+            let written = lines.any(|line| line.contains(&condition));
             written.then_some(()).ok_or_else(String::new)
         };
-        poll(&wanted, READY_BOUND, look).await.map(drop)
+        poll(&condition, READY_TIMEOUT, check).await.map(drop)
     }
 
-    /// What was brought up.
+    /// Configuration of the cluster.
     pub const fn spec(&self) -> &ClusterSpec {
         &self.spec
     }
 
-    /// The key of an account.
+    /// API key of an account.
     ///
     /// # Panics
     ///
-    /// When there is no such account: a defect of the test.
+    /// When the account is not in the spec.
     pub fn key(
         &self,
         account: &str,
     ) -> &str {
-        let place = self
+        let index = self
             .spec
             .accounts
             .iter()
             .position(|other| other.name == account);
-        &self.keys[place.expect("an account of the spec")]
+        &self.keys[index.expect("an account of the spec")]
     }
 
-    /// Where callers reach the gateway of the VM with this number.
+    /// Caller address of a VM's gateway.
     pub fn callers(
         &self,
         vm: u32,
@@ -163,11 +169,11 @@
         self.vms[vm as usize - 1].callers()
     }
 
-    /// Sends ops as one edit through the controller of a VM: its answer.
+    /// Sends an edit to the controller of a VM.
     ///
     /// # Errors
     ///
-    /// When no answer comes.
+    /// When no complete answer is received.
     pub async fn edit(
         &self,
         vm: u32,
@@ -184,11 +190,11 @@
             .await
     }
 
-    /// The revision that the controller of a VM has in force.
+    /// Current configuration revision of a VM's controller.
     ///
     /// # Errors
     ///
-    /// When no answer comes.
+    /// When no answer with a revision is received.
     pub async fn revision(
         &self,
         vm: u32,
@@ -201,7 +207,7 @@
             .ok_or_else(|| CallError::Cut(answer.json.to_string()))
     }
 
-    /// Puts the platform into a faulty state, or a sound one with `{}`.
+    /// Sets the injected faults of the platform; `{}` clears them.
     ///
     /// # Errors
     ///
@@ -215,7 +221,7 @@
             .map(drop)
     }
 
-    /// Puts an engine into a faulty state, or a sound one with `{}`.
+    /// Sets the injected faults of an engine; `{}` clears them.
     ///
     /// # Errors
     ///
@@ -229,28 +235,30 @@
         post_json(to, "/stand-in/fault", faults).await.map(drop)
     }
 
-    /// Waits until the engines have made `tokens` tokens together since they started.
+    /// Waits until the engines have generated `tokens` tokens in total.
     ///
     /// # Errors
     ///
-    /// When they don't within half a minute.
+    /// When they don't within 30 s.
     pub async fn wait_for_tokens(
         &self,
         tokens: u64,
     ) -> Result<(), HarnessError> {
-        let look = || async {
+        let check = || async {
             let records = self.upstreams.engine_records().await;
-            let made: u64 = records.iter().map(|record| record.tokens).sum();
-            if made >= tokens {
+            let generated: u64 = records.iter().map(|record| record.tokens).sum();
+            if generated >= tokens {
                 Ok(())
             } else {
-                Err(format!("{made} tokens"))
+                Err(format!("{generated} tokens"))
             }
         };
-        poll("tokens made", READY_BOUND, look).await.map(drop)
+        poll("tokens generated", READY_TIMEOUT, check)
+            .await
+            .map(drop)
     }
 
-    /// Puts the link to every upstream into a mode, where there are proxies.
+    /// Sets the link mode of all upstream proxies.
     pub fn upstream_links(
         &self,
         mode: Fault,
@@ -261,7 +269,7 @@
         }
     }
 
-    async fn list_vms(&self) -> Result<(), HarnessError> {
+    async fn publish_vms(&self) -> Result<(), HarnessError> {
         let vm = |vm: u32| json!({"vm": vm, "address": "127.0.0.1", "state": "live"});
         let vms: Vec<_> = (1..=self.spec.vms).map(vm).collect();
         let sent = post_json(
@@ -274,33 +282,33 @@
             .map_err(|e| HarnessError::Io(std::io::Error::other(e.to_string())))
     }
 
-    async fn edit_when_ready(
+    async fn apply_initial_edits(
         &self,
         ops: &[Value],
     ) -> Result<(), HarnessError> {
-        for (base, some) in (0..).zip(ops.chunks(OPS_IN_AN_EDIT)) {
+        for (base, chunk) in (0..).zip(ops.chunks(MAX_OPS_PER_EDIT)) {
             let send = || async move {
-                match self.edit(1, &format!("first-{base}"), base, some).await {
+                match self.edit(1, &format!("first-{base}"), base, chunk).await {
                     Ok(answer) if answer.status == 200 => Ok(()),
                     Ok(answer) => Err(format!("{} {}", answer.status, answer.json)),
                     Err(e) => Err(e.to_string()),
                 }
             };
-            poll("first configuration accepted", READY_BOUND, send).await?;
+            poll("first configuration accepted", READY_TIMEOUT, send).await?;
         }
         Ok(())
     }
 
-    /// Waits until both daemons of every VM say that they are ready and its gateway serves a call.
+    /// Waits until the daemons of all VMs are ready and the gateways serve a call.
     ///
-    /// What is answered goes into `answers`.
+    /// Records all answers in `answers`.
     async fn wait_until_serving(
         &self,
         answers: &RefCell<Vec<(u16, Duration)>>,
     ) -> Result<(), HarnessError> {
         for vm in &self.vms {
             self.wait_until_ready(vm.number).await?;
-            let look = || async {
+            let check = || async {
                 let status = Call::new(vm.callers(), Method::GET, "/services/phones/phones/0");
                 let status = status.key(self.keys.first().map_or("", String::as_str));
                 let answer = status.send().await.map_err(|e| e.to_string())?;
@@ -310,24 +318,24 @@
                     status => Err(format!("{status} {}", answer.json)),
                 }
             };
-            let wanted = format!("gateway of VM {} serves", vm.number);
-            poll(&wanted, READY_BOUND, look).await?;
+            let condition = format!("gateway of VM {} serves", vm.number);
+            poll(&condition, READY_TIMEOUT, check).await?;
         }
         Ok(())
     }
 
-    /// Waits until both daemons of a VM say that they are ready.
+    /// Waits until both daemons of a VM report ready.
     ///
     /// # Errors
     ///
-    /// When they don't in time.
+    /// When they are not ready in time.
     pub async fn wait_until_ready(
         &self,
         vm: u32,
     ) -> Result<(), HarnessError> {
         let vm = &self.vms[vm as usize - 1];
         for daemon in [&vm.gateway, &vm.controller].into_iter().flatten() {
-            let look = || async {
+            let check = || async {
                 let call = Call::new(daemon.port("status"), Method::GET, "/readyz");
                 match call.send().await {
                     Ok(answer) if answer.status == 200 => Ok(()),
@@ -335,15 +343,15 @@
                     Err(e) => Err(e.to_string()),
                 }
             };
-            let wanted = format!("daemons of VM {} are ready", vm.number);
-            poll(&wanted, READY_BOUND, look).await?;
+            let condition = format!("daemons of VM {} are ready", vm.number);
+            poll(&condition, READY_TIMEOUT, check).await?;
         }
         Ok(())
     }
 }
 
 impl Drop for Cluster {
-    /// Shows what the daemons wrote last when a test fails.
+    /// Prints the last output of the daemons if the test failed.
     fn drop(&mut self) {
         if !thread::panicking() {
             return;
@@ -351,19 +359,19 @@
         for vm in &self.vms {
             for (role, daemon) in [("gateway", &vm.gateway), ("controller", &vm.controller)] {
                 let lines = daemon.as_ref().map_or_else(Vec::new, Daemon::lines);
-                let last = &lines[lines.len().saturating_sub(SHOWN_LINES)..];
+                let last = &lines[lines.len().saturating_sub(MAX_PRINTED_LINES)..];
                 println!("--- {role} of VM {}\n{}", vm.number, last.join("\n"));
             }
         }
     }
 }
 
-fn new_folder() -> Result<Folder, HarnessError> {
+fn create_temp_dir() -> Result<TempDir, HarnessError> {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let n = COUNT.fetch_add(1, Ordering::Relaxed);
-    let folder = env::temp_dir().join(format!("jasmine-{}-{n}", process::id()));
-    fs::create_dir_all(&folder)?;
-    Ok(Folder(folder))
+    let temp_dir = env::temp_dir().join(format!("jasmine-{}-{n}", process::id()));
+    fs::create_dir_all(&temp_dir)?;
+    Ok(TempDir(temp_dir))
 }
 
 fn new_key(account: &str) -> String {
--- a/crates/testkit/src/harness/cluster_spec.rs
+++ b/crates/testkit/src/harness/cluster_spec.rs
@@ -3,7 +3,7 @@
     jasmine_core::clock::Millis,
 };
 
-/// Client accounts of the demo: name, tokens a second, tokens at once.
+/// Client accounts of the demo: name, rate in tokens per second, burst in tokens.
 const DEMO_ACCOUNTS: [(&str, u64, u64); 5] = [
     ("courier", 2000, 20_000),
     ("clinic", 1000, 10_000),
@@ -12,19 +12,19 @@
     ("school", 200, 4000),
 ];
 
-/// A client account to begin with.
+/// A client account in the initial configuration.
 #[derive(Clone, Debug)]
 pub struct AccountSpec {
-    /// Its name.
+    /// Account name.
     pub name: String,
-    /// Tokens a second.
+    /// Rate limit in tokens per second.
     pub rate: u64,
-    /// Tokens at once.
+    /// Burst size in tokens.
     pub burst: u64,
 }
 
 impl AccountSpec {
-    /// An account of this name, rate and burst.
+    /// Creates an account with a rate in tokens per second and a burst in tokens.
     pub fn new(
         name: &str,
         rate: u64,
@@ -38,38 +38,37 @@
     }
 }
 
-/// What to bring up.
+/// Configuration of a test cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterSpec {
-    /// VMs, each with a gateway and a controller; numbered from 1.
+    /// Number of VMs, each with a gateway and a controller; ids start at 1.
     pub vms: u32,
-    /// Data centres, over which VMs and upstreams are spread in turn.
+    /// Number of data centres; VMs and upstreams are assigned round-robin.
     pub data_centres: u32,
-    /// Engines; every third ignores fencing tokens.
+    /// Number of engines; every third ignores fencing tokens.
     pub engines: u32,
-    /// How each engine behaves.
+    /// Settings of each engine.
     pub engine: EngineSettings,
-    /// How the weight store behaves.
+    /// Settings of the weight store.
     pub weights: WeightSettings,
-    /// Servers of the plain service `phones`.
+    /// Number of servers of the service `phones`.
     pub servers: u32,
-    /// Adapters `notes-1` and on, each with versions 1 (live) and 2.
+    /// Number of adapters, named `notes-1` and up, each with versions 1 (live) and 2.
     pub adapters: u32,
     /// Client accounts, each with one key.
     pub accounts: Vec<AccountSpec>,
-    /// Whether a proxy stands before each upstream.
+    /// Whether upstreams are reached through a proxy.
     pub proxied_upstreams: bool,
-    /// How long a controller's leases last.
+    /// Lease duration of the controllers.
     pub lease: Millis,
-    /// How old a gateway's configuration may become.
+    /// Maximum age of a gateway's configuration.
     pub config_stale: Millis,
-    /// Whether the gateways run before there is a configuration.
+    /// Whether gateways start before the first configuration is applied.
     pub gateways_first: bool,
 }
 
 impl ClusterSpec {
-    /// Three VMs in three data centres with nine engines, three servers and five client accounts of
-    /// unlike size, at the speeds of real engines and of the real weight store.
+    /// The cluster of the demo, with the speeds of real engines and a real weight store.
     pub fn demo() -> Self {
         let accounts = DEMO_ACCOUNTS.into_iter();
         Self {
--- a/crates/testkit/src/harness/daemon.rs
+++ b/crates/testkit/src/harness/daemon.rs
@@ -1,5 +1,5 @@
 use {
-    super::{binaries::built, poll::HarnessError},
+    super::{binaries::binaries_dir, poll::HarnessError},
     nix::{
         sys::signal::{Signal, kill},
         unistd::Pid,
@@ -17,20 +17,20 @@
     },
 };
 
-/// How long a daemon may take until it listens.
-const START_BOUND: Duration = Duration::from_secs(15);
+/// Timeout until a daemon listens.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Milliseconds of one tick in which the kernel counts processor time.
-const MS_A_TICK: u64 = 10;
+/// Length of a kernel clock tick, in milliseconds.
+const MS_PER_TICK: u64 = 10;
 
-/// KiB of one page in which the kernel counts memory.
-const KIB_A_PAGE: u64 = 4;
+/// Size of a memory page, in KiB.
+const KIB_PER_PAGE: u64 = 4;
 
-/// What a daemon wrote, with a bell for each line.
+/// Captured output of a daemon; `line_added` is notified on each new line.
 #[derive(Debug, Default)]
 struct Output {
     lines: Mutex<Vec<String>>,
-    grown: Condvar,
+    line_added: Condvar,
 }
 
 impl Output {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A daemon that runs as a process; killed and reaped when dropped.
+/// A daemon process; killed and reaped on drop.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
@@ -52,12 +52,12 @@
     ///
     /// # Errors
     ///
-    /// When it can't be built or started, or doesn't listen in time: with what it wrote.
+    /// When it can't be built or started, or doesn't listen in time; includes its output.
     pub fn start(
         name: &str,
         settings: &Path,
     ) -> Result<Self, HarnessError> {
-        let mut child = Command::new(built()?.join(name))
+        let mut child = Command::new(binaries_dir()?.join(name))
             .arg("--settings")
             .arg(settings)
             .stdin(Stdio::null())
@@ -65,8 +65,8 @@
             .stderr(Stdio::piped())
             .spawn()?;
         let output = Arc::new(Output::default());
-        collect(child.stdout.take(), &output);
-        collect(child.stderr.take(), &output);
+        capture_lines(child.stdout.take(), &output);
+        capture_lines(child.stderr.take(), &output);
         let mut daemon = Self {
             child,
             output,
@@ -76,11 +76,11 @@
         Ok(daemon)
     }
 
-    /// The address of one of its ports, by the name in its `event=listening` line.
+    /// Address of a port, by its name in the `event=listening` line.
     ///
     /// # Panics
     ///
-    /// When it has no such port: a defect of the test.
+    /// When the daemon has no port with this name.
     pub fn port(
         &self,
         name: &str,
@@ -88,12 +88,12 @@
         self.ports[name]
     }
 
-    /// All lines that it wrote.
+    /// All lines of output so far.
     pub fn lines(&self) -> Vec<String> {
         self.output.lock().clone()
     }
 
-    /// Sends a signal to the process: whether there was one to take it.
+    /// Sends a signal to the process; returns whether it was delivered.
     pub fn signal(
         &self,
         signal: Signal,
@@ -101,7 +101,7 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).is_ok()
     }
 
-    /// Processor time that the process has used so far, in milliseconds; nought where it can't be told.
+    /// CPU time used so far, in milliseconds; 0 if unknown.
     pub fn cpu_ms(&self) -> u64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         let stat = stat.unwrap_or_default();
@@ -114,15 +114,15 @@
             .take(2)
             .filter_map(|field| field.parse::<u64>().ok())
             .sum();
-        ticks * MS_A_TICK
+        ticks * MS_PER_TICK
     }
 
-    /// Memory that the process holds resident, in KiB; nought where it can't be told.
+    /// Resident memory, in KiB; 0 if unknown.
     pub fn resident_kib(&self) -> u64 {
         let statm = fs::read_to_string(format!("/proc/{}/statm", self.child.id()));
         let statm = statm.unwrap_or_default();
         let pages = statm.split(' ').nth(1).and_then(|field| field.parse().ok());
-        pages.unwrap_or(0u64) * KIB_A_PAGE
+        pages.unwrap_or(0u64) * KIB_PER_PAGE
     }
 
     /// Kills the process and reaps it.
@@ -131,7 +131,7 @@
         drop(self.child.wait());
     }
 
-    /// How the process ended; none while it runs.
+    /// Exit status, `None` while the process runs.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
@@ -145,18 +145,18 @@
         let mut lines = output.lock();
         loop {
             if let Some(line) = lines.iter().find(|line| line.contains("event=listening")) {
-                return Ok(ports(line));
+                return Ok(parse_ports(line));
             }
-            let left = START_BOUND.saturating_sub(start.elapsed());
-            if left.is_zero() || self.ended().is_some() {
-                return Err(HarnessError::Late {
-                    wanted: format!("{name} listens"),
-                    bound: START_BOUND,
-                    seen: lines.join("\n"),
+            let remaining = START_TIMEOUT.saturating_sub(start.elapsed());
+            if remaining.is_zero() || self.ended().is_some() {
+                return Err(HarnessError::Timeout {
+                    condition: format!("{name} listens"),
+                    timeout: START_TIMEOUT,
+                    last_state: lines.join("\n"),
                 });
             }
-            let pause = left.min(Duration::from_millis(100));
-            lines = match output.grown.wait_timeout(lines, pause) {
+            let pause = remaining.min(Duration::from_millis(100));
+            lines = match output.line_added.wait_timeout(lines, pause) {
                 Ok((lines, _)) => lines,
                 Err(poisoned) => poisoned.into_inner().0,
             };
@@ -170,7 +170,7 @@
     }
 }
 
-fn collect<R>(
+fn capture_lines<R>(
     from: Option<R>,
     output: &Arc<Output>,
 ) where
@@ -185,12 +185,12 @@
             .map_while(Result::ok)
         {
             output.lock().push(line);
-            output.grown.notify_all();
+            output.line_added.notify_all();
         }
     });
 }
 
-fn ports(line: &str) -> BTreeMap<String, SocketAddr> {
+fn parse_ports(line: &str) -> BTreeMap<String, SocketAddr> {
     let pairs = line
         .split_whitespace()
         .filter_map(|pair| pair.split_once('='));
--- a/crates/testkit/src/harness/initial_edit.rs
+++ b/crates/testkit/src/harness/initial_edit.rs
@@ -7,7 +7,7 @@
     serde_json::{Value, json},
 };
 
-/// Ops of the edit that makes all that a cluster begins with; `keys` in the order of the accounts.
+/// Ops of the initial configuration; `keys` are in the order of the accounts.
 pub(super) fn initial_ops(
     spec: &ClusterSpec,
     upstreams: &Upstreams,
@@ -53,7 +53,7 @@
     ops
 }
 
-/// The name of the data centre that the n-th VM or upstream stands in.
+/// Data centre name of the n-th VM or upstream.
 pub(super) fn data_centre(
     spec: &ClusterSpec,
     n: u32,
@@ -95,7 +95,7 @@
     kind: &str,
     mut settings: Value,
 ) -> Value {
-    settings["address"] = json!(upstream.reached_at());
+    settings["address"] = json!(upstream.advertised_address());
     settings["data_centre"] = json!(data_centre(spec, n as u32));
     create(&format!("/upstreams/{}", upstream.name), kind, &settings)
 }
--- a/crates/testkit/src/harness/mod.rs
+++ b/crates/testkit/src/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Brings up the daemons as real processes among stand-ins, with proxies on the links between them.
+//! Runs the daemons as processes against stand-ins, with fault-injecting proxies between them.
 
 mod binaries;
 mod cluster;
--- a/crates/testkit/src/harness/poll.rs
+++ b/crates/testkit/src/harness/poll.rs
@@ -3,26 +3,26 @@
     tokio::time,
 };
 
-/// How long between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Delay between two checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why the system could not be brought up, or did not come to a wanted state.
+/// Why the cluster could not be started or did not reach a condition.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From)]
 pub enum HarnessError {
-    /// A file, process or address.
+    /// I/O error of a file, process or socket.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// A wanted state that was not reached in time.
+    /// A condition was not met in time.
     #[from(skip)]
-    #[display("not within {}s: {wanted}; last seen: {seen}", bound.as_secs_f64())]
-    Late {
-        /// What was waited for.
-        wanted: String,
-        /// How long.
-        bound: Duration,
-        /// What was seen last.
-        seen: String,
+    #[display("timed out after {}s waiting for: {condition}; last state: {last_state}", timeout.as_secs_f64())]
+    Timeout {
+        /// The awaited condition.
+        condition: String,
+        /// The timeout that expired.
+        timeout: Duration,
+        /// State reported by the last check.
+        last_state: String,
     },
     /// The daemons could not be built.
     #[from(skip)]
@@ -32,15 +32,15 @@
 
 impl std::error::Error for HarnessError {}
 
-/// Looks again and again until `look` gives a value: how long it took, and the value.
+/// Calls `check` until it succeeds; returns the elapsed time and the value.
 ///
 /// # Errors
 ///
-/// [`HarnessError::Late`] with what `look` said last, after `bound`.
+/// [`HarnessError::Timeout`] with the last error of `check`, after `timeout`.
 pub async fn poll<T, L, F>(
-    wanted: &str,
-    bound: Duration,
-    mut look: L,
+    condition: &str,
+    timeout: Duration,
+    mut check: L,
 ) -> Result<(Duration, T), HarnessError>
 where
     L: FnMut() -> F,
@@ -48,16 +48,16 @@
 {
     let start = Instant::now();
     loop {
-        match look().await {
+        match check().await {
             Ok(value) => return Ok((start.elapsed(), value)),
-            Err(seen) if start.elapsed() >= bound => {
-                return Err(HarnessError::Late {
-                    wanted: wanted.to_owned(),
-                    bound,
-                    seen,
+            Err(last_state) if start.elapsed() >= timeout => {
+                return Err(HarnessError::Timeout {
+                    condition: condition.to_owned(),
+                    timeout,
+                    last_state,
                 });
             }
-            Err(_) => time::sleep(PAUSE).await,
+            Err(_) => time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/testkit/src/harness/served.rs
+++ b/crates/testkit/src/harness/served.rs
@@ -4,19 +4,19 @@
     std::time::Duration,
 };
 
-/// How long one try may take.
-const TRY_BOUND: Duration = Duration::from_secs(5);
+/// Timeout of a single attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long until a chat of the account `clinic` with this model comes back whole at this VM.
+/// Retries a chat of account `clinic` until it succeeds; returns the time taken.
 ///
 /// # Panics
 ///
-/// When none does within `bound`: with the answer that came last.
+/// When no chat succeeds within `timeout`; the message contains the last answer.
 pub async fn served_within(
     cluster: &Cluster,
     vm: u32,
     model: &str,
-    bound: Duration,
+    timeout: Duration,
 ) -> Duration {
     let mut call = Call::chat(
         cluster.callers(vm),
@@ -26,17 +26,17 @@
         16,
         true,
     );
-    call.timeout = TRY_BOUND;
-    let look = || async {
+    call.timeout = ATTEMPT_TIMEOUT;
+    let check = || async {
         match call.send().await {
             Ok(answer) if answer.is_whole() => Ok(()),
             Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
             Err(e) => Err(e.to_string()),
         }
     };
-    let wanted = format!("{model} at VM {vm}");
-    match poll(&wanted, bound, look).await {
-        Ok((took, ())) => took,
+    let condition = format!("{model} at VM {vm}");
+    match poll(&condition, timeout, check).await {
+        Ok((elapsed, ())) => elapsed,
         Err(e) => panic!("{e}"),
     }
 }
--- a/crates/testkit/src/harness/upstreams.rs
+++ b/crates/testkit/src/harness/upstreams.rs
@@ -11,16 +11,16 @@
     std::net::SocketAddr,
 };
 
-/// One upstream that a stand-in plays.
+/// A stand-in that serves as an upstream.
 #[derive(Debug)]
 pub struct UpstreamStandIn {
-    /// Its name in the tree.
+    /// Its name in the configuration tree.
     pub name: String,
-    /// Where the stand-in itself listens.
+    /// Listen address of the stand-in itself.
     pub address: SocketAddr,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether it refuses orders with a stale fencing token.
     pub checks_fencing: bool,
-    /// The link to it, where there is a proxy.
+    /// The proxy in front of it, if any.
     pub proxy: Option<Proxy>,
     _running: Running,
 }
@@ -33,7 +33,7 @@
     ) -> Result<Self, HarnessError> {
         let address = running.address();
         let proxy = proxied
-            .then(|| Proxy::start(anywhere(), address))
+            .then(|| Proxy::start(loopback_any_port(), address))
             .transpose()?;
         Ok(Self {
             name,
@@ -44,31 +44,31 @@
         })
     }
 
-    /// The address that stands in the tree.
-    pub fn reached_at(&self) -> SocketAddr {
+    /// The address in the configuration tree.
+    pub fn advertised_address(&self) -> SocketAddr {
         self.proxy.as_ref().map_or(self.address, Proxy::address)
     }
 }
 
-/// The weight store, the engines and the servers of the plain service.
+/// The weight store, engines and service servers of a cluster.
 #[derive(Debug)]
 pub struct Upstreams {
-    /// The weight store.
+    /// The weight store stand-in.
     pub weights: Running,
-    /// The engines.
+    /// The engine stand-ins.
     pub engines: Vec<UpstreamStandIn>,
-    /// The servers.
+    /// The service stand-ins.
     pub servers: Vec<UpstreamStandIn>,
 }
 
-/// Any free port of this machine.
-pub(super) fn anywhere() -> SocketAddr {
+/// Loopback address with an ephemeral port.
+pub(super) fn loopback_any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
 impl Upstreams {
     pub(super) fn start(spec: &ClusterSpec) -> Result<Self, HarnessError> {
-        let weights = weights::start(anywhere(), spec.weights.clone())?;
+        let weights = weights::start(loopback_any_port(), spec.weights.clone())?;
         let engines = (1..=spec.engines).map(|n| {
             let checks_fencing = n % 3 != 0;
             let cfg = EngineSettings {
@@ -76,7 +76,7 @@
                 weight_store: Some(weights.address()),
                 ..spec.engine.clone()
             };
-            let running = engine::start(anywhere(), cfg)?;
+            let running = engine::start(loopback_any_port(), cfg)?;
             let mut engine =
                 UpstreamStandIn::new(format!("engine-{n}"), running, spec.proxied_upstreams)?;
             engine.checks_fencing = checks_fencing;
@@ -84,7 +84,7 @@
         });
         let engines = engines.collect::<Result<_, _>>()?;
         let servers = (1..=spec.servers).map(|n| {
-            let running = service::start(anywhere())?;
+            let running = service::start(loopback_any_port())?;
             UpstreamStandIn::new(format!("server-{n}"), running, spec.proxied_upstreams)
         });
         let servers = servers.collect::<Result<_, _>>()?;
@@ -95,11 +95,11 @@
         })
     }
 
-    /// What each engine remembers.
+    /// Fetches the record of each engine.
     ///
     /// # Panics
     ///
-    /// When a stand-in doesn't answer: a defect of the test kit.
+    /// When a stand-in doesn't answer.
     pub async fn engine_records(&self) -> Vec<EngineRecord> {
         let mut records = Vec::new();
         for engine in &self.engines {
@@ -110,18 +110,18 @@
         records
     }
 
-    /// Every call that took effect at a server.
+    /// Fetches the calls executed by all servers.
     ///
     /// # Panics
     ///
-    /// When a stand-in doesn't answer: a defect of the test kit.
+    /// When a stand-in doesn't answer.
     pub async fn served_calls(&self) -> Vec<ServedCall> {
         let mut calls = Vec::new();
         for server in &self.servers {
             let record = get_json(server.address, "/stand-in/record").await;
             let record = record.expect("the service stand-in answers");
-            let some: Vec<ServedCall> = serde_json::from_value(record).expect("a record");
-            calls.extend(some);
+            let server_calls: Vec<ServedCall> = serde_json::from_value(record).expect("a record");
+            calls.extend(server_calls);
         }
         calls
     }
--- a/crates/testkit/src/harness/vm.rs
+++ b/crates/testkit/src/harness/vm.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         cluster_spec::ClusterSpec, daemon::Daemon, initial_edit::data_centre, poll::HarnessError,
-        upstreams::anywhere,
+        upstreams::loopback_any_port,
     },
     crate::proxy::Proxy,
     serde_json::{Value, json},
@@ -12,49 +12,49 @@
     },
 };
 
-/// A VM: its two daemons and the links to and from them.
+/// A VM with its two daemons and the proxied links between them.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its number.
+    /// VM id.
     pub number: u32,
-    /// The gateway, unless it was ended.
+    /// The gateway, `None` when stopped.
     pub gateway: Option<Daemon>,
-    /// The controller, unless it was ended.
+    /// The controller, `None` when stopped.
     pub controller: Option<Daemon>,
-    /// From its controller to the platform.
+    /// Link from its controller to the platform.
     pub to_platform: Proxy,
-    /// From its gateway to its own controller.
+    /// Link from its gateway to its controller.
     pub to_controller: Proxy,
-    /// From all others to its controller.
+    /// Link from other daemons to its controller.
     pub controller_peers: Proxy,
-    /// From all others to its gateway.
+    /// Link from other daemons to its gateway.
     pub gateway_peers: Proxy,
-    folder: PathBuf,
+    settings_dir: PathBuf,
 }
 
 impl Vm {
-    /// Starts the controller; the gateway follows when there is a configuration.
+    /// Writes the settings and starts the controller, but not the gateway.
     pub(super) fn start(
         number: u32,
         spec: &ClusterSpec,
         platform: SocketAddr,
         token_digest: &str,
-        folder: &Path,
+        settings_dir: &Path,
     ) -> Result<Self, HarnessError> {
-        let nowhere = anywhere();
+        let placeholder = loopback_any_port();
         let mut vm = Self {
             number,
             gateway: None,
             controller: None,
-            to_platform: Proxy::start(anywhere(), platform)?,
-            to_controller: Proxy::start(anywhere(), nowhere)?,
-            controller_peers: Proxy::start(anywhere(), nowhere)?,
-            gateway_peers: Proxy::start(anywhere(), nowhere)?,
-            folder: folder.to_owned(),
+            to_platform: Proxy::start(loopback_any_port(), platform)?,
+            to_controller: Proxy::start(loopback_any_port(), placeholder)?,
+            controller_peers: Proxy::start(loopback_any_port(), placeholder)?,
+            gateway_peers: Proxy::start(loopback_any_port(), placeholder)?,
+            settings_dir: settings_dir.to_owned(),
         };
-        let any = anywhere();
+        let any = loopback_any_port();
         let store = format!("http://{}", vm.to_platform.address());
-        vm.write(
+        vm.write_settings(
             "controller",
             &json!({
                 "vm": number,
@@ -67,7 +67,7 @@
                 "stop": {"grace_ms": 200, "deadline_ms": 10_000},
             }),
         )?;
-        vm.write(
+        vm.write_settings(
             "gateway",
             &json!({
                 "vm": number,
@@ -83,36 +83,36 @@
         Ok(vm)
     }
 
-    /// Starts the controller, anew if it was ended.
+    /// Starts or restarts the controller.
     ///
     /// # Errors
     ///
     /// As [`Daemon::start`].
     pub fn start_controller(&mut self) -> Result<(), HarnessError> {
-        let daemon = Daemon::start("jasmine-controller", &self.file("controller"))?;
+        let daemon = Daemon::start("jasmine-controller", &self.settings_path("controller"))?;
         self.to_controller.retarget(daemon.port("peers"));
         self.controller_peers.retarget(daemon.port("peers"));
         self.controller = Some(daemon);
         Ok(())
     }
 
-    /// Starts the gateway, anew if it was ended.
+    /// Starts or restarts the gateway.
     ///
     /// # Errors
     ///
     /// As [`Daemon::start`].
     pub fn start_gateway(&mut self) -> Result<(), HarnessError> {
-        let daemon = Daemon::start("jasmine-gateway", &self.file("gateway"))?;
+        let daemon = Daemon::start("jasmine-gateway", &self.settings_path("gateway"))?;
         self.gateway_peers.retarget(daemon.port("peers"));
         self.gateway = Some(daemon);
         Ok(())
     }
 
-    /// Where callers reach its gateway.
+    /// Caller address of the gateway.
     ///
     /// # Panics
     ///
-    /// When the gateway doesn't run: a defect of the test.
+    /// When the gateway is not running.
     pub fn callers(&self) -> SocketAddr {
         self.gateway
             .as_ref()
@@ -120,11 +120,11 @@
             .port("callers")
     }
 
-    /// Where operators reach its controller.
+    /// Operator address of the controller.
     ///
     /// # Panics
     ///
-    /// When the controller doesn't run: a defect of the test.
+    /// When the controller is not running.
     pub fn operators(&self) -> SocketAddr {
         self.controller
             .as_ref()
@@ -132,18 +132,22 @@
             .port("operators")
     }
 
-    fn file(
+    fn settings_path(
         &self,
         role: &str,
     ) -> PathBuf {
-        self.folder.join(format!("{role}-{}.json", self.number))
+        self.settings_dir
+            .join(format!("{role}-{}.json", self.number))
     }
 
-    fn write(
+    fn write_settings(
         &self,
         role: &str,
         settings: &Value,
     ) -> Result<(), HarnessError> {
-        Ok(fs::write(self.file(role), format!("{settings:#}\n"))?)
+        Ok(fs::write(
+            self.settings_path(role),
+            format!("{settings:#}\n"),
+        )?)
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what lies outside the system, a fault-injecting proxy and the means to run the
-//! daemons as real processes: for tests, the demo and the load driver, never part of the product.
+//! Test support: stand-ins for external systems, a fault-injecting proxy and a process harness.
+//!
+//! Used by tests, the demo and the load generator; not part of the product.
 
 pub mod client;
 pub mod decisions;
--- a/crates/testkit/src/load/arrivals.rs
+++ b/crates/testkit/src/load/arrivals.rs
@@ -4,34 +4,32 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Tokens that a request of the driver costs on average.
-const MEAN_COST: f64 = 62.0;
+/// Mean cost of a generated request, in tokens.
+const MEAN_COST_TOKENS: f64 = 62.0;
 
-/// How steeply popularity falls: the n-th adapter is asked for as often as the first divided by n to
-/// this power. At 36 slots and 39 requests a second about one request a second is for an adapter
-/// beyond the most popular 36, which is half of what the weight store lets through.
-const SKEW: f64 = 1.8;
+/// Zipf exponent of adapter popularity.
+const POPULARITY_EXPONENT: f64 = 1.8;
 
-/// Milliseconds until a moving load moves on.
-const MOVE_MS: u64 = 10_000;
+/// Interval at which a changing load switches its VM or adapters, in milliseconds.
+const SHIFT_INTERVAL_MS: u64 = 10_000;
 
-/// How requests come in.
+/// Pattern of request arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub enum Load {
-    /// Every account at three fifths of its rate, spread over the VMs.
+    /// Every account sends at 60 % of its rate, spread over the VMs.
     Steady,
-    /// The same, all of it at one VM, another one every ten seconds.
+    /// As `Steady`, but to a single VM that changes every ten seconds.
     Skew,
-    /// The same, with other adapters popular every ten seconds.
+    /// As `Steady`, but the popular adapters change every ten seconds.
     Shift,
-    /// The first account at three times its rate, the others at three fifths.
+    /// The first account sends at three times its rate, the others at 60 %.
     Over,
-    /// Every account spends its burst in the first three seconds of every twenty, then a fifth of its rate.
+    /// Every account sends its burst in 3 s of every 20 s, and at 20 % of its rate otherwise.
     Everybody,
 }
 
-/// One request to be sent.
+/// One scheduled request.
 #[derive(Clone, Debug)]
 pub(super) struct Arrival {
     pub(super) at_ms: u64,
@@ -42,7 +40,7 @@
 }
 
 impl Load {
-    /// All loads.
+    /// All patterns.
     pub const ALL: [Self; 5] = [
         Self::Steady,
         Self::Skew,
@@ -51,7 +49,7 @@
         Self::Everybody,
     ];
 
-    /// Its name on the command line.
+    /// Name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -62,12 +60,12 @@
         }
     }
 
-    /// The load of this name.
+    /// Parses a name of the command line.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|load| load.name() == name)
     }
 
-    /// All requests of a run of so many milliseconds, the same for the same seed.
+    /// Generates the requests of a run; the same seed gives the same requests.
     pub(super) fn arrivals(
         self,
         accounts: &[AccountSpec],
@@ -78,7 +76,7 @@
     ) -> Vec<Arrival> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let weights = (1..=adapters).scan(0.0, |sum, n| {
-            *sum += f64::from(n).powf(-SKEW);
+            *sum += f64::from(n).powf(-POPULARITY_EXPONENT);
             Some(*sum)
         });
         let popularity: Vec<f64> = weights.collect();
@@ -87,14 +85,15 @@
         for (account, spec) in accounts.iter().enumerate() {
             let mut at = 0.0;
             loop {
-                let per_ms = self.tokens_a_second(account, spec, at as u64) / MEAN_COST / 1000.0;
+                let per_ms =
+                    self.tokens_per_second(account, spec, at as u64) / MEAN_COST_TOKENS / 1000.0;
                 at += -rng.random::<f64>().max(1e-12).ln() / per_ms;
                 if at >= run_ms as f64 {
                     break;
                 }
                 let at_ms = at as u64;
-                let drawn = rng.random::<f64>() * total;
-                let rank = popularity.partition_point(|sum| *sum < drawn) as u32;
+                let sample = rng.random::<f64>() * total;
+                let rank = popularity.partition_point(|sum| *sum < sample) as u32;
                 arrivals.push(Arrival {
                     at_ms,
                     account,
@@ -108,7 +107,7 @@
         arrivals
     }
 
-    fn tokens_a_second(
+    fn tokens_per_second(
         self,
         account: usize,
         spec: &AccountSpec,
@@ -117,7 +116,7 @@
         let rate = spec.rate as f64;
         match self {
             Self::Over if account == 0 => rate * 3.0,
-            Self::Everybody if at_ms % (2 * MOVE_MS) < 3000 => spec.burst as f64 / 3.0,
+            Self::Everybody if at_ms % (2 * SHIFT_INTERVAL_MS) < 3000 => spec.burst as f64 / 3.0,
             Self::Everybody => rate / 5.0,
             _ => rate * 0.6,
         }
@@ -130,7 +129,7 @@
         rng: &mut ChaCha8Rng,
     ) -> u32 {
         match self {
-            Self::Skew => (at_ms / MOVE_MS) as u32 % vms + 1,
+            Self::Skew => (at_ms / SHIFT_INTERVAL_MS) as u32 % vms + 1,
             _ => rng.random_range(1..=vms),
         }
     }
@@ -141,10 +140,10 @@
         at_ms: u64,
         adapters: u32,
     ) -> u32 {
-        let moved = match self {
-            Self::Shift => (at_ms / MOVE_MS) as u32 * (adapters / 3),
+        let offset = match self {
+            Self::Shift => (at_ms / SHIFT_INTERVAL_MS) as u32 * (adapters / 3),
             _ => 0,
         };
-        (rank.min(adapters - 1) + moved) % adapters + 1
+        (rank.min(adapters - 1) + offset) % adapters + 1
     }
 }
--- a/crates/testkit/src/load/drive.rs
+++ b/crates/testkit/src/load/drive.rs
@@ -15,26 +15,26 @@
     tokio::time,
 };
 
-/// Threads that send, so that the driver is not what is measured.
+/// Sender threads, enough that the load generator is not the bottleneck.
 const THREADS: usize = 4;
 
-/// Connections that a thread may have open.
-const CONNECTIONS: usize = 4096;
+/// Maximum number of open connections per thread.
+const MAX_CONNECTIONS: usize = 4096;
 
-/// The most tokens that each answer may have.
+/// `max_tokens` of each request.
 const MAX_TOKENS: u32 = 64;
 
-/// What the gateway adds to the bytes of a prompt of one message when it charges a request.
+/// Tokens that the gateway charges in addition to the bytes of a one-message prompt.
 const TEMPLATE_COST: u64 = 16;
 
-/// Whom to call for whom.
+/// Gateway addresses by VM and API keys by account.
 #[derive(Clone, Debug)]
 struct Targets {
     gateways: Vec<SocketAddr>,
     keys: Vec<String>,
 }
 
-/// Sends a load at its own pace, however long answers take: what each request got.
+/// Sends an open-loop load and returns a sample per request.
 pub async fn drive(
     cluster: &Cluster,
     load: Load,
@@ -56,7 +56,7 @@
     let start = Instant::now();
     let (tx, rx) = mpsc::channel();
     let threads = (0..THREADS).map(|thread| {
-        let share = arrivals
+        let thread_arrivals = arrivals
             .iter()
             .skip(thread)
             .step_by(THREADS)
@@ -64,36 +64,36 @@
             .collect();
         let (targets, tx) = (targets.clone(), tx.clone());
         thread::spawn(move || {
-            actix_web::rt::System::new().block_on(send_all(share, targets, start, tx));
+            actix_web::rt::System::new().block_on(send_all(thread_arrivals, targets, start, tx));
         })
     });
     let threads: Vec<_> = threads.collect();
     drop(tx);
-    let waited = actix_web::rt::task::spawn_blocking(move || {
+    let joined = actix_web::rt::task::spawn_blocking(move || {
         for thread in threads {
             drop(thread.join());
         }
     });
-    drop(waited.await);
+    drop(joined.await);
     let mut samples: Vec<_> = rx.into_iter().collect();
     samples.sort_by_key(|sample: &Sample| sample.sent_ms);
     samples
 }
 
 async fn send_all(
-    share: Vec<Arrival>,
+    thread_arrivals: Vec<Arrival>,
     targets: Targets,
     start: Instant,
     tx: Sender<Sample>,
 ) {
-    let connector = Connector::new().limit(CONNECTIONS);
+    let connector = Connector::new().limit(MAX_CONNECTIONS);
     let client = Client::builder()
         .connector(connector)
         .disable_timeout()
         .finish();
     let targets = Rc::new(targets);
-    let mut tasks = Vec::with_capacity(share.len());
-    for arrival in share {
+    let mut tasks = Vec::with_capacity(thread_arrivals.len());
+    for arrival in thread_arrivals {
         time::sleep_until((start + Duration::from_millis(arrival.at_ms)).into()).await;
         let (client, targets, tx) = (client.clone(), Rc::clone(&targets), tx.clone());
         tasks.push(actix_web::rt::spawn(async move {
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Drives the real processes for minutes and tells what callers got.
+//! Load generator against real daemon processes, with a report of the results.
 
 mod arrivals;
 mod drive;
--- a/crates/testkit/src/load/report.rs
+++ b/crates/testkit/src/load/report.rs
@@ -9,82 +9,88 @@
     std::{collections::BTreeMap, fmt},
 };
 
-/// What one account got.
+/// Results of one account.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub struct AccountReport {
-    /// Its name.
+    /// Account name.
     pub account: String,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Answers that came whole.
+    /// Number of complete, correct answers.
     pub whole: usize,
-    /// Answers with another text than asked for.
+    /// Number of answers with unexpected text.
     pub wrong: usize,
-    /// Milliseconds to the first token: p50, p95, p99.
+    /// Time to first token, in milliseconds: p50, p95, p99.
     pub first_ms: [f64; 3],
-    /// Milliseconds between tokens: p50, p95, p99.
+    /// Time between tokens, in milliseconds: p50, p95, p99.
     pub between_ms: [f64; 3],
-    /// Milliseconds until a refusal came: p50, p95, p99.
+    /// Latency of refusals, in milliseconds: p50, p95, p99.
     pub refused_ms: [f64; 3],
-    /// Requests that got no whole answer, by code.
+    /// Number of failed requests by error code.
     pub codes: BTreeMap<String, u64>,
-    /// Refusals of requests within the account's rate and burst.
+    /// Number of refusals within the account's rate and burst.
     pub wrongful: u64,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub struct Report {
-    /// Which load.
+    /// Name of the load pattern.
     pub load: String,
-    /// How long it was sent, seconds.
+    /// Measured duration, in seconds.
     pub seconds: u64,
-    /// The accounts, in the order of the spec.
+    /// Results by account, in the order of the spec.
     pub accounts: Vec<AccountReport>,
-    /// Tokens made for each step of an engine.
+    /// Mean number of tokens per engine step.
     pub tokens_a_step: f64,
-    /// Adapter loads that succeeded.
+    /// Number of successful adapter loads.
     pub loads: usize,
-    /// Adapter loads that failed.
+    /// Number of failed adapter loads.
     pub failed_loads: usize,
-    /// Streams cut by an unload.
+    /// Number of streams ended by an unload.
     pub cut_by_unload: u32,
-    /// Processor milliseconds of each gateway, then of each controller.
+    /// CPU time of each gateway, then of each controller, in milliseconds.
     pub cpu_ms: Vec<u64>,
-    /// What a gateway adds to a call.
+    /// Overhead of a gateway.
     pub overhead: Overhead,
 }
 
 impl AccountReport {
-    /// What an account got out of the samples sent from `from_ms` on.
+    /// Summarizes the samples of an account sent at or after `from_ms`.
     pub fn new(
-        place: usize,
+        account_index: usize,
         spec: &AccountSpec,
         samples: &[Sample],
         from_ms: u64,
     ) -> Self {
-        let of_account = samples.iter().filter(|sample| sample.account == place);
+        let of_account = samples
+            .iter()
+            .filter(|sample| sample.account == account_index);
         let all: Vec<_> = of_account.collect();
         let counted = all.iter().filter(|sample| sample.sent_ms >= from_ms);
-        let mine: Vec<_> = counted.collect();
+        let measured: Vec<_> = counted.collect();
         let mut codes = BTreeMap::new();
-        for sample in mine.iter().filter(|sample| !sample.code.is_empty()) {
+        for sample in measured.iter().filter(|sample| !sample.code.is_empty()) {
             *codes.entry(sample.code.clone()).or_default() += 1;
         }
-        let whole = || mine.iter().filter(|sample| sample.whole);
+        let whole = || measured.iter().filter(|sample| sample.is_correct);
         Self {
             account: spec.name.clone(),
-            sent: mine.len(),
+            sent: measured.len(),
             whole: whole().count(),
-            wrong: mine.iter().filter(|sample| sample.wrong).count(),
+            wrong: measured
+                .iter()
+                .filter(|sample| sample.has_wrong_text)
+                .count(),
             first_ms: quantiles(whole().map(|sample| sample.first_us)),
             between_ms: quantiles(whole().flat_map(|sample| sample.gaps_us.iter().copied())),
             refused_ms: quantiles(
-                mine.iter()
-                    .filter(|sample| sample.not_run)
-                    .map(|sample| sample.refused_ms * 1000),
+                measured
+                    .iter()
+                    .filter(|sample| sample.is_not_run)
+                    .map(|sample| sample.took_ms * 1000),
             ),
             codes,
             wrongful: wrongful_refusals(spec, &all, from_ms),
@@ -93,8 +99,8 @@
 }
 
 impl Report {
-    /// Adds what the engines remember.
-    pub fn add_engines(
+    /// Adds the totals of the engine records.
+    pub fn add_engine_records(
         &mut self,
         records: &[EngineRecord],
     ) {
@@ -123,7 +129,7 @@
         &self,
         f: &mut fmt::Formatter<'_>,
     ) -> fmt::Result {
-        let three = |[a, b, c]: [f64; 3]| format!("{a:.0}/{b:.0}/{c:.0}");
+        let format_quantiles = |[a, b, c]: [f64; 3]| format!("{a:.0}/{b:.0}/{c:.0}");
         writeln!(f, "load {} for {} s", self.load, self.seconds)?;
         writeln!(
             f,
@@ -145,9 +151,9 @@
                 row.sent,
                 row.whole,
                 row.wrong,
-                three(row.first_ms),
-                three(row.between_ms),
-                three(row.refused_ms),
+                format_quantiles(row.first_ms),
+                format_quantiles(row.between_ms),
+                format_quantiles(row.refused_ms),
                 row.wrongful,
                 row.codes
             )?;
--- a/crates/testkit/src/load/sample.rs
+++ b/crates/testkit/src/load/sample.rs
@@ -1,30 +1,30 @@
 use crate::client::{Answer, CallError};
 
-/// One request as its caller saw it.
+/// Result of one request as seen by the caller.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Place of the account in the spec.
+    /// Index of the account in the spec.
     pub account: usize,
-    /// When it was sent, milliseconds from the start.
+    /// Send time since the start, in milliseconds.
     pub sent_ms: u64,
-    /// The most tokens it could cost, as the gateway charges it.
+    /// Maximum cost that the gateway charges, in tokens.
     pub cost_bound: u64,
-    /// The tokens it cost, as the engine counted them; nought when refused.
+    /// Cost counted by the engine, in tokens; 0 when refused.
     pub cost: u64,
-    /// Whether the answer came whole and was the right text.
-    pub whole: bool,
-    /// Whether the text was another than asked for.
-    pub wrong: bool,
-    /// The code of a refusal, a broken stream or a failed call; empty when whole.
+    /// Whether the answer is complete and correct.
+    pub is_correct: bool,
+    /// Whether the text differs from the expected one.
+    pub has_wrong_text: bool,
+    /// Error code, empty on success.
     pub code: String,
-    /// Whether the refusal said that nothing ran.
-    pub not_run: bool,
-    /// Microseconds to the first token.
+    /// Whether the error says that the request was not run.
+    pub is_not_run: bool,
+    /// Time to first token, in microseconds.
     pub first_us: u64,
-    /// Microseconds between tokens.
+    /// Times between tokens, in microseconds.
     pub gaps_us: Vec<u64>,
-    /// Milliseconds until a refusal came.
-    pub refused_ms: u64,
+    /// Duration of the call, in milliseconds.
+    pub took_ms: u64,
 }
 
 impl Sample {
@@ -57,16 +57,16 @@
             sent_ms,
             cost_bound,
             cost: usage("prompt_tokens") + usage("completion_tokens"),
-            whole: answer.is_whole() && answer.text == expected,
-            wrong: !expected.starts_with(&answer.text)
+            is_correct: answer.is_whole() && answer.text == expected,
+            has_wrong_text: !expected.starts_with(&answer.text)
                 || (answer.is_whole() && answer.text != expected),
             code,
-            not_run: answer.json["error"]["execution"] == "not_run",
+            is_not_run: answer.json["error"]["execution"] == "not_run",
             first_us: answer.parts.first().map_or(0, |at| at.as_micros() as u64),
             gaps_us: pairs
                 .map(|(a, b)| b.saturating_sub(*a).as_micros() as u64)
                 .collect(),
-            refused_ms: answer.took.as_millis() as u64,
+            took_ms: answer.took.as_millis() as u64,
         }
     }
 }
--- a/crates/testkit/src/platform/api.rs
+++ b/crates/testkit/src/platform/api.rs
@@ -3,7 +3,7 @@
         faults::PlatformFaults,
         messages::{LeaseReq, Op, PutReq, RangeReq, TxnReq, WatchReq},
         store::Store,
-        vm_list::{LaggingList, VmList},
+        vm_list::{DelayedList, VmList},
         watch::Watcher,
     },
     crate::server::{self, Running, lost_reply},
@@ -23,10 +23,10 @@
     tokio::{sync::watch, time},
 };
 
-/// How often leases are looked at.
-const LEASE_TICK: Duration = Duration::from_millis(50);
+/// Interval of the lease expiry check.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Calls counted by kind; a waiting watch is one call.
+/// Number of calls by kind; an open watch counts once.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub(super) struct Calls {
@@ -39,39 +39,39 @@
     lease_revoke: u64,
     watch: u64,
     vms: u64,
-    /// Calls refused by an outage, in whichever kind.
+    /// Calls of any kind refused during an outage.
     refused: u64,
     pub(super) watches_waiting: u64,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Inner {
+pub(super) struct State {
     pub(super) store: Store,
     pub(super) faults: PlatformFaults,
     pub(super) calls: Calls,
-    vms: LaggingList,
+    vms: DelayedList,
 }
 
 #[derive(Debug)]
 pub(super) struct Platform {
-    inner: Mutex<Inner>,
+    state: Mutex<State>,
     pub(super) changed: watch::Sender<()>,
 }
 
 impl Platform {
-    pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call and takes the time of the fault; none when the service is out.
-    async fn enter(
+    /// Counts a call and applies the injected delay; `None` during an outage.
+    async fn begin_call(
         &self,
         count: fn(&mut Calls) -> &mut u64,
     ) -> Option<()> {
         let (delay, outage) = {
-            let mut inner = self.lock();
-            *count(&mut inner.calls) += 1;
-            (inner.faults.delay_ms, inner.faults.outage)
+            let mut state = self.lock();
+            *count(&mut state.calls) += 1;
+            (state.faults.delay_ms, state.faults.outage)
         };
         if delay > 0 {
             time::sleep(Duration::from_millis(delay)).await;
@@ -82,20 +82,20 @@
         (!outage).then_some(())
     }
 
-    /// Answers a write, or loses its reply after it took effect.
-    fn written(
+    /// Answers a write, or drops the reply if that fault is set.
+    fn write_response(
         &self,
         answer: Result<Value, &'static str>,
     ) -> HttpResponse {
         self.changed.send_replace(());
-        let mut inner = self.lock();
+        let mut state = self.lock();
         match answer {
-            Ok(_) if inner.faults.lose_replies > 0 => {
-                inner.faults.lose_replies -= 1;
+            Ok(_) if state.faults.lose_replies > 0 => {
+                state.faults.lose_replies -= 1;
                 lost_reply()
             }
             Ok(answer) => HttpResponse::Ok().json(answer),
-            Err(message) => refusal(message),
+            Err(message) => error_response(message),
         }
     }
 }
@@ -107,7 +107,7 @@
 /// When the address can't be bound.
 pub fn start(address: SocketAddr) -> io::Result<Running> {
     let platform = Data::new(Platform {
-        inner: Mutex::default(),
+        state: Mutex::default(),
         changed: watch::Sender::new(()),
     });
     let clock = Data::clone(&platform);
@@ -127,21 +127,21 @@
             .route("/stand-in/fault", web::post().to(set_faults))
             .route("/stand-in/calls", web::get().to(calls));
     };
-    server::start(address, routes, move || run_leases(clock))
+    server::start(address, routes, move || run_lease_expiry(clock))
 }
 
-async fn run_leases(platform: Data<Platform>) {
+async fn run_lease_expiry(platform: Data<Platform>) {
     loop {
-        time::sleep(LEASE_TICK).await;
-        let mut inner = platform.lock();
-        if !inner.faults.outage && inner.store.lapse() {
-            drop(inner);
+        time::sleep(LEASE_CHECK_INTERVAL).await;
+        let mut state = platform.lock();
+        if !state.faults.outage && state.store.expire_leases() {
+            drop(state);
             platform.changed.send_replace(());
         }
     }
 }
 
-fn refusal(message: &str) -> HttpResponse {
+fn error_response(message: &str) -> HttpResponse {
     let code = if message.ends_with("not found") { 5 } else { 3 };
     let body = json!({"error": message, "message": message, "code": code});
     match code {
@@ -150,7 +150,7 @@
     }
 }
 
-fn out() -> HttpResponse {
+fn unavailable() -> HttpResponse {
     let message = "etcdserver: no leader";
     HttpResponse::ServiceUnavailable()
         .json(json!({"error": message, "message": message, "code": 14}))
@@ -160,9 +160,9 @@
     platform: Data<Platform>,
     Json(req): Json<RangeReq>,
 ) -> HttpResponse {
-    match platform.enter(|calls| &mut calls.range).await {
+    match platform.begin_call(|calls| &mut calls.range).await {
         Some(()) => HttpResponse::Ok().json(platform.lock().store.range(&req)),
-        None => out(),
+        None => unavailable(),
     }
 }
 
@@ -170,11 +170,11 @@
     platform: Data<Platform>,
     Json(req): Json<PutReq>,
 ) -> HttpResponse {
-    if platform.enter(|calls| &mut calls.put).await.is_none() {
-        return out();
+    if platform.begin_call(|calls| &mut calls.put).await.is_none() {
+        return unavailable();
     }
-    let answer = platform.lock().store.alone(&Op::Put(req));
-    platform.written(answer)
+    let answer = platform.lock().store.run_op(&Op::Put(req));
+    platform.write_response(answer)
 }
 
 async fn delete_range(
@@ -182,25 +182,25 @@
     Json(req): Json<RangeReq>,
 ) -> HttpResponse {
     if platform
-        .enter(|calls| &mut calls.delete_range)
+        .begin_call(|calls| &mut calls.delete_range)
         .await
         .is_none()
     {
-        return out();
+        return unavailable();
     }
-    let answer = platform.lock().store.alone(&Op::Delete(req));
-    platform.written(answer)
+    let answer = platform.lock().store.run_op(&Op::Delete(req));
+    platform.write_response(answer)
 }
 
 async fn txn(
     platform: Data<Platform>,
     Json(req): Json<TxnReq>,
 ) -> HttpResponse {
-    if platform.enter(|calls| &mut calls.txn).await.is_none() {
-        return out();
+    if platform.begin_call(|calls| &mut calls.txn).await.is_none() {
+        return unavailable();
     }
     let answer = platform.lock().store.txn(&req);
-    platform.written(answer)
+    platform.write_response(answer)
 }
 
 async fn grant(
@@ -208,20 +208,20 @@
     Json(req): Json<LeaseReq>,
 ) -> HttpResponse {
     if platform
-        .enter(|calls| &mut calls.lease_grant)
+        .begin_call(|calls| &mut calls.lease_grant)
         .await
         .is_none()
     {
-        return out();
+        return unavailable();
     }
     let answer = {
-        let mut inner = platform.lock();
-        let granted = inner.store.grant(req.id.0, req.ttl.0);
-        let header = inner.store.header();
+        let mut state = platform.lock();
+        let granted = state.store.grant(req.id.0, req.ttl.0);
+        let header = state.store.header();
         granted
             .map(|id| json!({"header": header, "ID": id.to_string(), "TTL": req.ttl.0.to_string()}))
     };
-    platform.written(answer)
+    platform.write_response(answer)
 }
 
 async fn keep_alive(
@@ -229,15 +229,15 @@
     Json(req): Json<LeaseReq>,
 ) -> HttpResponse {
     if platform
-        .enter(|calls| &mut calls.lease_keepalive)
+        .begin_call(|calls| &mut calls.lease_keepalive)
         .await
         .is_none()
     {
-        return out();
+        return unavailable();
     }
-    let mut inner = platform.lock();
-    let ttl = inner.store.keep_alive(req.id.0);
-    let mut result = json!({"header": inner.store.header(), "ID": req.id.0.to_string()});
+    let mut state = platform.lock();
+    let ttl = state.store.keep_alive(req.id.0);
+    let mut result = json!({"header": state.store.header(), "ID": req.id.0.to_string()});
     if ttl > 0 {
         result["TTL"] = json!(ttl.to_string());
     }
@@ -249,43 +249,47 @@
     Json(req): Json<LeaseReq>,
 ) -> HttpResponse {
     if platform
-        .enter(|calls| &mut calls.lease_revoke)
+        .begin_call(|calls| &mut calls.lease_revoke)
         .await
         .is_none()
     {
-        return out();
+        return unavailable();
     }
     let answer = {
-        let mut inner = platform.lock();
-        let known = inner.store.revoke(req.id.0);
-        let header = inner.store.header();
+        let mut state = platform.lock();
+        let known = state.store.revoke(req.id.0);
+        let header = state.store.header();
         known
             .then(|| json!({"header": header}))
             .ok_or("etcdserver: requested lease not found")
     };
-    platform.written(answer)
+    platform.write_response(answer)
 }
 
 async fn watch_range(
     platform: Data<Platform>,
     Json(req): Json<WatchReq>,
 ) -> HttpResponse {
-    if platform.enter(|calls| &mut calls.watch).await.is_none() {
-        return out();
+    if platform
+        .begin_call(|calls| &mut calls.watch)
+        .await
+        .is_none()
+    {
+        return unavailable();
     }
     let watcher = Watcher::new(platform, req.create_request);
     HttpResponse::Ok()
         .content_type("application/json")
-        .streaming(stream::unfold(watcher, Watcher::line))
+        .streaming(stream::unfold(watcher, Watcher::next_line))
 }
 
 async fn vms(platform: Data<Platform>) -> HttpResponse {
-    let mut inner = platform.lock();
-    inner.calls.vms += 1;
-    if inner.faults.vms_outage {
-        out()
+    let mut state = platform.lock();
+    state.calls.vms += 1;
+    if state.faults.vms_outage {
+        unavailable()
     } else {
-        HttpResponse::Ok().json(inner.vms.shown())
+        HttpResponse::Ok().json(state.vms.visible())
     }
 }
 
@@ -301,12 +305,12 @@
     platform: Data<Platform>,
     Json(faults): Json<PlatformFaults>,
 ) -> HttpResponse {
-    let mut inner = platform.lock();
-    if inner.faults.outage && !faults.outage {
-        inner.store.extend_leases();
+    let mut state = platform.lock();
+    if state.faults.outage && !faults.outage {
+        state.store.extend_leases();
     }
-    inner.faults = faults;
-    drop(inner);
+    state.faults = faults;
+    drop(state);
     platform.changed.send_replace(());
     HttpResponse::NoContent().finish()
 }
--- a/crates/testkit/src/platform/messages.rs
+++ b/crates/testkit/src/platform/messages.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _},
 };
 
-/// Bytes, in base64 on the wire.
+/// Bytes encoded as base64 in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Blob(pub(super) Vec<u8>);
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A 64-bit number: a string on the wire, a bare number being taken too.
+/// A 64-bit integer encoded as a JSON string; a JSON number is accepted too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Int(pub(super) u64);
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Keys from `key` up to `range_end`; without an end the one key, with `\0` all that follow.
+/// The keys from `key` to `range_end`: only `key` if empty, all following keys if `\0`.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -69,7 +69,7 @@
 }
 
 impl RangeReq {
-    pub(super) fn holds(
+    pub(super) fn contains(
         &self,
         key: &[u8],
     ) -> bool {
--- a/crates/testkit/src/platform/mod.rs
+++ b/crates/testkit/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stands in for the platform's key-value service (the etcd v3 JSON gateway) and its VM list.
+//! A fake platform: the key-value service (etcd v3 JSON gateway) and the VM list.
 
 mod api;
 mod faults;
--- a/crates/testkit/src/platform/store.rs
+++ b/crates/testkit/src/platform/store.rs
@@ -8,11 +8,11 @@
     },
 };
 
-/// Bytes that a value may have.
-pub(super) const MAX_VALUE: usize = 1 << 20;
+/// Maximum size of a value, in bytes.
+pub(super) const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The revision of an empty store; a watch that starts after it misses nothing.
-const EMPTY: u64 = 1;
+/// Revision of an empty store.
+const EMPTY_STORE_REVISION: u64 = 1;
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -33,10 +33,10 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    lapses: Instant,
+    expires_at: Instant,
 }
 
-/// What the key-value service holds, with every change since it started.
+/// An in-memory etcd store with the full change history.
 #[derive(Debug)]
 pub(super) struct Store {
     revision: u64,
@@ -49,7 +49,7 @@
 impl Default for Store {
     fn default() -> Self {
         Self {
-            revision: EMPTY,
+            revision: EMPTY_STORE_REVISION,
             entries: BTreeMap::new(),
             changes: Vec::new(),
             leases: BTreeMap::new(),
@@ -59,7 +59,7 @@
 }
 
 impl Store {
-    /// The head of every answer.
+    /// The `header` of a response.
     pub(super) fn header(&self) -> Value {
         json!({"cluster_id": "1", "member_id": "1", "revision": self.revision.to_string(), "raft_term": "1"})
     }
@@ -80,7 +80,7 @@
         let found: Vec<_> = self
             .entries
             .iter()
-            .filter(|(key, _)| req.holds(key))
+            .filter(|(key, _)| req.contains(key))
             .collect();
         let mut answer = json!({"header": self.header()});
         if !found.is_empty() {
@@ -98,7 +98,7 @@
         answer
     }
 
-    /// The events from `revision` on, and the revision after them.
+    /// Returns the events at or after `revision`.
     pub(super) fn events_from(
         &self,
         revision: u64,
@@ -109,7 +109,7 @@
             .partition_point(|change| change.revision < revision);
         let changes = self.changes[first..].iter();
         changes
-            .filter(|change| req.holds(&change.key))
+            .filter(|change| req.contains(&change.key))
             .map(event)
             .collect()
     }
@@ -118,15 +118,19 @@
         &mut self,
         req: &TxnReq,
     ) -> Result<Value, &'static str> {
-        let holds = req.compare.iter().all(|compare| self.compare(compare));
-        let ops = if holds { &req.success } else { &req.failure };
+        let all_match = req.compare.iter().all(|compare| self.compare(compare));
+        let ops = if all_match {
+            &req.success
+        } else {
+            &req.failure
+        };
         for op in ops {
             self.check(op)?;
         }
         let revision = self.revision.max(1) + 1;
         let responses: Vec<Value> = ops.iter().map(|op| self.apply(op, revision)).collect();
         let mut answer = json!({"header": self.header()});
-        if holds {
+        if all_match {
             answer["succeeded"] = json!(true);
         }
         if !responses.is_empty() {
@@ -135,46 +139,46 @@
         Ok(answer)
     }
 
-    /// Runs one operation as a transaction of its own.
-    pub(super) fn alone(
+    /// Runs a single operation.
+    pub(super) fn run_op(
         &mut self,
         op: &Op,
     ) -> Result<Value, &'static str> {
         self.check(op)?;
         let mut answer = self.apply(op, self.revision.max(1) + 1);
-        let inner = answer
+        let response = answer
             .as_object_mut()
             .and_then(|map| map.values_mut().next());
-        Ok(inner.map(Value::take).unwrap_or_default())
+        Ok(response.map(Value::take).unwrap_or_default())
     }
 
     pub(super) fn grant(
         &mut self,
-        wanted: u64,
+        requested_id: u64,
         ttl_s: u64,
     ) -> Result<u64, &'static str> {
-        if self.leases.contains_key(&wanted) {
+        if self.leases.contains_key(&requested_id) {
             return Err("etcdserver: lease already exists");
         }
         self.last_lease += 1;
-        let id = if wanted == 0 {
+        let id = if requested_id == 0 {
             0x5a00_0000 + self.last_lease
         } else {
-            wanted
+            requested_id
         };
         let ttl = Duration::from_secs(ttl_s.max(1));
-        let lapses = Instant::now() + ttl;
-        self.leases.insert(id, Lease { ttl, lapses });
+        let expires_at = Instant::now() + ttl;
+        self.leases.insert(id, Lease { ttl, expires_at });
         Ok(id)
     }
 
-    /// Renews a lease: its time to live in seconds, zero when it has lapsed.
+    /// Renews a lease; returns its TTL in seconds, 0 if it has expired.
     pub(super) fn keep_alive(
         &mut self,
         id: u64,
     ) -> u64 {
         self.leases.get_mut(&id).map_or(0, |lease| {
-            lease.lapses = Instant::now() + lease.ttl;
+            lease.expires_at = Instant::now() + lease.ttl;
             lease.ttl.as_secs()
         })
     }
@@ -184,8 +188,8 @@
         id: u64,
     ) -> bool {
         let known = self.leases.remove(&id).is_some();
-        let held = self.entries.iter().filter(|(_, entry)| entry.lease == id);
-        let keys: Vec<_> = held.map(|(key, _)| key.clone()).collect();
+        let attached = self.entries.iter().filter(|(_, entry)| entry.lease == id);
+        let keys: Vec<_> = attached.map(|(key, _)| key.clone()).collect();
         let revision = self.revision.max(1) + 1;
         for key in keys.into_iter().filter(|_| known) {
             self.delete(&key, revision);
@@ -193,22 +197,25 @@
         known
     }
 
-    /// Drops the leases that have run out: whether there were any.
-    pub(super) fn lapse(&mut self) -> bool {
+    /// Revokes the expired leases; returns whether there were any.
+    pub(super) fn expire_leases(&mut self) -> bool {
         let now = Instant::now();
-        let over = self.leases.iter().filter(|(_, lease)| lease.lapses <= now);
-        let over: Vec<_> = over.map(|(&id, _)| id).collect();
-        let any = !over.is_empty();
-        for id in over {
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<_> = expired.map(|(&id, _)| id).collect();
+        let any = !expired.is_empty();
+        for id in expired {
             self.revoke(id);
         }
         any
     }
 
-    /// Gives every lease its full time again, as a new leader of the service does.
+    /// Resets every lease to its full TTL, as a new etcd leader does.
     pub(super) fn extend_leases(&mut self) {
         for lease in self.leases.values_mut() {
-            lease.lapses = Instant::now() + lease.ttl;
+            lease.expires_at = Instant::now() + lease.ttl;
         }
     }
 
@@ -217,7 +224,7 @@
         op: &Op,
     ) -> Result<(), &'static str> {
         match op {
-            Op::Put(put) if put.value.0.len() > MAX_VALUE => {
+            Op::Put(put) if put.value.0.len() > MAX_VALUE_BYTES => {
                 Err("etcdserver: request is too large")
             }
             Op::Put(put) if put.lease.0 != 0 && !self.leases.contains_key(&put.lease.0) => {
@@ -242,7 +249,7 @@
                 let keys: Vec<_> = self
                     .entries
                     .keys()
-                    .filter(|key| range.holds(key))
+                    .filter(|key| range.contains(key))
                     .cloned()
                     .collect();
                 for key in &keys {
--- a/crates/testkit/src/platform/vm_list.rs
+++ b/crates/testkit/src/platform/vm_list.rs
@@ -3,56 +3,56 @@
     std::time::{Duration, Instant},
 };
 
-/// One VM as the platform lists it.
+/// A VM in the list of the platform.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Its number.
+    /// VM id.
     pub vm: u32,
-    /// Its IP number.
+    /// IP address.
     pub address: String,
     /// `live` or `leaving`.
     pub state: String,
 }
 
-/// The list of VMs, and how late a change shows.
+/// The list of VMs and the delay until it is visible.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct VmList {
     /// The VMs.
     pub vms: Vec<ListedVm>,
-    /// How long after it was set the list shows, milliseconds.
+    /// Delay until the list is visible, in milliseconds.
     #[serde(default, skip_serializing)]
     pub lag_ms: u64,
 }
 
-/// The list that shows now and the one that will show later.
+/// The visible list and the next one with its activation time.
 #[derive(Debug, Default)]
-pub(super) struct LaggingList {
-    shown: VmList,
+pub(super) struct DelayedList {
+    visible: VmList,
     pending: Option<(Instant, VmList)>,
 }
 
-impl LaggingList {
+impl DelayedList {
     pub(super) fn set(
         &mut self,
         list: VmList,
     ) {
-        self.settle();
+        self.apply_pending();
         let due = Instant::now() + Duration::from_millis(list.lag_ms);
         self.pending = Some((due, list));
-        self.settle();
+        self.apply_pending();
     }
 
-    pub(super) fn shown(&mut self) -> &VmList {
-        self.settle();
-        &self.shown
+    pub(super) fn visible(&mut self) -> &VmList {
+        self.apply_pending();
+        &self.visible
     }
 
-    fn settle(&mut self) {
+    fn apply_pending(&mut self) {
         let due = |pending: &mut (Instant, VmList)| pending.0 <= Instant::now();
         if let Some((_, list)) = self.pending.take_if(due) {
-            self.shown = list;
+            self.visible = list;
         }
     }
 }
--- a/crates/testkit/src/platform/watch.rs
+++ b/crates/testkit/src/platform/watch.rs
@@ -7,18 +7,18 @@
     tokio::sync::watch::Receiver,
 };
 
-/// One watch that a client holds open; counted as waiting until it is dropped.
+/// An open watch of a client, counted in `watches_waiting` until it is dropped.
 pub(super) struct Watcher {
     platform: Data<Platform>,
     req: RangeReq,
-    next: u64,
-    told: bool,
+    next_revision: u64,
+    is_created_sent: bool,
     rx: Receiver<()>,
 }
 
-enum Next {
+enum WatchState {
     Line(Bytes),
-    Over,
+    Closed,
     Wait,
 }
 
@@ -28,54 +28,54 @@
         req: RangeReq,
     ) -> Self {
         let rx = platform.changed.subscribe();
-        let mut inner = platform.lock();
-        inner.calls.watches_waiting += 1;
-        let next = match req.start_revision.0 {
-            0 => inner.store.revision() + 1,
+        let mut state = platform.lock();
+        state.calls.watches_waiting += 1;
+        let next_revision = match req.start_revision.0 {
+            0 => state.store.revision() + 1,
             start => start,
         };
-        drop(inner);
+        drop(state);
         Self {
             platform,
             req,
-            next,
-            told: false,
+            next_revision,
+            is_created_sent: false,
             rx,
         }
     }
 
-    /// The next line of the watch; none when the service goes out.
-    pub(super) async fn line(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
+    /// Returns the next line of the watch, `None` during an outage.
+    pub(super) async fn next_line(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
         loop {
-            match self.ready() {
-                Next::Line(line) => return Some((Ok(line), self)),
-                Next::Over => return None,
-                Next::Wait => self.rx.changed().await.ok()?,
+            match self.poll_state() {
+                WatchState::Line(line) => return Some((Ok(line), self)),
+                WatchState::Closed => return None,
+                WatchState::Wait => self.rx.changed().await.ok()?,
             }
         }
     }
 
-    fn ready(&mut self) -> Next {
-        let inner = self.platform.lock();
-        if inner.faults.outage {
-            return Next::Over;
+    fn poll_state(&mut self) -> WatchState {
+        let state = self.platform.lock();
+        if state.faults.outage {
+            return WatchState::Closed;
         }
-        if inner.faults.stall_watches {
-            return Next::Wait;
+        if state.faults.stall_watches {
+            return WatchState::Wait;
         }
-        let events = inner.store.events_from(self.next, &self.req);
-        let mut result = json!({"header": inner.store.header(), "watch_id": "0"});
-        let first = !std::mem::replace(&mut self.told, true);
-        self.next = self.next.max(inner.store.revision() + 1);
+        let events = state.store.events_from(self.next_revision, &self.req);
+        let mut result = json!({"header": state.store.header(), "watch_id": "0"});
+        let first = !std::mem::replace(&mut self.is_created_sent, true);
+        self.next_revision = self.next_revision.max(state.store.revision() + 1);
         match (first, events.is_empty()) {
-            (false, true) => return Next::Wait,
+            (false, true) => return WatchState::Wait,
             (true, _) => result["created"] = json!(true),
             (false, false) => {}
         }
         if !events.is_empty() {
             result["events"] = json!(events);
         }
-        Next::Line(Bytes::from(format!("{}\n", json!({"result": result}))))
+        WatchState::Line(Bytes::from(format!("{}\n", json!({"result": result}))))
     }
 }
 
--- a/crates/testkit/src/proxy/control.rs
+++ b/crates/testkit/src/proxy/control.rs
@@ -8,7 +8,7 @@
     std::{future, io, net::SocketAddr},
 };
 
-/// Serves `POST /stand-in/link` at `address`, which puts the proxy's link into another state.
+/// Serves `POST /stand-in/link` at `address`, which sets the state of the proxy's link.
 ///
 /// # Errors
 ///
@@ -20,12 +20,12 @@
     let proxy = Data::new(proxy);
     let routes = move |cfg: &mut web::ServiceConfig| {
         cfg.app_data(Data::clone(&proxy))
-            .route("/stand-in/link", web::post().to(set));
+            .route("/stand-in/link", web::post().to(set_link));
     };
     server::start(address, routes, || future::ready(()))
 }
 
-async fn set(
+async fn set_link(
     proxy: Data<Proxy>,
     Json(link): Json<Link>,
 ) -> HttpResponse {
--- a/crates/testkit/src/proxy/link.rs
+++ b/crates/testkit/src/proxy/link.rs
@@ -1,22 +1,22 @@
 use serde::{Deserialize, Serialize};
 
-/// What a link does to the connections that run over it.
+/// How a link treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// All passes.
+    /// Forwards all data.
     #[default]
     Pass,
-    /// Nothing passes either way; what was sent arrives once the link is whole again.
+    /// Holds back data in both directions until the link passes again.
     Cut,
-    /// Nothing passes from the one that connects.
+    /// Holds back data from the client to the target.
     CutToTarget,
-    /// Nothing passes to the one that connects.
+    /// Holds back data from the target to the client.
     CutToClient,
-    /// Connections that are open now stay open and are dead for good; new ones work.
+    /// Open connections never transfer data again, without closing; new ones work.
     Silent,
-    /// Open connections are closed and new ones are closed at once.
+    /// Closes all open and new connections.
     Refuse,
 }
 
@@ -25,23 +25,23 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Link {
-    /// What it does.
+    /// How connections are treated.
     pub mode: Fault,
-    /// How much later each piece arrives, milliseconds.
+    /// Delay of each forwarded chunk, in milliseconds.
     pub delay_ms: u64,
-    /// Closes a connection once so many bytes went to the one that connects.
+    /// Closes a connection after this many bytes to the client.
     pub close_after: Option<u64>,
 }
 
-/// The state of a link, and how often it has gone silent so far.
+/// Link state shared with the connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct State {
     pub(super) link: Link,
-    /// Connections opened before this many silences are dead.
-    pub(super) silences: u64,
+    /// Number of times `Silent` was set; older connections no longer transfer data.
+    pub(super) silence_generation: u64,
 }
 
-/// Which way a byte goes.
+/// Direction of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     ToTarget,
@@ -49,14 +49,14 @@
 }
 
 impl State {
-    /// Whether a connection opened after `born` silences lets bytes through.
-    pub(super) fn passes(
+    /// Whether a connection of silence generation `generation` may transfer data.
+    pub(super) fn allows(
         &self,
         direction: Direction,
-        born: u64,
+        generation: u64,
     ) -> bool {
         match self.link.mode {
-            _ if born < self.silences => false,
+            _ if generation < self.silence_generation => false,
             Fault::Pass | Fault::Silent => true,
             Fault::Cut | Fault::Refuse => false,
             Fault::CutToTarget => direction == Direction::ToClient,
--- a/crates/testkit/src/proxy/mod.rs
+++ b/crates/testkit/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy between two processes that brings about the faults of a network.
+//! A TCP proxy that injects network faults between two processes.
 
 mod control;
 mod link;
--- a/crates/testkit/src/proxy/passed.rs
+++ b/crates/testkit/src/proxy/passed.rs
@@ -3,23 +3,23 @@
     std::sync::atomic::{AtomicU64, Ordering},
 };
 
-/// Bytes that have passed a proxy.
+/// Bytes transferred through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Passed {
-    /// From the ones that connect.
+    /// Bytes from clients to the target.
     pub to_target: u64,
-    /// To the ones that connect.
+    /// Bytes from the target to clients.
     pub to_client: u64,
 }
 
-/// Counts what passes; the proxy's thread writes, others read.
+/// Transfer counters, written by the proxy thread and read by others.
 #[derive(Debug, Default)]
-pub(super) struct Count {
+pub(super) struct TransferCounters {
     to_target: AtomicU64,
     to_client: AtomicU64,
 }
 
-impl Count {
+impl TransferCounters {
     pub(super) fn add(
         &self,
         direction: Direction,
--- a/crates/testkit/src/proxy/tcp_proxy.rs
+++ b/crates/testkit/src/proxy/tcp_proxy.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         link::{Direction, Fault, Link, State},
-        passed::{Count, Passed},
+        passed::{Passed, TransferCounters},
     },
     std::{
         io,
@@ -23,22 +23,22 @@
     },
 };
 
-/// Bytes that pass at a time.
-const PIECE: usize = 16 << 10;
+/// Size of the copy buffer, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// One link through the proxy; dropping it closes all that runs over it.
+/// A proxied link; dropping it closes all its connections.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
     state: watch::Sender<State>,
     target: watch::Sender<SocketAddr>,
-    count: Arc<Count>,
+    count: Arc<TransferCounters>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Proxy {
-    /// Listens at `address` and passes connections on to `target`.
+    /// Listens on `address` and forwards connections to `target`.
     ///
     /// # Errors
     ///
@@ -52,15 +52,15 @@
         let address = listener.local_addr()?;
         let (state, rx) = watch::channel(State::default());
         let (target, target_rx) = watch::channel(target);
-        let (stop, stopped) = oneshot::channel();
+        let (stop, stop_rx) = oneshot::channel();
         let runtime = Builder::new_current_thread().enable_all().build()?;
-        let count = Arc::new(Count::default());
-        let counted = Arc::clone(&count);
+        let count = Arc::new(TransferCounters::default());
+        let thread_count = Arc::clone(&count);
         let thread = thread::spawn(move || {
             let accept = async move {
                 tokio::select! {
-                    _ = accept(listener, target_rx, rx, counted) => {}
-                    _ = stopped => {}
+                    _ = accept(listener, target_rx, rx, thread_count) => {}
+                    _ = stop_rx => {}
                 }
             };
             LocalSet::new().block_on(&runtime, accept);
@@ -75,17 +75,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Listen address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How much has passed each way so far, over all connections.
+    /// Bytes transferred in each direction, over all connections.
     pub fn passed(&self) -> Passed {
         self.count.passed()
     }
 
-    /// Passes new connections on to another target, such as a process that was started anew.
+    /// Forwards new connections to another target, such as a restarted process.
     pub fn retarget(
         &self,
         target: SocketAddr,
@@ -93,18 +93,18 @@
         self.target.send_replace(target);
     }
 
-    /// Puts the link into another state.
+    /// Sets the state of the link.
     pub fn set(
         &self,
         link: Link,
     ) {
         self.state.send_modify(|state| {
-            state.silences += u64::from(link.mode == Fault::Silent);
+            state.silence_generation += u64::from(link.mode == Fault::Silent);
             state.link = link;
         });
     }
 
-    /// Puts the link into this mode, without delay.
+    /// Sets the mode of the link and clears the delay and the close limit.
     pub fn set_mode(
         &self,
         mode: Fault,
@@ -129,12 +129,12 @@
     listener: StdListener,
     target: watch::Receiver<SocketAddr>,
     rx: watch::Receiver<State>,
-    count: Arc<Count>,
+    count: Arc<TransferCounters>,
 ) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     loop {
         let (client, _) = listener.accept().await?;
-        tokio::task::spawn_local(connection(
+        tokio::task::spawn_local(handle_connection(
             client,
             target.clone(),
             rx.clone(),
@@ -143,16 +143,16 @@
     }
 }
 
-async fn connection(
+async fn handle_connection(
     client: TcpStream,
     target: watch::Receiver<SocketAddr>,
     mut rx: watch::Receiver<State>,
-    count: Arc<Count>,
+    count: Arc<TransferCounters>,
 ) {
-    let born = rx.borrow().silences;
+    let generation = rx.borrow().silence_generation;
     let mut refused = rx.clone();
-    let both = async {
-        rx.wait_for(|state| state.passes(Direction::ToTarget, born))
+    let transfer = async {
+        rx.wait_for(|state| state.allows(Direction::ToTarget, generation))
             .await
             .map_err(io::Error::other)?;
         let target = *target.borrow();
@@ -162,37 +162,44 @@
         let (client_rx, client_tx) = client.into_split();
         let (server_rx, server_tx) = server.into_split();
         tokio::try_join!(
-            pump(
+            forward(
                 client_rx,
                 server_tx,
                 Direction::ToTarget,
-                born,
+                generation,
                 rx.clone(),
                 &count
             ),
-            pump(server_rx, client_tx, Direction::ToClient, born, rx, &count),
+            forward(
+                server_rx,
+                client_tx,
+                Direction::ToClient,
+                generation,
+                rx,
+                &count
+            ),
         )
     };
     tokio::select! {
-        _ = both => {}
+        _ = transfer => {}
         _ = refused.wait_for(|state| state.link.mode == Fault::Refuse) => {}
     }
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
-    born: u64,
+    generation: u64,
     mut rx: watch::Receiver<State>,
-    count: &Count,
+    count: &TransferCounters,
 ) -> io::Result<()> {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_BYTES];
     let mut passed = 0;
     loop {
         let n = from.read(&mut buf).await?;
         let link = rx
-            .wait_for(|state| state.passes(direction, born))
+            .wait_for(|state| state.allows(direction, generation))
             .await
             .map_err(io::Error::other)?
             .link;
@@ -202,14 +209,14 @@
         if link.delay_ms > 0 {
             time::sleep(Duration::from_millis(link.delay_ms)).await;
         }
-        let room = match (link.close_after, direction) {
-            (Some(most), Direction::ToClient) => most.saturating_sub(passed) as usize,
+        let allowance = match (link.close_after, direction) {
+            (Some(limit), Direction::ToClient) => limit.saturating_sub(passed) as usize,
             _ => usize::MAX,
         };
-        to.write_all(&buf[..n.min(room)]).await?;
-        count.add(direction, n.min(room) as u64);
+        to.write_all(&buf[..n.min(allowance)]).await?;
+        count.add(direction, n.min(allowance) as u64);
         passed += n as u64;
-        if n >= room {
+        if n >= allowance {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
     }
--- a/crates/testkit/src/server/headers.rs
+++ b/crates/testkit/src/server/headers.rs
@@ -1,6 +1,6 @@
 use actix_web::HttpRequest;
 
-/// All headers of a request, as text.
+/// Returns all headers of a request as text.
 pub(crate) fn header_list(req: &HttpRequest) -> Vec<(String, String)> {
     let headers = req.headers().iter();
     headers
@@ -13,7 +13,7 @@
         .collect()
 }
 
-/// A header of a request, empty without it.
+/// Returns a header of a request, empty if absent.
 pub(crate) fn header(
     req: &HttpRequest,
     name: &str,
--- a/crates/testkit/src/server/lost_reply.rs
+++ b/crates/testkit/src/server/lost_reply.rs
@@ -5,13 +5,13 @@
     std::time::{SystemTime, UNIX_EPOCH},
 };
 
-/// An answer whose body fails before a byte is sent, so that the connection closes without a reply.
+/// A response whose connection is closed before any byte is sent.
 pub(crate) fn lost_reply() -> HttpResponse {
     let body = stream::once(async { Err::<Bytes, _>(PayloadError::Incomplete(None)) });
     HttpResponse::Ok().streaming(body)
 }
 
-/// Milliseconds since the Unix epoch: the one clock that records of several processes share.
+/// Unix time in milliseconds, comparable across processes.
 pub(crate) fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/testkit/src/server/mod.rs
+++ b/crates/testkit/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! How a stand-in listens: an HTTP server on a thread of its own, ended when its handle is dropped.
+//! HTTP server of a stand-in on its own thread, stopped when its handle is dropped.
 
 mod headers;
 mod lost_reply;
--- a/crates/testkit/src/server/running.rs
+++ b/crates/testkit/src/server/running.rs
@@ -9,10 +9,10 @@
     },
 };
 
-/// Bytes of a body that a stand-in reads; more than any test sends.
-const MAX_BODY: usize = 8 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// A stand-in that listens; dropping it ends it and closes its connections.
+/// Handle of a running stand-in; dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Running {
     address: SocketAddr,
@@ -21,12 +21,12 @@
 }
 
 impl Running {
-    /// Where it listens.
+    /// Listen address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until the stand-in ends by itself or by a signal.
+    /// Blocks until the server stops.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
@@ -43,7 +43,7 @@
     }
 }
 
-/// Serves `routes` at `address` and runs `background` beside them, both on a new thread.
+/// Serves `routes` at `address` and runs the `background` task, on a new thread.
 pub(crate) fn start<R, B, F>(
     address: SocketAddr,
     routes: R,
@@ -61,10 +61,10 @@
         System::new().block_on(async move {
             let app = move || {
                 App::new()
-                    .app_data(web::PayloadConfig::new(MAX_BODY))
+                    .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
                     .app_data(
                         web::JsonConfig::default()
-                            .limit(MAX_BODY)
+                            .limit(MAX_BODY_BYTES)
                             .content_type_required(false),
                     )
                     .configure(routes.clone())
--- a/crates/testkit/src/service/mod.rs
+++ b/crates/testkit/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Stands in for a server of a plain service: it takes any call and remembers each.
+//! A fake service upstream that accepts any call and records it.
 
 mod plain_service;
 
--- a/crates/testkit/src/service/plain_service.rs
+++ b/crates/testkit/src/service/plain_service.rs
@@ -15,16 +15,16 @@
     tokio::time,
 };
 
-/// What goes wrong at the service from now on.
+/// Faults injected into the service.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Each call takes this long after its effect, milliseconds.
+    /// Delay of each response after the call took effect, in milliseconds.
     pub delay_ms: u64,
-    /// So many of the next calls take effect without an answer.
+    /// Number of next calls that take effect but get no response.
     pub lose_replies: u32,
-    /// So many of the next calls are answered with 503 and have no effect.
+    /// Number of next calls refused with 503.
     pub refuse: u32,
 }
 
@@ -32,40 +32,40 @@
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub struct ServedCall {
-    /// The request id it came with.
+    /// Request id from the `x-request-id` header.
     pub request_id: String,
-    /// The client account it came for.
+    /// Client account from the `x-client-account` header.
     pub account: String,
-    /// The idempotency key it came with, empty without one.
+    /// Idempotency key, empty if absent.
     pub idempotency_key: String,
-    /// Its HTTP method.
+    /// HTTP method.
     pub method: String,
-    /// Its path with the query.
+    /// Path with the query.
     pub path: String,
-    /// Its body as text.
+    /// Request body as text.
     pub body: String,
-    /// All its headers.
+    /// All request headers.
     pub headers: Vec<(String, String)>,
-    /// When it took effect, milliseconds of Unix time.
+    /// When it took effect, in milliseconds of Unix time.
     pub at_ms: u64,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     faults: ServiceFaults,
     calls: Vec<ServedCall>,
 }
 
 #[derive(Debug, Default)]
-struct PlainService(Mutex<Inner>);
+struct PlainService(Mutex<State>);
 
 impl PlainService {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Starts a server of a plain service at `address`.
+/// Starts a fake service that listens on `address`.
 ///
 /// # Errors
 ///
@@ -102,22 +102,22 @@
         "account": call.account,
         "request_id": call.request_id,
     });
-    let (delay, lost) = {
-        let mut inner = service.lock();
-        if inner.faults.refuse > 0 {
-            inner.faults.refuse -= 1;
+    let (delay, drop_reply) = {
+        let mut state = service.lock();
+        if state.faults.refuse > 0 {
+            state.faults.refuse -= 1;
             return HttpResponse::ServiceUnavailable().json(json!({"error": "refused"}));
         }
-        inner.calls.push(call);
-        let lost = inner.faults.lose_replies > 0;
-        inner.faults.lose_replies -= u32::from(lost);
-        (inner.faults.delay_ms, lost)
+        state.calls.push(call);
+        let drop_reply = state.faults.lose_replies > 0;
+        state.faults.lose_replies -= u32::from(drop_reply);
+        (state.faults.delay_ms, drop_reply)
     };
     if delay > 0 {
-        // Even a sleep of nought would cost the timer's millisecond.
+        // A zero sleep would still take up to 1 ms.
         time::sleep(Duration::from_millis(delay)).await;
     }
-    if lost {
+    if drop_reply {
         lost_reply()
     } else {
         HttpResponse::Ok().json(answer)
--- a/crates/testkit/src/weights/mod.rs
+++ b/crates/testkit/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! Stands in for the rate-limited store of adapter weights.
+//! A fake, rate-limited store of adapter weights.
 
 mod weight_store;
 
--- a/crates/testkit/src/weights/weight_store.rs
+++ b/crates/testkit/src/weights/weight_store.rs
@@ -16,18 +16,18 @@
     tokio::time,
 };
 
-/// How the weight store behaves.
+/// Settings of the fake weight store.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightSettings {
-    /// Milliseconds from one load's start to the next one's.
+    /// Minimum interval between load starts, in milliseconds.
     pub every_ms: u64,
-    /// Milliseconds of a load while few are in flight.
+    /// Duration of a load at full speed, in milliseconds.
     pub load_ms: u64,
-    /// Loads in flight beyond which each takes proportionally longer.
+    /// Concurrent loads served at full speed; beyond it, loads slow down proportionally.
     pub full_speed: u64,
-    /// Names whose loads fail.
+    /// Weight names whose loads fail.
     pub failing: Vec<String>,
 }
 
@@ -43,50 +43,50 @@
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     cfg: WeightSettings,
-    next_start: Option<Instant>,
+    next_load_at: Option<Instant>,
     in_flight: u64,
     most_in_flight: u64,
     served: BTreeMap<String, u64>,
 }
 
 #[derive(Debug, Default)]
-struct WeightStore(Mutex<Inner>);
+struct WeightStore(Mutex<State>);
 
 impl WeightStore {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the next turn: when it begins.
-    fn enter(&self) -> Instant {
-        let mut inner = self.lock();
-        inner.in_flight += 1;
-        inner.most_in_flight = inner.most_in_flight.max(inner.in_flight);
+    /// Registers a load and returns its scheduled start.
+    fn schedule_load(&self) -> Instant {
+        let mut state = self.lock();
+        state.in_flight += 1;
+        state.most_in_flight = state.most_in_flight.max(state.in_flight);
         let now = Instant::now();
-        let begins = inner.next_start.map_or(now, |next| next.max(now));
-        inner.next_start = Some(begins + Duration::from_millis(inner.cfg.every_ms));
-        begins
+        let start_at = state.next_load_at.map_or(now, |next| next.max(now));
+        state.next_load_at = Some(start_at + Duration::from_millis(state.cfg.every_ms));
+        start_at
     }
 
-    fn load_time(&self) -> Duration {
-        let inner = self.lock();
-        let over = inner.in_flight.max(inner.cfg.full_speed);
-        Duration::from_millis(inner.cfg.load_ms * over / inner.cfg.full_speed.max(1))
+    fn load_duration(&self) -> Duration {
+        let state = self.lock();
+        let concurrency = state.in_flight.max(state.cfg.full_speed);
+        Duration::from_millis(state.cfg.load_ms * concurrency / state.cfg.full_speed.max(1))
     }
 }
 
-/// Leaves the store also when the engine that loads goes away.
-struct InFlight<'a>(&'a WeightStore);
+/// Decrements the in-flight count on drop, also when the engine disconnects.
+struct InFlightGuard<'a>(&'a WeightStore);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.lock().in_flight -= 1;
     }
 }
 
-/// Starts the weight store at `address`.
+/// Starts a weight store that listens on `address`.
 ///
 /// # Errors
 ///
@@ -100,7 +100,7 @@
     let routes = move |cfg: &mut web::ServiceConfig| {
         cfg.app_data(Data::clone(&store))
             .route("/weights/{name}", web::get().to(weights))
-            .route("/stand-in/settings", web::post().to(set))
+            .route("/stand-in/settings", web::post().to(set_settings))
             .route("/stand-in/record", web::get().to(record));
     };
     server::start(address, routes, || future::ready(()))
@@ -110,20 +110,20 @@
     store: Data<WeightStore>,
     name: Path<String>,
 ) -> HttpResponse {
-    let begins = store.enter();
-    let _in_flight = InFlight(&store);
-    time::sleep_until(begins.into()).await;
-    time::sleep(store.load_time()).await;
-    let mut inner = store.lock();
-    if inner.cfg.failing.contains(&name) {
+    let start_at = store.schedule_load();
+    let _guard = InFlightGuard(&store);
+    time::sleep_until(start_at.into()).await;
+    time::sleep(store.load_duration()).await;
+    let mut state = store.lock();
+    if state.cfg.failing.contains(&name) {
         HttpResponse::InternalServerError().json(json!({"error": {"code": "weights_failed"}}))
     } else {
-        *inner.served.entry(name.clone()).or_default() += 1;
+        *state.served.entry(name.clone()).or_default() += 1;
         HttpResponse::Ok().body(name.into_inner())
     }
 }
 
-async fn set(
+async fn set_settings(
     store: Data<WeightStore>,
     Json(cfg): Json<WeightSettings>,
 ) -> HttpResponse {
@@ -132,10 +132,10 @@
 }
 
 async fn record(store: Data<WeightStore>) -> HttpResponse {
-    let inner = store.lock();
+    let state = store.lock();
     HttpResponse::Ok().json(json!({
-        "in_flight": inner.in_flight,
-        "most_in_flight": inner.most_in_flight,
-        "served": inner.served,
+        "in_flight": state.in_flight,
+        "most_in_flight": state.most_in_flight,
+        "served": state.served,
     }))
 }
