--- a/crates/testkit/src/decisions/engine.rs
+++ b/crates/testkit/src/decisions/engine.rs
@@ -49,7 +49,7 @@
         self.running.len() + self.waiting.len()
     }
 
-    /// Whether a running or queued request has_request_on this instance.
+    /// Whether a running or queued request uses this instance.
     pub fn has_request_on(
         &self,
         instance: Instance,
--- a/crates/testkit/src/decisions/fleet.rs
+++ b/crates/testkit/src/decisions/fleet.rs
@@ -43,7 +43,7 @@
     pub(super) pending_acquires: BTreeMap<u64, (UpstreamId, jasmine_core::ids::AdapterVersion)>,
 }
 
-/// Workload budget that an owner has requested and not yet received.
+/// Load budget that an owner has requested and not yet received.
 #[derive(Debug)]
 pub(super) struct BudgetRequest {
     pub(super) owner: usize,
--- a/crates/testkit/src/decisions/workload.rs
+++ b/crates/testkit/src/decisions/workload.rs
@@ -44,7 +44,7 @@
     /// All accounts send twice their rate.
     #[display("everybody")]
     Everybody,
-    /// One engine is_restart_due with no adapters loaded.
+    /// One engine restarts with no adapters loaded.
     #[display("restart")]
     Restart,
     /// The weight store is limited to a quarter of its rate.
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether this engine is_restart_due at `now`.
+    /// Whether this engine restarts at `now`.
     pub fn is_restart_due(
         self,
         engine: usize,
