--- a/crates/testkit/src/engine/mod.rs
+++ b/crates/testkit/src/engine/mod.rs
@@ -13,6 +13,6 @@
 pub use {
     answer::{answer, chat_answer, long_message, prefix_of, prompt_of},
     api::start,
-    record::{EndReason, EngineRecord, RanRequest},
+    record::{Ended, EngineRecord, RanRequest},
     settings::{EngineFaults, EngineSettings},
 };
--- a/crates/testkit/src/engine/record.rs
+++ b/crates/testkit/src/engine/record.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EndReason {
+pub enum Ended {
     /// All its tokens were generated.
     Done,
     /// It was cancelled.
@@ -42,7 +42,7 @@
     /// When it ended, in milliseconds of Unix time.
     pub end_ms: Option<u64>,
     /// Why it ended, none while it is open.
-    pub ended: Option<EndReason>,
+    pub ended: Option<Ended>,
 }
 
 /// Everything that an engine records for tests.
--- a/crates/testkit/src/engine/state.rs
+++ b/crates/testkit/src/engine/state.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         answer::{answer_len, prefix_of, prompt_tokens},
-        record::{EndReason, EngineRecord, RanRequest},
+        record::{Ended, EngineRecord, RanRequest},
         settings::{EngineFaults, EngineSettings},
     },
     crate::server::unix_ms,
@@ -40,7 +40,7 @@
     pub(super) prefill_left: u32,
     pub(super) readers: u32,
     pub(super) unread_since: Instant,
-    pub(super) ended: Option<EndReason>,
+    pub(super) ended: Option<Ended>,
     pub(super) record: usize,
 }
 
@@ -175,7 +175,7 @@
     pub(super) fn end(
         &mut self,
         name: &str,
-        ended: EndReason,
+        ended: Ended,
     ) -> bool {
         self.waiting.retain(|other| other != name);
         self.running.retain(|other| other != name);
@@ -206,7 +206,7 @@
     pub(super) fn restart(&mut self) {
         let streams: Vec<_> = self.streams.keys().cloned().collect();
         for name in streams {
-            self.end(&name, EndReason::Restarted);
+            self.end(&name, Ended::Restarted);
         }
         self.streams.clear();
         self.instances.clear();
