--- a/crates/controller/src/cli/command.rs
+++ b/crates/controller/src/cli/command.rs
@@ -3,13 +3,13 @@
     std::path::PathBuf,
 };
 
-/// The argument that names the settings file.
+/// Argument id of the path of the settings file.
 pub const SETTINGS: &str = "settings";
 
-/// The argument that asks only for a check of the settings.
+/// Argument id of the flag that only checks the settings file.
 pub const CHECK_SETTINGS: &str = "check-settings";
 
-/// The command line of `jasmine-controller`.
+/// Builds the command line parser of `jasmine-controller`.
 pub fn command() -> Command {
     Command::new("jasmine-controller")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/controller/src/cli/mod.rs
+++ b/crates/controller/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 mod command;
 
--- a/crates/controller/src/clock/mod.rs
+++ b/crates/controller/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! This process's own clock and signals between its tasks.
+//! Monotonic clock and change notification between tasks.
 
 mod own_clock;
 mod signal;
--- a/crates/controller/src/clock/own_clock.rs
+++ b/crates/controller/src/clock/own_clock.rs
@@ -3,30 +3,30 @@
     std::time::{Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// What the clock shows at its start: what happened elsewhere before that lies after zero, too.
-const AT_START: Millis = Millis::from_secs(7 * 24 * 3600);
+/// Reading at the start, which keeps times of earlier events above zero.
+const START_READING: Millis = Millis::from_secs(7 * 24 * 3600);
 
-/// A clock that never goes back and that goes on while the process is stopped.
+/// Monotonic clock that also advances while the process is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnClock {
     origin: Instant,
 }
 
 impl OwnClock {
-    /// A clock that starts now.
+    /// Creates a clock whose origin is the current time.
     pub fn start() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// The time now.
+    /// Current reading in milliseconds.
     pub fn now(&self) -> Millis {
-        AT_START + Millis(self.origin.elapsed().as_millis() as u64)
+        START_READING + Millis(self.origin.elapsed().as_millis() as u64)
     }
 }
 
-/// Milliseconds since 1970, which number the runs of a daemon.
+/// Milliseconds since the Unix epoch, used as incarnation numbers of daemons.
 pub fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/controller/src/clock/signal.rs
+++ b/crates/controller/src/clock/signal.rs
@@ -4,52 +4,51 @@
     tokio::{sync::watch, time::timeout},
 };
 
-/// A counter that grows with each change, for those who wait for the next one.
+/// Change notification with a sequence number that increases with each change.
 #[derive(Clone, Debug)]
 pub struct Signal {
     tx: watch::Sender<u64>,
-    began: u64,
+    first_seq: u64,
 }
 
 impl Signal {
-    /// A counter that begins above zero, which is what somebody has who has seen nothing.
+    /// Creates a signal; zero is never used as its sequence number.
     ///
-    /// It begins at the time of day, so that a number of another run or another daemon is not
-    /// mistaken for one of this.
+    /// Numbers start at the Unix time, so that those of another run or daemon are not taken for its own.
     pub fn new() -> Self {
-        let began = unix_millis();
+        let first_seq = unix_millis();
         Self {
-            tx: watch::Sender::new(began),
-            began,
+            tx: watch::Sender::new(first_seq),
+            first_seq,
         }
     }
 
-    /// The number of the newest change.
+    /// Sequence number of the newest change.
     pub fn seq(&self) -> u64 {
         *self.tx.borrow()
     }
 
-    /// Whether this is a number that this very counter has given since it began.
+    /// Whether this signal issued the sequence number `seq`.
     pub fn knows(
         &self,
         seq: u64,
     ) -> bool {
-        (self.began..=self.seq()).contains(&seq)
+        (self.first_seq..=self.seq()).contains(&seq)
     }
 
-    /// Notes a change and wakes everybody who waits.
+    /// Increments the sequence number and wakes all waiting tasks.
     pub fn raise(&self) {
         self.tx.send_modify(|seq| *seq += 1);
     }
 
-    /// Waits until the counter is not `have`, at most for `wait`.
+    /// Waits until the sequence number differs from `have`, at most for `wait`.
     pub async fn changed_from(
         &self,
         have: u64,
         wait: Millis,
     ) -> u64 {
         let mut rx = self.tx.subscribe();
-        // The sender lives in self, so the only way to end early is the change itself.
+        // `self` holds the sender, so the channel can't close while waiting.
         let seq = timeout(wait.to_std(), rx.wait_for(|&seq| seq != have))
             .await
             .ok()
--- a/crates/controller/src/config/config_keeper.rs
+++ b/crates/controller/src/config/config_keeper.rs
@@ -1,5 +1,5 @@
 use {
-    super::Applied,
+    super::ApplyOutcome,
     crate::clock::{OwnClock, Signal},
     jasmine_conf::{
         fleet::Fleet,
@@ -16,90 +16,88 @@
     },
 };
 
-/// Edits that are told one by one; who lacks more gets the whole tree.
-const MOST_EDITS: u64 = 256;
+/// Most edits sent in one reply; a requester that misses more gets the full tree.
+const MAX_EDITS_PER_REPLY: u64 = 256;
 
-/// Freshness of a configuration that the store has never confirmed.
-const NEVER: Millis = Millis(u64::MAX / 2);
+/// Age reported while the store has never confirmed the configuration.
+const NEVER_CONFIRMED_AGE: Millis = Millis(u64::MAX / 2);
 
-/// What somebody who asks for the configuration gets.
+/// Reply to a request for the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigReply {
-    /// The revision in force here.
+    /// Current revision of this controller.
     pub revision: Revision,
-    /// JSON of the edits or of the whole tree; empty when there is nothing newer.
+    /// JSON of the missing edits or of the full tree; empty when there is nothing newer.
     pub body: Arc<Vec<u8>>,
-    /// Whether the body is the whole tree.
+    /// Whether the body is the full tree.
     pub full: bool,
     /// Time since the store confirmed the revision.
     pub fresh: Millis,
 }
 
-/// One revision with everything worked out from it.
+/// One revision with the state derived from it.
 #[derive(Debug)]
-struct InForce {
+struct CurrentConfig {
     tree: Tree,
     fleet: Arc<Fleet>,
     log: EditLog,
-    whole: RefCell<Option<Arc<Vec<u8>>>>,
+    cached_body: RefCell<Option<Arc<Vec<u8>>>>,
 }
 
-/// The configuration in force on this VM.
+/// Current configuration of this VM.
 ///
-/// Whatever arrives, from the store or from a peer, is taken only if it is newer. A peer that was cut
-/// off, or an old reply that arrives late, therefore can't bring a withdrawn key back.
+/// Edits and trees from the store or from a peer are applied only if they are newer, so a partitioned
+/// peer or a late reply can't restore a revoked key.
 #[derive(Debug)]
 pub struct ConfigKeeper {
     clock: OwnClock,
-    in_force: RefCell<Option<InForce>>,
+    current: RefCell<Option<CurrentConfig>>,
     confirmed: Cell<Option<Millis>>,
     gateway: Cell<Revision>,
-    /// Raised with each new revision.
+    /// Raised on each new revision.
     pub changed: Signal,
 }
 
 impl ConfigKeeper {
-    /// Nothing is in force yet.
+    /// Creates a state without a configuration.
     pub fn new(clock: OwnClock) -> Self {
         Self {
             clock,
-            in_force: RefCell::new(None),
+            current: RefCell::new(None),
             confirmed: Cell::new(None),
             gateway: Cell::new(Revision(0)),
             changed: Signal::new(),
         }
     }
 
-    /// Whether any configuration is in force.
+    /// Whether a configuration has been loaded.
     pub fn is_loaded(&self) -> bool {
-        self.in_force.borrow().is_some()
+        self.current.borrow().is_some()
     }
 
-    /// The revision in force, zero when there is none.
+    /// Current revision, zero when no configuration is loaded.
     pub fn revision(&self) -> Revision {
-        self.in_force
+        self.current
             .borrow()
             .as_ref()
-            .map_or(Revision(0), |in_force| in_force.tree.revision())
+            .map_or(Revision(0), |current| current.tree.revision())
     }
 
     /// The resolved configuration.
     pub fn fleet(&self) -> Option<Arc<Fleet>> {
-        let in_force = self.in_force.borrow();
-        in_force
-            .as_ref()
-            .map(|in_force| Arc::clone(&in_force.fleet))
+        let current = self.current.borrow();
+        current.as_ref().map(|current| Arc::clone(&current.fleet))
     }
 
-    /// The tree and the newest edits; copies are cheap.
+    /// The tree and the newest edits; cloning them is cheap.
     pub fn tree(&self) -> Option<(Tree, EditLog)> {
-        let in_force = self.in_force.borrow();
-        in_force
+        let current = self.current.borrow();
+        current
             .as_ref()
-            .map(|in_force| (in_force.tree.clone(), in_force.log.clone()))
+            .map(|current| (current.tree.clone(), current.log.clone()))
     }
 
-    /// The name of an adapter version's weights in the weight store.
+    /// Name of an adapter version's weights in the weight store.
     pub fn weights(
         &self,
         adapter: AdapterVersion,
@@ -110,15 +108,15 @@
         Some(version.weights.clone())
     }
 
-    /// Time since the store confirmed, to this controller or to one it heard from, what is in force.
+    /// Time since the store confirmed the current revision, to this controller or to a polled peer.
     pub fn fresh(&self) -> Millis {
         match self.confirmed.get() {
             Some(at) => self.clock.now().since(at),
-            None => NEVER,
+            None => NEVER_CONFIRMED_AGE,
         }
     }
 
-    /// Notes that the store had nothing newer at the time `at` of this process's own clock.
+    /// Records that the store had nothing newer at `at`, on this process's clock.
     pub fn confirm(
         &self,
         at: Millis,
@@ -128,12 +126,12 @@
         }
     }
 
-    /// The revision in force at the gateway beside this controller.
+    /// Revision that the gateway on this VM uses.
     pub const fn gateway_revision(&self) -> Revision {
         self.gateway.get()
     }
 
-    /// Notes which revision the gateway beside this controller has.
+    /// Records the revision that the gateway on this VM uses.
     pub fn note_gateway(
         &self,
         revision: Revision,
@@ -141,14 +139,14 @@
         self.gateway.set(revision);
     }
 
-    /// Puts a whole tree in force if it is newer; `edits` are those that led to it, if known.
+    /// Installs a full tree if it is newer; `edits` are the edits that led to it, if known.
     pub fn install(
         &self,
         tree: Tree,
         edits: Vec<AcceptedEdit>,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         if self.is_loaded() && tree.revision() <= self.revision() {
-            return Applied::Old;
+            return ApplyOutcome::Stale;
         }
         let revision = tree.revision();
         let mut log = EditLog::new(
@@ -161,61 +159,61 @@
             log = EditLog::new(revision);
         }
         let fleet = Arc::new(tree.resolve());
-        self.in_force.replace(Some(InForce {
+        self.current.replace(Some(CurrentConfig {
             tree,
             fleet,
             log,
-            whole: RefCell::new(None),
+            cached_body: RefCell::new(None),
         }));
         Line::new("config_in_force")
             .with("revision", revision)
             .with("whole", true)
             .info();
         self.changed.raise();
-        Applied::Yes
+        ApplyOutcome::Applied
     }
 
-    /// Puts one edit in force if it is the next.
+    /// Applies one edit if it is the next revision.
     pub fn apply(
         &self,
         accepted: &AcceptedEdit,
-    ) -> Applied {
-        let mut in_force = self.in_force.borrow_mut();
-        let Some(in_force) = in_force.as_mut() else {
-            return Applied::Gap;
+    ) -> ApplyOutcome {
+        let mut current = self.current.borrow_mut();
+        let Some(current) = current.as_mut() else {
+            return ApplyOutcome::Gap;
         };
-        let have = in_force.tree.revision();
+        let have = current.tree.revision();
         match accepted.revision {
-            revision if revision <= have => return Applied::Old,
-            revision if revision > have.next() => return Applied::Gap,
+            revision if revision <= have => return ApplyOutcome::Stale,
+            revision if revision > have.next() => return ApplyOutcome::Gap,
             _ => {}
         }
-        let Ok(changes) = in_force.tree.apply(accepted) else {
-            return Applied::Gap;
+        let Ok(changes) = current.tree.apply(accepted) else {
+            return ApplyOutcome::Gap;
         };
-        in_force
+        current
             .tree
-            .refresh(Arc::make_mut(&mut in_force.fleet), &changes);
-        in_force.log.push(Arc::new(accepted.clone()));
-        in_force.whole.replace(None);
+            .refresh(Arc::make_mut(&mut current.fleet), &changes);
+        current.log.push(Arc::new(accepted.clone()));
+        current.cached_body.replace(None);
         Line::new("config_in_force")
             .with("revision", accepted.revision)
             .with("edit", &accepted.edit.id)
             .info();
         self.changed.raise();
-        Applied::Yes
+        ApplyOutcome::Applied
     }
 
-    /// Puts in force what a peer has told, if it is newer.
-    pub fn take_body(
+    /// Applies the body of a peer's reply if it is newer.
+    pub fn apply_body(
         &self,
         body: &[u8],
         full: bool,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         if full {
             return match serde_json::from_slice::<TreeBody>(body) {
                 Ok(tree) => self.install(Tree::from(tree), Vec::new()),
-                Err(e) => refuse_body(&e),
+                Err(e) => reject_body(&e),
             };
         }
         match serde_json::from_slice::<EditsBody>(body) {
@@ -223,29 +221,29 @@
                 .edits
                 .iter()
                 .map(|edit| self.apply(edit))
-                .find(|applied| *applied == Applied::Gap)
-                .unwrap_or(Applied::Yes),
-            Err(e) => refuse_body(&e),
+                .find(|applied| *applied == ApplyOutcome::Gap)
+                .unwrap_or(ApplyOutcome::Applied),
+            Err(e) => reject_body(&e),
         }
     }
 
-    /// What somebody who has the revision `have` lacks.
+    /// Builds the reply for a requester that has revision `have`.
     ///
-    /// Revision zero stands for nothing at all, so whoever has it gets the whole tree.
+    /// Revision zero means that the requester has no configuration, so it gets the full tree.
     pub fn reply(
         &self,
         have: Revision,
     ) -> ConfigReply {
         let fresh = self.fresh();
-        let in_force = self.in_force.borrow();
-        let (revision, body, full) = match in_force.as_ref() {
+        let current = self.current.borrow();
+        let (revision, body, full) = match current.as_ref() {
             None => (Revision(0), Arc::default(), false),
-            Some(in_force) if have >= in_force.tree.revision() && have != Revision(0) => {
-                (in_force.tree.revision(), Arc::default(), false)
+            Some(current) if have >= current.tree.revision() && have != Revision(0) => {
+                (current.tree.revision(), Arc::default(), false)
             }
-            Some(in_force) => {
-                let (body, full) = in_force.body_for(have);
-                (in_force.tree.revision(), body, full)
+            Some(current) => {
+                let (body, full) = current.body_since(have);
+                (current.tree.revision(), body, full)
             }
         };
         ConfigReply {
@@ -257,8 +255,8 @@
     }
 }
 
-impl InForce {
-    fn body_for(
+impl CurrentConfig {
+    fn body_since(
         &self,
         have: Revision,
     ) -> (Arc<Vec<u8>>, bool) {
@@ -266,7 +264,7 @@
         let edits = self
             .log
             .since(have)
-            .filter(|_| have != Revision(0) && missing <= MOST_EDITS);
+            .filter(|_| have != Revision(0) && missing <= MAX_EDITS_PER_REPLY);
         match edits {
             Some(edits) => {
                 let body = EditsBody {
@@ -275,14 +273,14 @@
                 let json = serde_json::to_vec(&body).unwrap_or_default();
                 (Arc::new(json), false)
             }
-            None => (self.whole_body(), true),
+            None => (self.full_body(), true),
         }
     }
 
-    /// The whole tree as JSON, made once a revision: many VMs may ask for it at the same time.
-    fn whole_body(&self) -> Arc<Vec<u8>> {
-        let mut whole = self.whole.borrow_mut();
-        let body = whole.get_or_insert_with(|| {
+    /// The full tree as JSON, cached per revision because many VMs may request it at once.
+    fn full_body(&self) -> Arc<Vec<u8>> {
+        let mut cached_body = self.cached_body.borrow_mut();
+        let body = cached_body.get_or_insert_with(|| {
             let body = TreeBody::from(&self.tree);
             Arc::new(serde_json::to_vec(&body).unwrap_or_default())
         });
@@ -290,9 +288,9 @@
     }
 }
 
-fn refuse_body(e: &serde_json::Error) -> Applied {
+fn reject_body(e: &serde_json::Error) -> ApplyOutcome {
     Line::new("config_body_not_understood")
         .with("error", e)
         .warn();
-    Applied::Gap
+    ApplyOutcome::Gap
 }
--- a/crates/controller/src/config/config_store.rs
+++ b/crates/controller/src/config/config_reader.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Applied, ConfigKeeper},
+    super::{ApplyOutcome, ConfigKeeper},
     crate::clock::OwnClock,
     jasmine_conf::{
         store_layout::{
@@ -13,41 +13,41 @@
     std::{collections::BTreeMap, rc::Rc},
 };
 
-/// Shards or edits read in one call, so that no answer is over the store's limits.
-const PAGE: u32 = 32;
+/// Keys read per call, which keeps replies within the store's size limit.
+const PAGE_KEYS: u32 = 32;
 
-/// Attempts to read a tree that moves while it is read.
-const LOAD_ATTEMPTS: usize = 5;
+/// Attempts to read a consistent tree while it is being modified.
+const MAX_LOAD_ATTEMPTS: usize = 5;
 
 /// Why the configuration could not be read.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum ConfigReadError {
-    /// The store gave no usable answer.
+    /// The store returned no usable reply.
     Store(StoreError),
-    /// What stands there gives no tree.
+    /// The stored records do not form a valid tree.
     Layout(LayoutError),
 }
 
-/// The head as it was read.
+/// The head record with its store revision.
 #[derive(Clone, Debug)]
-pub struct ReadHead {
-    /// Its text; none when there is no head yet.
+pub struct VersionedHead {
+    /// Stored text; `None` before the first write.
     pub text: Option<String>,
-    /// The store's revision of its last write, zero when there is none.
+    /// Store revision of its last write, zero before the first one.
     pub mod_revision: u64,
-    /// What it says.
+    /// The parsed head.
     pub head: Head,
 }
 
-/// Reads the configuration from the store into a keeper.
-pub struct ConfigStore {
+/// Reads the configuration from the store and applies it.
+pub struct ConfigReader {
     store: Rc<dyn Store>,
     clock: OwnClock,
-    keeper: Rc<ConfigKeeper>,
+    state: Rc<ConfigKeeper>,
 }
 
-impl std::fmt::Debug for ConfigStore {
+impl std::fmt::Debug for ConfigReader {
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
@@ -56,89 +56,88 @@
     }
 }
 
-impl ConfigStore {
-    /// A reader of `store` for `keeper`.
+impl ConfigReader {
+    /// Creates a reader that applies what it reads from `store` to `state`.
     pub const fn new(
         store: Rc<dyn Store>,
         clock: OwnClock,
-        keeper: Rc<ConfigKeeper>,
+        state: Rc<ConfigKeeper>,
     ) -> Self {
         Self {
             store,
             clock,
-            keeper,
+            state,
         }
     }
 
-    /// Brings the keeper up to what the store has, and notes that the store confirmed it.
+    /// Applies all newer edits from the store and marks the revision as confirmed.
     ///
-    /// One read of the records after the newest one known: its answer is the next edits, or nothing,
-    /// and then the store has confirmed that what is in force is the newest.
+    /// Reads the edits after the current revision; an empty reply confirms that it is the newest.
     ///
     /// # Errors
     ///
-    /// [`ConfigReadError`] where the store gave no usable answer.
+    /// [`ConfigReadError`] if the store returns no usable reply.
     pub async fn pull(&self) -> Result<(), ConfigReadError> {
-        if !self.keeper.is_loaded() {
+        if !self.state.is_loaded() {
             return self.load().await;
         }
         loop {
             let sent = self.clock.now();
-            let next = edit_key(self.keeper.revision().next());
-            let range = Range::between(next, edits_end()).limit(PAGE);
+            let next = edit_key(self.state.revision().next());
+            let range = Range::between(next, edit_range_end()).limit(PAGE_KEYS);
             let reply = self.store.range(range).await?;
             for kv in &reply.kvs {
-                if self.take(kv) == Applied::Gap {
+                if self.take(kv) == ApplyOutcome::Gap {
                     return self.load().await;
                 }
             }
             if !reply.more {
-                self.keeper.confirm(sent);
+                self.state.confirm(sent);
                 return Ok(());
             }
         }
     }
 
-    /// Takes the record of an edit.
+    /// Parses and applies the stored record of an edit.
     pub fn take(
         &self,
         kv: &KeyValue,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         match serde_json::from_slice::<AcceptedEdit>(&kv.value) {
-            Ok(accepted) => self.keeper.apply(&accepted),
+            Ok(accepted) => self.state.apply(&accepted),
             Err(e) => {
                 Line::new("edit_not_understood")
                     .with("key", &kv.key)
                     .with("error", e)
                     .error();
-                Applied::Gap
+                ApplyOutcome::Gap
             }
         }
     }
 
-    /// Reads the head.
+    /// Reads the head record.
     ///
     /// # Errors
     ///
-    /// [`ConfigReadError`] where it can't be read.
-    pub async fn head(&self) -> Result<ReadHead, ConfigReadError> {
+    /// [`ConfigReadError`] if it can't be read or parsed.
+    pub async fn head(&self) -> Result<VersionedHead, ConfigReadError> {
         let reply = self.store.range(Range::key(HEAD_KEY)).await?;
         let kv = reply.kvs.into_iter().next();
         let mod_revision = kv.as_ref().map_or(0, |kv| kv.mod_revision);
         let text = kv.as_ref().map(text_of);
         let head = Head::read(text.as_deref())?;
-        Ok(ReadHead {
+        Ok(VersionedHead {
             text,
             mod_revision,
             head,
         })
     }
 
-    /// The record of the edit that made a revision, if one did.
+    /// Reads the record of the edit that created a revision.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the store gave no usable answer.
+    /// [`StoreError`] if the store returns no usable reply.
     pub async fn record(
         &self,
         revision: Revision,
@@ -147,21 +146,21 @@
         Ok(reply.kvs.first().map(text_of))
     }
 
-    /// Reads the whole tree and puts it in force if it is newer.
+    /// Reads the full tree and installs it if it is newer.
     async fn load(&self) -> Result<(), ConfigReadError> {
         let mut attempt = 1;
         loop {
             let sent = self.clock.now();
-            match self.read_whole().await {
+            match self.read_snapshot().await {
                 Ok(loaded) => {
                     let edits = loaded.log.newest_first().cloned().collect::<Vec<_>>();
-                    self.keeper
+                    self.state
                         .install(loaded.tree, edits.into_iter().rev().collect());
-                    self.keeper.confirm(sent);
+                    self.state.confirm(sent);
                     return Ok(());
                 }
                 Err(ConfigReadError::Layout(LayoutError::ShardMismatch { .. }))
-                    if attempt < LOAD_ATTEMPTS =>
+                    if attempt < MAX_LOAD_ATTEMPTS =>
                 {
                     attempt += 1;
                 }
@@ -170,7 +169,7 @@
         }
     }
 
-    async fn read_whole(&self) -> Result<LoadedConfig, ConfigReadError> {
+    async fn read_snapshot(&self) -> Result<LoadedConfig, ConfigReadError> {
         let head = self.head().await?.head;
         let shards = self
             .read_all(Range::prefix(SHARD_PREFIX))
@@ -199,7 +198,7 @@
         let mut start = range.start;
         let mut all = Vec::new();
         loop {
-            let page = Range::between(start, end.clone()).limit(PAGE);
+            let page = Range::between(start, end.clone()).limit(PAGE_KEYS);
             let reply = self.store.range(page).await?;
             all.extend(reply.kvs);
             match all.last() {
@@ -210,8 +209,8 @@
     }
 }
 
-/// The key after the records of all edits.
-pub fn edits_end() -> String {
+/// Exclusive end of the key range of edit records.
+pub fn edit_range_end() -> String {
     Range::prefix(EDIT_PREFIX).end.unwrap_or_default()
 }
 
--- a/crates/controller/src/config/edit_refusal.rs
+++ b/crates/controller/src/config/edit_submit_error.rs
@@ -1,23 +1,23 @@
 use {jasmine_conf::tree::EditError, jasmine_core::error::ErrorKind};
 
-/// Why an edit is not accepted, as far as is known.
+/// Error of submitting an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error, derive_more::From)]
-pub enum EditRefusal {
-    /// The edit itself is not allowed, or runs into somebody else's.
+pub enum EditSubmitError {
+    /// The edit is invalid or conflicts with another edit.
     Refused(EditError),
     /// The store can't be reached; nothing was written.
     #[display("nothing was written: {_0}")]
     #[from(ignore)]
     Unavailable(#[error(not(source))] String),
-    /// The write went out and nothing tells whether it took effect.
+    /// The write was sent, but whether it took effect is unknown.
     #[display("the edit may be in force: {_0}")]
     #[from(ignore)]
     OutcomeUnknown(#[error(not(source))] String),
 }
 
-impl EditRefusal {
-    /// The kind in the closed list that operators are answered with.
+impl EditSubmitError {
+    /// Error kind reported to operators.
     pub const fn kind(&self) -> ErrorKind {
         match self {
             Self::Refused(e) => e.kind(),
--- a/crates/controller/src/config/edit_desk.rs
+++ b/crates/controller/src/config/edit_writer.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Applied, ConfigKeeper, ConfigReadError, ConfigStore, EditRefusal},
+    super::{ApplyOutcome, ConfigKeeper, ConfigReadError, ConfigReader, EditSubmitError},
     crate::clock::{OwnClock, unix_millis},
     jasmine_conf::{
         store_layout::{HEAD_KEY, Transaction, WriteOutcome, plan, write_outcome},
@@ -12,26 +12,26 @@
     tokio::{sync::Mutex, time::sleep},
 };
 
-/// How long an edit is tried before its sender is told what is known.
-const PATIENCE: Millis = Millis(8_000);
+/// Limit for retrying an edit before an error is returned.
+const SUBMIT_TIMEOUT: Millis = Millis(8_000);
 
-/// The pause before a lost reply is looked into again.
-const SETTLE_PAUSE: Millis = Millis(200);
+/// Delay between reads that determine the outcome of a write.
+const OUTCOME_READ_INTERVAL: Millis = Millis(200);
 
 /// Writes operators' edits into the store.
 ///
-/// The reply to a write can be lost after it took effect. The edit's id and the record of the
-/// revision it was to make tell afterwards what became of it, so an edit is never carried out twice
-/// and never reported as refused when it is in force.
-pub struct EditDesk {
+/// The reply to a write can be lost after the write took effect. The outcome is then read from the
+/// record of the target revision and the edit's id, so an edit is never applied twice and never
+/// reported as rejected after it was applied.
+pub struct EditWriter {
     store: Rc<dyn Store>,
     clock: OwnClock,
-    keeper: Rc<ConfigKeeper>,
-    reader: Rc<ConfigStore>,
-    turn: Mutex<()>,
+    state: Rc<ConfigKeeper>,
+    reader: Rc<ConfigReader>,
+    submit_lock: Mutex<()>,
 }
 
-impl std::fmt::Debug for EditDesk {
+impl std::fmt::Debug for EditWriter {
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
@@ -40,77 +40,79 @@
     }
 }
 
-/// What one attempt came to.
+/// Result of one attempt to write an edit.
 enum Attempt {
-    AcceptedEdit(AcceptedEdit),
-    /// Somebody else's edit came first: check again against the newer tree.
-    Overtaken,
+    Accepted(AcceptedEdit),
+    /// Another edit was written first: retry against the newer tree.
+    Conflict,
 }
 
-impl EditDesk {
-    /// A desk that writes into `store`.
+impl EditWriter {
+    /// Creates a writer for `store`.
     pub fn new(
         store: Rc<dyn Store>,
         clock: OwnClock,
-        keeper: Rc<ConfigKeeper>,
-        reader: Rc<ConfigStore>,
+        state: Rc<ConfigKeeper>,
+        reader: Rc<ConfigReader>,
     ) -> Self {
         Self {
             store,
             clock,
-            keeper,
+            state,
             reader,
-            turn: Mutex::new(()),
+            submit_lock: Mutex::new(()),
         }
     }
 
-    /// Checks an edit against the newest tree and puts it in force.
+    /// Validates an edit against the newest tree, writes it and applies it.
     ///
     /// # Errors
     ///
-    /// [`EditRefusal`]; only after [`EditRefusal::OutcomeUnknown`] may the edit be in force.
+    /// [`EditSubmitError`]; only after [`EditSubmitError::OutcomeUnknown`] may the edit have been written.
     pub async fn submit(
         &self,
         edit: &Edit,
-    ) -> Result<AcceptedEdit, EditRefusal> {
-        let until = self.clock.now() + PATIENCE;
-        // Edits that reach one VM together would only run into one another at the store.
-        let _turn = self.turn.lock().await;
+    ) -> Result<AcceptedEdit, EditSubmitError> {
+        let until = self.clock.now() + SUBMIT_TIMEOUT;
+        // Serializes the edits of this VM, which would otherwise conflict in the store.
+        let _guard = self.submit_lock.lock().await;
         while self.clock.now() < until {
             match self.attempt(edit, until).await? {
-                Attempt::AcceptedEdit(accepted) => return Ok(accepted),
-                Attempt::Overtaken => {}
+                Attempt::Accepted(accepted) => return Ok(accepted),
+                Attempt::Conflict => {}
             }
         }
-        // Each attempt so far was overtaken for certain.
-        Err(EditRefusal::Unavailable("too many edits at once".into()))
+        // Every attempt lost to another edit, so nothing was written.
+        Err(EditSubmitError::Unavailable(
+            "too many concurrent edits".into(),
+        ))
     }
 
     async fn attempt(
         &self,
         edit: &Edit,
         until: Millis,
-    ) -> Result<Attempt, EditRefusal> {
+    ) -> Result<Attempt, EditSubmitError> {
         self.reader.pull().await.map_err(|e| unavailable(&e))?;
         let head = self.reader.head().await.map_err(|e| unavailable(&e))?;
-        let (before, log) = self
-            .keeper
+        let (current_tree, log) = self
+            .state
             .tree()
-            .ok_or_else(|| EditRefusal::Unavailable("no configuration yet".into()))?;
+            .ok_or_else(|| EditSubmitError::Unavailable("no configuration is loaded".into()))?;
         if let Some(accepted) = log.find_duplicate(edit)? {
-            return Ok(Attempt::AcceptedEdit(accepted.clone()));
+            return Ok(Attempt::Accepted(accepted.clone()));
         }
-        if head.head.revision != before.revision() {
-            return Ok(Attempt::Overtaken);
+        if head.head.revision != current_tree.revision() {
+            return Ok(Attempt::Conflict);
         }
-        let proposal = before.propose(edit, &log, unix_millis())?;
+        let proposal = current_tree.propose(edit, &log, unix_millis())?;
         let write = plan(
             head.text.as_deref(),
-            &before,
+            &current_tree,
             &proposal.tree,
             &proposal.accepted,
         )
-        .map_err(|e| EditRefusal::Unavailable(e.to_string()))?;
+        .map_err(|e| EditSubmitError::Unavailable(e.to_string()))?;
         let compare = match head.mod_revision {
             0 => Compare::Absent(HEAD_KEY.into()),
             revision => Compare::ModRevision(HEAD_KEY.into(), revision),
@@ -123,53 +125,55 @@
         proposal: &Proposal,
         txn: Txn,
         until: Millis,
-    ) -> Result<Attempt, EditRefusal> {
+    ) -> Result<Attempt, EditSubmitError> {
         let mut is_in_doubt = false;
         loop {
             match self.store.txn(txn.clone()).await {
                 Ok(reply) if reply.succeeded => return Ok(self.accept(&proposal.accepted)),
-                // The head moved on: by somebody else, or by this very edit sent before.
+                // The head changed: by another edit, or by an earlier attempt of this one.
                 Ok(_) => {}
                 Err(StoreError::OutcomeUnknown(_)) => is_in_doubt = true,
-                // This one was not done, but the one sent before may still be on its way.
-                Err(e) if is_in_doubt => return Err(EditRefusal::OutcomeUnknown(e.to_string())),
-                Err(e) => return Err(EditRefusal::Unavailable(e.to_string())),
+                // This attempt was not executed, but an earlier one may still be in flight.
+                Err(e) if is_in_doubt => {
+                    return Err(EditSubmitError::OutcomeUnknown(e.to_string()));
+                }
+                Err(e) => return Err(EditSubmitError::Unavailable(e.to_string())),
             }
-            match self.find_out(proposal, until).await? {
+            match self.read_outcome(proposal, until).await? {
                 WriteOutcome::AcceptedEdit => return Ok(self.accept(&proposal.accepted)),
-                WriteOutcome::Superseded(_) => return Ok(Attempt::Overtaken),
+                WriteOutcome::Superseded(_) => return Ok(Attempt::Conflict),
                 WriteOutcome::Pending if self.clock.now() >= until => {
-                    return Err(EditRefusal::OutcomeUnknown(
-                        "the store answers no write".into(),
+                    return Err(EditSubmitError::OutcomeUnknown(
+                        "the store did not confirm the write".into(),
                     ));
                 }
-                // Sending it again is safe: of the two only one finds the head that it compares.
+                // Retrying is safe: the compare on the head lets only one attempt succeed.
                 WriteOutcome::Pending => {}
             }
         }
     }
 
-    /// Reads the record of the revision that the edit was to make, until it can be read.
-    async fn find_out(
+    /// Determines the outcome of a write from the record of its target revision, with retries.
+    async fn read_outcome(
         &self,
         proposal: &Proposal,
         until: Millis,
-    ) -> Result<WriteOutcome, EditRefusal> {
+    ) -> Result<WriteOutcome, EditSubmitError> {
         let accepted = &proposal.accepted;
         loop {
             if let Ok(record) = self.reader.record(accepted.revision).await {
                 return write_outcome(&accepted.edit.id, record.as_deref())
-                    .map_err(|e| EditRefusal::OutcomeUnknown(e.to_string()));
+                    .map_err(|e| EditSubmitError::OutcomeUnknown(e.to_string()));
             }
             if self.clock.now() >= until {
                 Line::new("edit_unsettled")
                     .with("edit", &accepted.edit.id)
                     .warn();
-                return Err(EditRefusal::OutcomeUnknown(
-                    "the store can't be read".into(),
+                return Err(EditSubmitError::OutcomeUnknown(
+                    "the store could not be read to determine the outcome".into(),
                 ));
             }
-            sleep(SETTLE_PAUSE.to_std()).await;
+            sleep(OUTCOME_READ_INTERVAL.to_std()).await;
         }
     }
 
@@ -177,14 +181,14 @@
         &self,
         accepted: &AcceptedEdit,
     ) -> Attempt {
-        let applied = self.keeper.apply(accepted);
+        let applied = self.state.apply(accepted);
         Line::new("edit_accepted")
             .with("edit", &accepted.edit.id)
             .with("revision", accepted.revision)
             .with("author", &accepted.edit.author)
-            .with("in_force", applied != Applied::Gap)
+            .with("in_force", applied != ApplyOutcome::Gap)
             .info();
-        Attempt::AcceptedEdit(accepted.clone())
+        Attempt::Accepted(accepted.clone())
     }
 }
 
@@ -207,6 +211,6 @@
     }
 }
 
-fn unavailable(e: &ConfigReadError) -> EditRefusal {
-    EditRefusal::Unavailable(e.to_string())
+fn unavailable(e: &ConfigReadError) -> EditSubmitError {
+    EditSubmitError::Unavailable(e.to_string())
 }
--- a/crates/controller/src/config/mod.rs
+++ b/crates/controller/src/config/mod.rs
@@ -1,15 +1,15 @@
-//! The configuration in force here: from the store, or from a peer, and only ever a newer one.
+//! Current configuration, read from the store or from peers; its revision never decreases.
 
-mod applied;
+mod apply_outcome;
 mod config_keeper;
-mod config_store;
-mod edit_desk;
-mod edit_refusal;
+mod config_reader;
+mod edit_submit_error;
+mod edit_writer;
 
 pub use {
-    applied::Applied,
+    apply_outcome::ApplyOutcome,
     config_keeper::{ConfigKeeper, ConfigReply},
-    config_store::{ConfigReadError, ConfigStore, ReadHead, edits_end},
-    edit_desk::EditDesk,
-    edit_refusal::EditRefusal,
+    config_reader::{ConfigReadError, ConfigReader, VersionedHead, edit_range_end},
+    edit_submit_error::EditSubmitError,
+    edit_writer::EditWriter,
 };
--- a/crates/controller/src/daemon/controller_context.rs
+++ b/crates/controller/src/daemon/controller_context.rs
@@ -3,7 +3,7 @@
     crate::{
         claims::ClaimDesk,
         clock::{OwnClock, Signal, unix_millis},
-        config::{ConfigKeeper, ConfigStore, EditDesk},
+        config::{ConfigKeeper, ConfigReader, EditWriter},
         epochs::{EpochKeeper, HoldingsDesk, OwnEpoch},
         fleet::{DaemonRecord, FleetMirror, MemberRecord, Registration},
         follow::{Bootstrap, ConfigFollower, FleetFollower},
@@ -12,7 +12,7 @@
         rights::LoadBudget,
         session::{LeaseSession, RENEWALS},
         shared::SharedParts,
-        status::{Figure, Figures, Health},
+        status::{Gauge, Gauges, Health},
     },
     jasmine_conf::settings::ControllerSettings,
     jasmine_core::{
@@ -32,68 +32,68 @@
     },
 };
 
-/// Everything that a running controller consists of.
+/// State and components of a running controller.
 ///
-/// It lives on one thread, as the connections between daemons do; the status port and operators'
-/// HTTP reach it from other threads through [`Health`] and messages.
+/// It is confined to one thread, like the connections between daemons; the status server and the
+/// operators' HTTP server access it from other threads through [`Health`] and actor messages.
 #[derive(Debug)]
 pub struct ControllerContext {
-    /// This run of this daemon.
+    /// Identity of this daemon, with the incarnation of this run.
     pub me: Holder,
-    /// The settings.
+    /// Settings of this controller.
     pub settings: ControllerSettings,
-    /// This process's clock.
+    /// Monotonic clock of this process.
     pub clock: OwnClock,
-    /// The lease in the store.
+    /// Session that keeps the lease in the store alive.
     pub session: Rc<LeaseSession>,
-    /// This VM's own record.
+    /// Membership record of this VM.
     pub registration: Registration,
-    /// Raised when the record has changed.
+    /// Raised when the membership record has to be written.
     pub registration_due: Signal,
-    /// The fleet as the store tells it.
+    /// Local copy of the fleet records in the store.
     pub fleet: Rc<RefCell<FleetMirror>>,
-    /// The configuration in force.
+    /// Current configuration.
     pub config: Rc<ConfigKeeper>,
-    /// Writes operators' edits.
-    pub edits: Rc<EditDesk>,
-    /// Idempotency keys in use.
+    /// Writes operators' edits to the store.
+    pub edits: Rc<EditWriter>,
+    /// Claims of idempotency keys.
     pub claims: Rc<ClaimDesk>,
-    /// Links to other controllers.
+    /// Connections to other controllers.
     pub links: Rc<PeerLinks>,
-    /// This controller's part of the weight store's rate.
+    /// This controller's share of the weight store's rate limit.
     pub budget: Rc<LoadBudget>,
-    /// The engines owned here.
+    /// Engines owned by this controller.
     pub desk: Rc<OwnerDesk>,
-    /// Takes and hands over engines.
+    /// Acquires and hands over ownership of engines.
     pub assignment: Assignment,
-    /// Writes holders' reports.
+    /// Writes reports of held rights to the store.
     pub holdings: Rc<HoldingsDesk>,
-    /// Takes this controller's rights from epoch to epoch.
+    /// Moves this controller's rights to the next epoch.
     pub own_epoch: OwnEpoch,
-    /// Moves the epoch on.
+    /// Advances the epoch of the fleet.
     pub epochs: EpochKeeper,
-    /// Follows the configuration.
+    /// Keeps the configuration current.
     pub config_follower: Rc<ConfigFollower>,
-    /// Follows the fleet.
+    /// Keeps the fleet state current.
     pub fleet_follower: Rc<FleetFollower>,
-    /// Asks others while the store is out and nothing is known.
+    /// Loads the configuration from peers during a store outage.
     pub bootstrap: Bootstrap,
-    /// What the status port shows.
+    /// Health and readiness for the status server.
     pub health: Health,
-    /// What the metrics page shows.
-    pub figures: Figures,
-    /// Whether this controller is about to stop.
+    /// Values of the metrics page.
+    pub gauges: Gauges,
+    /// Whether this controller is shutting down.
     pub leaving: Cell<bool>,
-    /// Calls made to the store.
+    /// Counters of calls to the store.
     pub store_calls: CallCounts,
-    /// Whether the store answers.
+    /// Connectivity of the store.
     pub connectivity: StoreConnectivity,
-    /// Extends what may be ordered while the store is out for everybody.
+    /// Extends ownership while no controller can reach the store.
     pub outage: OutageLease,
 }
 
 impl ControllerContext {
-    /// The parts of a controller that others reach at `address`.
+    /// Creates the components of a controller that peers reach at `address`.
     pub fn new(
         settings: ControllerSettings,
         address: SocketAddr,
@@ -104,12 +104,12 @@
         });
         let store_calls = etcd.counts();
         let connectivity = etcd.connectivity();
-        let shared = share(&settings, address, Rc::new(etcd), connectivity);
+        let shared = new_shared(&settings, address, Rc::new(etcd), connectivity);
         let SharedParts {
             me, clock, store, ..
         } = shared.clone();
         let vms = || VmList::new(&settings.platform.vms, settings.platform.timeout_ms);
-        let reader = Rc::new(ConfigStore::new(
+        let reader = Rc::new(ConfigReader::new(
             Rc::clone(&store),
             clock,
             Rc::clone(&shared.config),
@@ -135,7 +135,7 @@
             clock,
             registration: Registration::new(Rc::clone(&store), own_record(&settings, me, address)),
             registration_due: Signal::new(),
-            edits: Rc::new(EditDesk::new(
+            edits: Rc::new(EditWriter::new(
                 Rc::clone(&store),
                 clock,
                 Rc::clone(&shared.config),
@@ -154,7 +154,7 @@
                 me: me.vm,
                 port: address.port(),
                 vms: vms(),
-                keeper: Rc::clone(&shared.config),
+                state: Rc::clone(&shared.config),
                 config: Rc::clone(&config_follower),
                 fleet: Rc::clone(&fleet_follower),
             },
@@ -169,7 +169,7 @@
             config_follower,
             fleet_follower,
             health: Health::new(clock),
-            figures: Figures::default(),
+            gauges: Gauges::default(),
             leaving: Cell::new(false),
             store_calls,
             connectivity: shared.connectivity,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// How far this controller is.
+    /// Current status for peers and operators.
     pub fn status(&self) -> ControllerStatus {
         ControllerStatus {
             revision: self.config.revision(),
@@ -189,33 +189,33 @@
         }
     }
 
-    /// Brings the figures of the metrics page up to date.
-    pub fn note_figures(&self) {
+    /// Updates the values of the metrics page.
+    pub fn update_gauges(&self) {
         let status = self.status();
         let members = self.fleet.borrow().members.len();
         let rows = [
-            (Figure::Revision, status.revision.0),
-            (Figure::GatewayRevision, status.gateway_revision.0),
-            (Figure::FreshMs, self.config.fresh().0),
-            (Figure::Epoch, status.epoch.0),
-            (Figure::Members, members as u64),
-            (Figure::Owned, u64::from(status.owned)),
-            (Figure::Orders, self.desk.orders()),
-            (Figure::StoreUp, u64::from(status.store_up)),
+            (Gauge::Revision, status.revision.0),
+            (Gauge::GatewayRevision, status.gateway_revision.0),
+            (Gauge::FreshMs, self.config.fresh().0),
+            (Gauge::Epoch, status.epoch.0),
+            (Gauge::Members, members as u64),
+            (Gauge::Owned, u64::from(status.owned)),
+            (Gauge::Orders, self.desk.orders()),
+            (Gauge::StoreUp, u64::from(status.store_up)),
         ];
-        for (figure, value) in rows {
-            self.figures.set(figure, value);
+        for (gauge, value) in rows {
+            self.gauges.set(gauge, value);
         }
     }
 
-    /// Whether the store answers: every controller renews its lease there, however it follows the rest.
+    /// Whether the store is reachable, judged by this controller's lease renewals.
     pub fn is_store_up(&self) -> bool {
         let renewal = Millis(self.settings.lease_ms.0 / RENEWALS);
         self.connectivity
             .is_up(renewal + self.settings.platform.timeout_ms + Millis(500))
     }
 
-    /// Notes which gateway runs on this VM.
+    /// Records the gateway that runs on this VM.
     pub fn note_gateway(
         &self,
         gateway: DaemonRecord,
@@ -226,7 +226,7 @@
     }
 }
 
-fn share(
+fn new_shared(
     settings: &ControllerSettings,
     address: SocketAddr,
     store: Rc<dyn Store>,
--- a/crates/controller/src/daemon/controller_status.rs
+++ b/crates/controller/src/daemon/controller_status.rs
@@ -1,18 +1,18 @@
 use jasmine_core::ids::{Epoch, Revision};
 
-/// How far this controller is, as peers and operators are told.
+/// Status of this controller as reported to peers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerStatus {
-    /// The revision in force here.
+    /// Current configuration revision.
     pub revision: Revision,
-    /// The revision in force at the gateway beside it, zero when it has none.
+    /// Revision that the gateway on this VM uses, zero when it has none.
     pub gateway_revision: Revision,
-    /// The epoch of rights that this controller is in.
+    /// Current epoch of rights of this controller.
     pub epoch: Epoch,
-    /// Whether the store has answered lately.
+    /// Whether the store replied recently.
     pub store_up: bool,
-    /// Engines that it owns.
+    /// Number of engines owned by this controller.
     pub owned: u32,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: its parts, its tasks, its start and its stop.
+//! Startup, background tasks and shutdown of the daemon.
 
 mod controller_context;
 mod controller_status;
--- a/crates/controller/src/daemon/operators_actor.rs
+++ b/crates/controller/src/daemon/operators_actor.rs
@@ -1,11 +1,11 @@
 use {
     super::ControllerContext,
     crate::{
-        config::EditRefusal,
+        config::EditSubmitError,
         fleet::MemberRecord,
         operators::{
-            FleetAnswer, OperatorsLink, ReadFleet, ReadTree, SubmitAnswer, SubmitEdit, SubmitError,
-            TreeAnswer, TreeView,
+            OperatorsLink, ReadFleet, ReadFleetResult, ReadTree, ReadTreeResult, SubmitEdit,
+            SubmitEditResult, SubmitError, TreeView,
         },
         peers::PeerStatus,
     },
@@ -16,22 +16,22 @@
     std::rc::Rc,
 };
 
-/// Controllers asked at a time for their status.
-const ASKED_AT_A_TIME: usize = 32;
+/// Concurrent status requests to other controllers.
+const MAX_CONCURRENT_STATUS_CALLS: usize = 32;
 
-/// Answers the operators' HTTP, which runs on threads of its own.
+/// Serves requests of the operators' HTTP threads from the controller's thread.
 #[derive(Debug)]
 pub struct OperatorsActor {
     cx: Rc<ControllerContext>,
 }
 
 impl OperatorsActor {
-    /// An actor that answers from this controller's state.
+    /// Creates an actor that reads this controller's state.
     pub const fn new(cx: Rc<ControllerContext>) -> Self {
         Self { cx }
     }
 
-    /// What the operators' HTTP sends its questions to.
+    /// Recipients for the operators' HTTP handlers.
     pub fn link(addr: &Addr<Self>) -> OperatorsLink {
         OperatorsLink {
             read: addr.clone().recipient(),
@@ -46,7 +46,7 @@
 }
 
 impl Handler<ReadTree> for OperatorsActor {
-    type Result = TreeAnswer;
+    type Result = ReadTreeResult;
 
     fn handle(
         &mut self,
@@ -59,7 +59,7 @@
 }
 
 impl Handler<SubmitEdit> for OperatorsActor {
-    type Result = ResponseFuture<SubmitAnswer>;
+    type Result = ResponseFuture<SubmitEditResult>;
 
     fn handle(
         &mut self,
@@ -69,7 +69,7 @@
         let edits = Rc::clone(&self.cx.edits);
         Box::pin(async move {
             edits.submit(&edit).await.map_err(|e| match e {
-                EditRefusal::Refused(e) => SubmitError::Refused(e),
+                EditSubmitError::Refused(e) => SubmitError::Refused(e),
                 e => SubmitError::Failed(e.kind()),
             })
         })
@@ -77,7 +77,7 @@
 }
 
 impl Handler<ReadFleet> for OperatorsActor {
-    type Result = ResponseFuture<FleetAnswer>;
+    type Result = ResponseFuture<ReadFleetResult>;
 
     fn handle(
         &mut self,
@@ -93,10 +93,10 @@
     let members: Vec<_> = cx.fleet.borrow().members.values().cloned().collect();
     let mut vms: Vec<_> = stream::iter(members)
         .map(|member| async move {
-            let status = ask(cx, &member).await;
+            let status = peer_status(cx, &member).await;
             vm_status(member, status)
         })
-        .buffer_unordered(ASKED_AT_A_TIME)
+        .buffer_unordered(MAX_CONCURRENT_STATUS_CALLS)
         .collect()
         .await;
     vms.sort_by_key(|status| status.vm);
@@ -108,7 +108,7 @@
     }
 }
 
-async fn ask(
+async fn peer_status(
     cx: &ControllerContext,
     member: &MemberRecord,
 ) -> Option<PeerStatus> {
--- a/crates/controller/src/daemon/run.rs
+++ b/crates/controller/src/daemon/run.rs
@@ -20,11 +20,11 @@
     },
 };
 
-/// Runs the daemon until it is told to stop; inside a system of actix.
+/// Runs the daemon until a signal or a fatal error; requires an actix system.
 ///
 /// # Errors
 ///
-/// [`StartError`] where something that it needs at the start is missing.
+/// [`StartError`] if a listener, logging or metrics can't be set up.
 pub async fn run(settings: ControllerSettings) -> Result<(), StartError> {
     let _log = log::start(&settings.log.level.to_string(), LogOutput::Stderr)?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -34,12 +34,12 @@
     let peers = listen(settings.listen.peers)?;
     let status = listen(settings.listen.status)?;
     let peers_address = settings.advertise.peers.unwrap_or(peers.local_addr()?);
-    announce(&operators, &peers, &status)?;
+    print_addresses(&operators, &peers, &status)?;
 
     let cx = Rc::new(ControllerContext::new(settings, peers_address));
     let metrics = Metrics::new()?;
     status::register(&metrics.meter(), &cx.store_calls);
-    cx.figures.register(&metrics.meter());
+    cx.gauges.register(&metrics.meter());
     let status_server = status::start(status, cx.health.clone(), metrics)?;
     let status_handle = status_server.handle();
     actix_web::rt::spawn(status_server);
@@ -76,8 +76,8 @@
     TcpListener::bind(address).map_err(|source| StartError::Listen { address, source })
 }
 
-/// Tells whoever started the daemon where it listens, since a port of zero takes a free one.
-fn announce(
+/// Prints the bound addresses to stdout, since port zero selects a free port.
+fn print_addresses(
     operators: &TcpListener,
     peers: &TcpListener,
     status: &TcpListener,
--- a/crates/controller/src/daemon/start_error.rs
+++ b/crates/controller/src/daemon/start_error.rs
@@ -4,25 +4,25 @@
     std::{io, net::SocketAddr},
 };
 
-/// Why the daemon could not start.
+/// Error that prevents the daemon from starting.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum StartError {
-    /// The settings file is not in order.
+    /// The settings file is missing or invalid.
     Settings(SettingsError),
-    /// Logging could not be set up.
+    /// Logging setup failed.
     Log(LogError),
-    /// Metrics could not be set up.
+    /// Metrics setup failed.
     Metrics(MetricsError),
-    /// An address could not be listened at.
-    #[display("can't listen at {address}: {source}")]
+    /// A listener could not be bound.
+    #[display("can't listen on {address}: {source}")]
     #[from(ignore)]
     Listen {
-        /// The address of the settings.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the bind call.
         source: io::Error,
     },
-    /// The system refused something else.
+    /// Another I/O error.
     Io(io::Error),
 }
--- a/crates/controller/src/daemon/stop.rs
+++ b/crates/controller/src/daemon/stop.rs
@@ -6,12 +6,12 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Kept back of the deadline for the exit itself.
-const RESERVE: Millis = Millis(200);
+/// Part of the deadline reserved for process exit.
+const EXIT_RESERVE: Millis = Millis(200);
 
-/// Stops in order: not ready, engines handed over, rights given back, lease ended.
+/// Shuts down: reports unready, hands over engines, releases rights and revokes the lease.
 ///
-/// What isn't done by the deadline is left to lapse with the lease, as after a crash.
+/// Steps that miss the deadline are covered by the expiry of the lease, as after a crash.
 pub(super) async fn stop(cx: &Rc<ControllerContext>) {
     let stop = cx.settings.stop;
     Line::new("stopping")
@@ -21,13 +21,15 @@
     cx.registration.set_leaving();
     cx.registration_due.raise();
     cx.health
-        .note(cx.config.is_loaded(), cx.session.until(), true);
-    let limit = stop.deadline_ms - RESERVE;
-    let finished = timeout(limit.to_std(), leave(cx)).await.is_ok();
+        .update(cx.config.is_loaded(), cx.session.until(), true);
+    let limit = stop.deadline_ms - EXIT_RESERVE;
+    let finished = timeout(limit.to_std(), hand_over_and_release(cx))
+        .await
+        .is_ok();
     Line::new("stopped").with("finished", finished).info();
 }
 
-async fn leave(cx: &Rc<ControllerContext>) {
+async fn hand_over_and_release(cx: &Rc<ControllerContext>) {
     sleep(cx.settings.stop.grace_ms.to_std()).await;
     cx.assignment.hand_over_all().await;
     let held = cx.budget.release_all();
--- a/crates/controller/src/daemon/tasks.rs
+++ b/crates/controller/src/daemon/tasks.rs
@@ -11,24 +11,24 @@
     },
 };
 
-/// How often the owner's machine is told that time has passed.
-const OWNER_TICK: Duration = Duration::from_millis(100);
+/// Interval of tick events to the ownership state machine.
+const OWNER_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a change of the fleet or of the lease may wait to be acted upon.
-const STEP_WAIT: Millis = Millis(1_000);
+/// Longest time between two steps when no change is signalled.
+const MAX_STEP_INTERVAL: Millis = Millis(1_000);
 
-/// The least time between two steps, so that changes that come together share one.
-const STEP_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next step, which batches concurrent changes.
+const STEP_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest that the start waits for a first look at the fleet.
-const FIRST_LOOK: Duration = Duration::from_millis(2_500);
+/// Limit for waiting for the first read of the fleet.
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Steps of the first look.
-const FIRST_LOOK_STEP: Duration = Duration::from_millis(25);
+/// Interval of checks for the first read of the fleet.
+const FIRST_READ_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Starts everything that runs beside the servers.
+/// Spawns the background tasks.
 ///
-/// `fatal` is told why this run may not go on.
+/// `fatal` receives the reason when the daemon has to stop.
 pub(super) fn start(
     cx: &Rc<ControllerContext>,
     fatal: &mpsc::Sender<&'static str>,
@@ -42,26 +42,26 @@
     spawn_local(async move { config.watch().await });
     let bootstrap = Rc::clone(cx);
     spawn_local(async move { bootstrap.bootstrap.run().await });
-    spawn_local(register(Rc::clone(cx), fatal.clone()));
-    spawn_local(own(Rc::clone(cx)));
-    spawn_local(keep_epochs(Rc::clone(cx)));
-    spawn_local(tick(Rc::clone(cx)));
+    spawn_local(keep_registered(Rc::clone(cx), fatal.clone()));
+    spawn_local(assign(Rc::clone(cx)));
+    spawn_local(advance_epochs(Rc::clone(cx)));
+    spawn_local(run_ticks(Rc::clone(cx)));
 }
 
-/// Follows the configuration once the fleet is known, so that most VMs ask others and not the store.
+/// Follows the configuration once the fleet is known, so that most VMs poll peers and not the store.
 async fn follow_config(cx: Rc<ControllerContext>) {
-    let steps = FIRST_LOOK.as_millis() / FIRST_LOOK_STEP.as_millis();
+    let steps = FIRST_READ_TIMEOUT.as_millis() / FIRST_READ_CHECK_INTERVAL.as_millis();
     for _ in 0..steps {
         if cx.fleet_follower.is_read() {
             break;
         }
-        sleep(FIRST_LOOK_STEP).await;
+        sleep(FIRST_READ_CHECK_INTERVAL).await;
     }
     cx.config_follower.run().await;
 }
 
-/// Keeps this VM's record in the store as it is here, under the newest lease.
-async fn register(
+/// Keeps this VM's membership record in the store current, under the newest lease.
+async fn keep_registered(
     cx: Rc<ControllerContext>,
     fatal: mpsc::Sender<&'static str>,
 ) {
@@ -84,15 +84,15 @@
             }
         }
         tokio::select! {
-            _ = cx.session.changed.changed_from(lease_seq, STEP_WAIT) => {}
-            _ = cx.registration_due.changed_from(record_seq, STEP_WAIT) => {}
+            _ = cx.session.changed.changed_from(lease_seq, MAX_STEP_INTERVAL) => {}
+            _ = cx.registration_due.changed_from(record_seq, MAX_STEP_INTERVAL) => {}
         }
-        sleep(STEP_PAUSE).await;
+        sleep(STEP_DELAY).await;
     }
 }
 
-/// Takes and hands over engines as fleet, configuration and lease change.
-async fn own(cx: Rc<ControllerContext>) {
+/// Acquires and hands over engines as the fleet, the configuration or the lease changes.
+async fn assign(cx: Rc<ControllerContext>) {
     loop {
         let seen = seqs(&cx);
         if !cx.leaving.get() {
@@ -103,8 +103,8 @@
     }
 }
 
-/// Takes this controller from epoch to epoch and, on duty, moves the epoch on.
-async fn keep_epochs(cx: Rc<ControllerContext>) {
+/// Moves this controller to new epochs and, if it may decide, advances the fleet's epoch.
+async fn advance_epochs(cx: Rc<ControllerContext>) {
     loop {
         let seen = seqs(&cx);
         if !cx.leaving.get() {
@@ -119,19 +119,20 @@
     }
 }
 
-/// Lets time pass for the owner's machine and shows the status port that this thread is alive.
-async fn tick(cx: Rc<ControllerContext>) {
-    let mut ticks = interval(OWNER_TICK);
+/// Sends ticks to the ownership state machine and updates metrics and the health heartbeat.
+async fn run_ticks(cx: Rc<ControllerContext>) {
+    let mut ticks = interval(OWNER_TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         cx.desk.handle(OwnerEvent::Tick);
-        cx.note_figures();
+        cx.update_gauges();
         cx.health
-            .note(cx.config.is_loaded(), cx.session.until(), cx.leaving.get());
+            .update(cx.config.is_loaded(), cx.session.until(), cx.leaving.get());
     }
 }
 
+/// Sequence numbers of the signals that trigger a step.
 type Seqs = [u64; 4];
 
 fn seqs(cx: &ControllerContext) -> Seqs {
@@ -148,10 +149,10 @@
     seen: Seqs,
 ) {
     tokio::select! {
-        _ = cx.fleet_follower.changed().changed_from(seen[0], STEP_WAIT) => {}
-        _ = cx.config.changed.changed_from(seen[1], STEP_WAIT) => {}
-        _ = cx.session.changed.changed_from(seen[2], STEP_WAIT) => {}
-        _ = cx.desk.renew.changed_from(seen[3], STEP_WAIT) => {}
+        _ = cx.fleet_follower.changed().changed_from(seen[0], MAX_STEP_INTERVAL) => {}
+        _ = cx.config.changed.changed_from(seen[1], MAX_STEP_INTERVAL) => {}
+        _ = cx.session.changed.changed_from(seen[2], MAX_STEP_INTERVAL) => {}
+        _ = cx.desk.renew.changed_from(seen[3], MAX_STEP_INTERVAL) => {}
     }
-    sleep(STEP_PAUSE).await;
+    sleep(STEP_DELAY).await;
 }
--- a/crates/controller/src/follow/bootstrap.rs
+++ b/crates/controller/src/follow/bootstrap.rs
@@ -11,49 +11,48 @@
     tokio::time::sleep,
 };
 
-/// How long the store gets before others are asked.
-const PAUSE: Millis = Millis(1_000);
+/// Delay before each round of polling, which gives the store time to reply.
+const ROUND_DELAY: Millis = Millis(1_000);
 
-/// VMs asked in one round.
-const ASKED: usize = 4;
+/// Most VMs polled in one round.
+const MAX_PEERS_POLLED: usize = 4;
 
-/// Gives a VM that starts while the store is out the configuration of the others.
+/// Loads the configuration from peers on a VM that starts during a store outage.
 ///
-/// Nothing is kept on the VM, and its balancer sends it callers soon. Without this it would refuse
-/// every one of them until the store is back, and a replacement of all VMs in an outage would stop
-/// the service.
+/// VMs keep no state on disk; without this a new VM would reject every request until the store is
+/// available again.
 #[derive(Debug)]
 pub struct Bootstrap {
     /// This VM.
     pub me: VmId,
-    /// The port at which controllers of this fleet listen, where the list names only IP numbers.
+    /// Peer port used for listed VMs whose address has no port.
     pub port: u16,
     /// The platform's list of VMs.
     pub vms: VmList,
-    /// What is to be filled.
-    pub keeper: Rc<ConfigKeeper>,
-    /// Asks for the configuration.
+    /// The configuration to load.
+    pub state: Rc<ConfigKeeper>,
+    /// Polls peers for the configuration.
     pub config: Rc<ConfigFollower>,
-    /// Asks for the fleet.
+    /// Polls peers for the fleet.
     pub fleet: Rc<FleetFollower>,
 }
 
 impl Bootstrap {
-    /// Asks listed VMs until a configuration is in force here, from them or from the store.
+    /// Polls listed VMs until a configuration is loaded, from them or from the store.
     pub async fn run(&self) {
         loop {
-            sleep(PAUSE.to_std()).await;
-            if self.keeper.is_loaded() {
+            sleep(ROUND_DELAY.to_std()).await;
+            if self.state.is_loaded() {
                 return;
             }
             let listed = self.vms.read().await.unwrap_or_default();
             let others: Vec<_> = listed.into_iter().filter(|vm| vm.vm != self.me).collect();
-            for other in others.choose_multiple(&mut rand::rng(), ASKED) {
+            for other in others.choose_multiple(&mut rand::rng(), MAX_PEERS_POLLED) {
                 let Some(address) = self.address(other) else {
                     continue;
                 };
-                if self.config.ask(address, Millis::ZERO).await {
-                    self.fleet.ask_address(address, 0, Millis::ZERO).await;
+                if self.config.poll(address, Millis::ZERO).await {
+                    self.fleet.poll_address(address, 0, Millis::ZERO).await;
                     return;
                 }
             }
--- a/crates/controller/src/follow/config_follower.rs
+++ b/crates/controller/src/follow/config_follower.rs
@@ -1,7 +1,7 @@
 use {
-    super::{Duty, StoreWatch, WatchEnd},
+    super::{StoreWatch, WatchEnd, WatcherSet},
     crate::{
-        config::{Applied, ConfigStore, edits_end},
+        config::{ApplyOutcome, ConfigReader, edit_range_end},
         shared::SharedParts,
     },
     jasmine_conf::store_layout::edit_key,
@@ -14,76 +14,80 @@
     tokio::time::sleep,
 };
 
-/// How often a watcher has the store confirm that there is nothing newer.
-const CONFIRM_EVERY: Millis = Millis(1_000);
+/// Interval at which a watcher reads the store for newer edits.
+const CONFIRM_INTERVAL: Millis = Millis(1_000);
 
-/// How long another controller may hold a question back.
-const ASK_WAIT: Millis = Millis(1_000);
+/// How long a peer may delay its reply while nothing changes.
+const LONG_POLL_TIMEOUT: Millis = Millis(1_000);
 
-/// The longest pause after failures.
-const MOST_PAUSE: Millis = Millis(5_000);
+/// Upper bound of the retry backoff.
+const MAX_RETRY_DELAY: Millis = Millis(5_000);
 
-/// Follows the configuration: from the store on a watcher, from a watcher elsewhere.
+/// Keeps the configuration current: watchers read the store, other VMs poll a watcher.
 #[derive(Debug)]
 pub struct ConfigFollower {
     shared: SharedParts,
-    reader: Rc<ConfigStore>,
-    turn: Cell<usize>,
+    reader: Rc<ConfigReader>,
+    poll_count: Cell<usize>,
 }
 
 impl ConfigFollower {
-    /// A follower that fills the shared keeper.
+    /// Creates a follower that updates the shared configuration.
     pub const fn new(
         shared: SharedParts,
-        reader: Rc<ConfigStore>,
+        reader: Rc<ConfigReader>,
     ) -> Self {
         Self {
             shared,
             reader,
-            turn: Cell::new(0),
+            poll_count: Cell::new(0),
         }
     }
 
-    /// Reads and confirms: from the store on duty, else from a watcher, else from both.
+    /// Polls a watcher, or reads the store if this VM is a watcher or no watcher replies.
     pub async fn run(&self) {
-        let mut backoff = Backoff::new(CONFIRM_EVERY, MOST_PAUSE);
+        let mut backoff = Backoff::new(CONFIRM_INTERVAL, MAX_RETRY_DELAY);
         loop {
-            let duty = self.shared.duty();
-            let is_watcher = duty.is_watcher(self.shared.me.vm);
-            if !is_watcher && self.ask_watchers(&duty).await {
+            let watchers = self.shared.watchers();
+            let is_watcher = watchers.is_watcher(self.shared.me.vm);
+            if !is_watcher && self.poll_watchers(&watchers).await {
                 backoff.reset();
                 continue;
             }
-            // On duty, or no watcher answers: the store itself, and others when it is silent.
+            // Falls back to any peer when the store is unavailable.
             let pause = if self.pull().await {
                 backoff.reset();
-                CONFIRM_EVERY
+                CONFIRM_INTERVAL
             } else {
-                self.ask_anybody().await;
+                self.poll_any_peer().await;
                 backoff.next_delay()
             };
             sleep(pause.to_std()).await;
         }
     }
 
-    /// Watches the records of edits while on duty, so that an edit is known at once.
+    /// Watches the edit records while this VM is a watcher.
     pub async fn watch(&self) {
-        let mut backoff = Backoff::new(CONFIRM_EVERY, MOST_PAUSE);
+        let mut backoff = Backoff::new(CONFIRM_INTERVAL, MAX_RETRY_DELAY);
         loop {
-            if !self.shared.config.is_loaded() || !self.shared.duty().is_watcher(self.shared.me.vm)
+            if !self.shared.config.is_loaded()
+                || !self.shared.watchers().is_watcher(self.shared.me.vm)
             {
-                sleep(CONFIRM_EVERY.to_std()).await;
+                sleep(CONFIRM_INTERVAL.to_std()).await;
                 continue;
             }
-            let range = Range::between(edit_key(self.shared.config.revision().next()), edits_end());
-            // What came between the last read and now is brought by the next read.
+            let range = Range::between(
+                edit_key(self.shared.config.revision().next()),
+                edit_range_end(),
+            );
+            // Edits between the last read and the start of the watch arrive with the next read.
             let mut watch = StoreWatch::from_now(Rc::clone(&self.shared.store), range);
             let ended = tokio::select! {
                 ended = watch.run_once(|event| self.take(event)) => ended,
-                () = self.shared.off_duty() => continue,
+                () = self.shared.stopped_watching() => continue,
             };
             match ended {
-                Ok(WatchEnd::Over | WatchEnd::Compacted) => backoff.reset(),
+                Ok(WatchEnd::Ended | WatchEnd::Compacted) => backoff.reset(),
                 Err(e) => {
                     Line::new("config_watch_broken").with("error", e).warn();
                     sleep(backoff.next_delay().to_std()).await;
@@ -97,7 +101,7 @@
         event: &WatchEvent,
     ) {
         if let WatchEvent::Put(kv) = event {
-            // A gap is closed by the next read, within a second.
+            // Missing edits arrive with the next read.
             let _applied = self.reader.take(kv);
         }
     }
@@ -112,21 +116,21 @@
         }
     }
 
-    async fn ask_watchers(
+    async fn poll_watchers(
         &self,
-        duty: &Duty,
+        watchers: &WatcherSet,
     ) -> bool {
-        for vm in duty.ask_order(self.shared.me.vm) {
+        for vm in watchers.poll_order(self.shared.me.vm) {
             match self.shared.links.address(vm) {
-                Some(address) if self.ask(address, ASK_WAIT).await => return true,
+                Some(address) if self.poll(address, LONG_POLL_TIMEOUT).await => return true,
                 _ => {}
             }
         }
         false
     }
 
-    /// Asks one other controller of any data centre, another one each time.
-    async fn ask_anybody(&self) {
+    /// Polls one peer of any data centre.
+    async fn poll_any_peer(&self) {
         let others: Vec<VmId> = {
             let fleet = self.shared.fleet.borrow();
             fleet
@@ -136,18 +140,18 @@
                 .filter(|&vm| vm != self.shared.me.vm)
                 .collect()
         };
-        let chosen = match self.turn.replace(self.turn.get() + 1) {
-            // The first turn goes to a neighbour in the list, later ones anywhere.
+        let chosen = match self.poll_count.replace(self.poll_count.get() + 1) {
+            // The first attempt uses the first peer in the list, later ones a random peer.
             0 => others.first(),
             _ => others.choose(&mut rand::rng()),
         };
         if let Some(address) = chosen.and_then(|&vm| self.shared.links.address(vm)) {
-            self.ask(address, Millis::ZERO).await;
+            self.poll(address, Millis::ZERO).await;
         }
     }
 
-    /// Asks one controller; whether it answered with a configuration.
-    pub async fn ask(
+    /// Polls one peer and returns whether it replied with a usable configuration.
+    pub async fn poll(
         &self,
         address: SocketAddr,
         wait: Millis,
@@ -158,16 +162,16 @@
             return false;
         };
         let applied = match answer.body.as_slice() {
-            [] => Applied::Old,
-            body => self.shared.config.take_body(body, answer.full),
+            [] => ApplyOutcome::Stale,
+            body => self.shared.config.apply_body(body, answer.full),
         };
-        // The other's word counts from when the question was sent: its answer may have lain about.
+        // Measured from the time of sending, since the reply may have been delayed.
         match sent.0.checked_sub(answer.fresh.0) {
             Some(at) if self.shared.config.revision() == answer.revision => {
                 self.shared.config.confirm(Millis(at));
             }
             _ => {}
         }
-        applied != Applied::Gap && answer.revision >= have && self.shared.config.is_loaded()
+        applied != ApplyOutcome::Gap && answer.revision >= have && self.shared.config.is_loaded()
     }
 }
--- a/crates/controller/src/follow/fleet_follower.rs
+++ b/crates/controller/src/follow/fleet_follower.rs
@@ -14,28 +14,28 @@
     tokio::time::sleep,
 };
 
-/// How long a watcher may hold a question back.
-const ASK_WAIT: Millis = Millis(3_000);
+/// How long a watcher may delay its reply while nothing changes.
+const LONG_POLL_TIMEOUT: Millis = Millis(3_000);
 
-/// Controllers asked one after the other while the store can't be reached.
-const ASKED: usize = 3;
+/// Most peers polled, one after the other, while the store is unreachable.
+const MAX_PEERS_POLLED: usize = 3;
 
-/// The first and the longest pause after failures.
-const PAUSES: (Millis, Millis) = (Millis(250), Millis(5_000));
+/// Initial and maximum delay of the retry backoff.
+const RETRY_DELAYS: (Millis, Millis) = (Millis(250), Millis(5_000));
 
-/// Follows members, owners and the epoch: by a watch on duty, else from a watcher.
+/// Tracks members, owners and the epoch by watching the store or polling a watcher.
 #[derive(Debug)]
 pub struct FleetFollower {
     shared: SharedParts,
     changed: Signal,
     synced: Cell<bool>,
     read: Cell<bool>,
-    /// The epoch that another controller told last, and whether it was closing.
-    told: Cell<(Epoch, bool)>,
+    /// Epoch last reported by a peer, and whether it was closing.
+    reported: Cell<(Epoch, bool)>,
 }
 
 impl FleetFollower {
-    /// A follower that has heard nothing yet.
+    /// Creates a follower that has not read the fleet yet.
     pub fn new(shared: SharedParts) -> Self {
         let changed = shared.fleet.borrow().changed.clone();
         Self {
@@ -43,45 +43,45 @@
             changed,
             synced: Cell::new(false),
             read: Cell::new(false),
-            told: Cell::default(),
+            reported: Cell::default(),
         }
     }
 
-    /// Whether the mirror follows the store itself, holdings included.
+    /// Whether the fleet state, including holdings, is read directly from the store.
     pub const fn is_synced(&self) -> bool {
         self.synced.get()
     }
 
-    /// Whether the fleet has been read at least once, from wherever.
+    /// Whether the fleet has been read at least once, from the store or a peer.
     pub const fn is_read(&self) -> bool {
         self.read.get()
     }
 
-    /// Follows until the future is dropped.
+    /// Tracks the fleet until the future is dropped.
     pub async fn run(&self) {
-        let mut backoff = Backoff::new(PAUSES.0, PAUSES.1);
+        let mut backoff = Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1);
         loop {
-            if self.read.get() && !self.shared.duty().is_watcher(self.shared.me.vm) {
+            if self.read.get() && !self.shared.watchers().is_watcher(self.shared.me.vm) {
                 self.synced.set(false);
-                self.relay().await;
+                self.poll_until_watcher().await;
             }
             match self.watch().await {
                 Ok(()) => backoff.reset(),
                 Err(e) => {
                     Line::new("fleet_not_followed").with("error", e).warn();
                     self.synced.set(false);
-                    self.ask_who_reaches().await;
+                    self.poll_connected_peer().await;
                     sleep(backoff.next_delay().to_std()).await;
                 }
             }
         }
     }
 
-    /// Reads everything, then follows it while on duty, from connection to connection.
+    /// Reads the fleet and watches it, reconnecting, while this VM is a watcher.
     async fn watch(&self) -> Result<(), StoreError> {
         let reply = self.shared.store.range(store_keys::fleet()).await?;
         self.shared.fleet.borrow_mut().reset(&reply.kvs);
-        self.links_follow();
+        self.update_links();
         self.read.set(true);
         self.synced.set(true);
         let mut watch = StoreWatch::new(
@@ -92,11 +92,11 @@
         loop {
             let follow = watch.run_once(|event| {
                 self.shared.fleet.borrow_mut().apply(event);
-                self.links_follow();
+                self.update_links();
             });
             let ended = tokio::select! {
                 ended = follow => ended?,
-                () = self.shared.off_duty() => return Ok(()),
+                () = self.shared.stopped_watching() => return Ok(()),
             };
             if ended == WatchEnd::Compacted {
                 return Ok(());
@@ -104,63 +104,62 @@
         }
     }
 
-    /// Asks the watchers for as long as one of them answers and this VM is not on duty.
-    async fn relay(&self) {
+    /// Polls the watchers until none replies or this VM becomes a watcher.
+    async fn poll_until_watcher(&self) {
         let mut have = (None, 0);
         loop {
-            let duty = self.shared.duty();
-            if duty.is_watcher(self.shared.me.vm) {
+            let watchers = self.shared.watchers();
+            if watchers.is_watcher(self.shared.me.vm) {
                 return;
             }
-            let mut told = false;
-            for vm in duty.ask_order(self.shared.me.vm) {
-                if let Some(seq) = self.ask(vm, have).await {
+            let mut reported = false;
+            for vm in watchers.poll_order(self.shared.me.vm) {
+                if let Some(seq) = self.poll(vm, have).await {
                     have = (Some(vm), seq);
-                    told = true;
+                    reported = true;
                     break;
                 }
             }
-            if !told {
+            if !reported {
                 return;
             }
         }
     }
 
-    /// Asks another controller that reaches the store while this one doesn't.
+    /// Polls a peer that can reach the store while this VM can't.
     ///
-    /// A VM that alone is cut off from the store would otherwise go on with owners and members that
-    /// the others have replaced. One that is cut off as well has nothing newer to tell.
-    async fn ask_who_reaches(&self) {
-        let asked: Vec<VmId> = {
+    /// Otherwise a VM partitioned from the store would keep using stale owners and members.
+    async fn poll_connected_peer(&self) {
+        let peers: Vec<VmId> = {
             let fleet = self.shared.fleet.borrow();
             let others = fleet.members.keys().copied();
             let others: Vec<_> = others.filter(|&vm| vm != self.shared.me.vm).collect();
             others
-                .choose_multiple(&mut rand::rng(), ASKED)
+                .choose_multiple(&mut rand::rng(), MAX_PEERS_POLLED)
                 .copied()
                 .collect()
         };
-        for vm in asked {
+        for vm in peers {
             let status = self.shared.links.status(vm).await;
-            let reaches = status.is_ok_and(|status| status.store_up);
-            if reaches && self.ask(vm, (None, 0)).await.is_some() {
+            let is_connected = status.is_ok_and(|status| status.store_up);
+            if is_connected && self.poll(vm, (None, 0)).await.is_some() {
                 return;
             }
         }
     }
 
-    async fn ask(
+    async fn poll(
         &self,
         vm: VmId,
         have: (Option<VmId>, u64),
     ) -> Option<u64> {
         let address = self.shared.links.address(vm)?;
         let have = if have.0 == Some(vm) { have.1 } else { 0 };
-        self.ask_address(address, have, ASK_WAIT).await
+        self.poll_address(address, have, LONG_POLL_TIMEOUT).await
     }
 
-    /// Asks one controller for the fleet; the number of the change that it told.
-    pub async fn ask_address(
+    /// Polls one peer for the fleet and returns the sequence number of its reply.
+    pub async fn poll_address(
         &self,
         address: SocketAddr,
         have: u64,
@@ -173,10 +172,10 @@
             .await
             .ok()?;
         if have != 0 && answer.seq == have {
-            self.read_epoch_of(self.told.get()).await;
+            self.read_epoch(self.reported.get()).await;
             return Some(have);
         }
-        // An empty list comes from a controller that has read nothing itself.
+        // A peer that has not read the fleet itself replies with an empty list.
         if answer.members.is_empty() {
             return None;
         }
@@ -184,17 +183,17 @@
             .fleet
             .borrow_mut()
             .relay(answer.members, answer.owners);
-        self.links_follow();
-        let told = (answer.epoch, answer.closing);
-        self.told.set(told);
-        self.read_epoch_of(told).await;
+        self.update_links();
+        let reported = (answer.epoch, answer.closing);
+        self.reported.set(reported);
+        self.read_epoch(reported).await;
         Some(answer.seq)
     }
 
-    /// Reads the epoch's record unless it is here already: what it grants to each holder isn't relayed.
-    async fn read_epoch_of(
+    /// Reads the epoch record unless it is known; peers do not relay its grants.
+    async fn read_epoch(
         &self,
-        told: (Epoch, bool),
+        reported: (Epoch, bool),
     ) {
         let known = self
             .shared
@@ -203,7 +202,7 @@
             .epoch
             .as_ref()
             .map(|epoch| (epoch.value.epoch, epoch.value.closing));
-        if known == Some(told) {
+        if known == Some(reported) {
             return;
         }
         let reply = self.shared.store.range(Range::key(EPOCH_KEY)).await;
@@ -212,13 +211,13 @@
         }
     }
 
-    fn links_follow(&self) {
+    fn update_links(&self) {
         self.shared
             .links
             .set_members(self.shared.fleet.borrow().members.values());
     }
 
-    /// Raised with each change of the fleet.
+    /// Raised on each change of the fleet.
     pub const fn changed(&self) -> &Signal {
         &self.changed
     }
--- a/crates/controller/src/follow/mod.rs
+++ b/crates/controller/src/follow/mod.rs
@@ -1,15 +1,15 @@
-//! Following what changes: by watches of the store on a few VMs, by their word on the others.
+//! Tracks changes in the store: a few VMs watch it, the others poll these.
 
 mod bootstrap;
 mod config_follower;
-mod duty;
 mod fleet_follower;
 mod store_watch;
+mod watcher_set;
 
 pub use {
     bootstrap::Bootstrap,
     config_follower::ConfigFollower,
-    duty::{Duty, WATCHERS},
     fleet_follower::FleetFollower,
-    store_watch::{REPLACED_AFTER, StoreWatch, WatchEnd},
+    store_watch::{StoreWatch, WATCH_LIFETIME, WatchEnd},
+    watcher_set::{WATCHERS_PER_DATA_CENTRE, WatcherSet},
 };
--- a/crates/controller/src/follow/store_watch.rs
+++ b/crates/controller/src/follow/store_watch.rs
@@ -6,22 +6,21 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// A watch is replaced by a new one after this long.
+/// Lifetime of a watch before it is reopened.
 ///
-/// A watch that has gone silent looks exactly like one on which nothing happens. Replacing it bounds
-/// for how long changes can go unseen, at the cost of one call in this time.
-pub const REPLACED_AFTER: Millis = Millis(20_000);
+/// A stalled watch can't be told from an idle one; reopening it bounds how long changes are missed.
+pub const WATCH_LIFETIME: Millis = Millis(20_000);
 
 /// How a watch ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// It was replaced by plan, or its connection ended: go on from where it was.
-    Over,
-    /// The store has forgotten what came next: read everything anew.
+    /// Its lifetime or its connection ended: reopen it at the next revision.
+    Ended,
+    /// The next revision was compacted: read the whole range again.
     Compacted,
 }
 
-/// A watch of a range that goes on from connection to connection.
+/// A watch of a key range that resumes across connections.
 pub struct StoreWatch {
     store: Rc<dyn Store>,
     range: Range,
@@ -41,7 +40,7 @@
 }
 
 impl StoreWatch {
-    /// A watch of the changes after the store's revision `read`.
+    /// Creates a watch of the changes after store revision `read`.
     pub const fn new(
         store: Rc<dyn Store>,
         range: Range,
@@ -54,7 +53,7 @@
         }
     }
 
-    /// A watch of the changes from now on.
+    /// Creates a watch of the changes from now on.
     pub const fn from_now(
         store: Rc<dyn Store>,
         range: Range,
@@ -66,11 +65,11 @@
         }
     }
 
-    /// Hands changes to `f` in their order, over one connection.
+    /// Calls `f` for each change in order, over one connection.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the watch can't be opened or breaks; calling again goes on.
+    /// [`StoreError`] if the watch can't be opened or fails; the next call resumes it.
     pub async fn run_once<F>(
         &mut self,
         mut f: F,
@@ -78,21 +77,21 @@
     where
         F: FnMut(&WatchEvent),
     {
-        let until = Instant::now() + REPLACED_AFTER.to_std();
+        let until = Instant::now() + WATCH_LIFETIME.to_std();
         let mut stream = self.store.watch(self.range.clone(), self.next).await?;
         loop {
             match timeout_at(until, stream.next()).await {
-                Err(_) | Ok(None) => return Ok(WatchEnd::Over),
+                Err(_) | Ok(None) => return Ok(WatchEnd::Ended),
                 Ok(Some(Err(e))) => return Err(e),
                 Ok(Some(Ok(batch))) if batch.compacted.is_some() => {
                     return Ok(WatchEnd::Compacted);
                 }
-                Ok(Some(Ok(batch))) => self.hand_on(&batch, &mut f),
+                Ok(Some(Ok(batch))) => self.deliver(&batch, &mut f),
             }
         }
     }
 
-    fn hand_on<F>(
+    fn deliver<F>(
         &mut self,
         batch: &WatchBatch,
         f: &mut F,
--- a/crates/controller/src/follow/duty.rs
+++ b/crates/controller/src/follow/watcher_set.rs
@@ -3,21 +3,21 @@
     jasmine_core::{ids::VmId, placement::rendezvous_score},
 };
 
-/// Controllers of one data centre that watch the store themselves.
-pub const WATCHERS: usize = 2;
+/// Number of controllers per data centre that watch the store.
+pub const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Who watches the store in one data centre.
+/// Controllers that watch the store in one data centre.
 ///
-/// A watch counts as a call at the platform, whose rates grow more slowly than the fleet. So only a
-/// few VMs of each data centre watch, and the others ask these.
+/// Watches count against the platform's rate limit, which grows more slowly than the fleet. So only a
+/// few VMs of each data centre watch, and the others poll these.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Duty {
+pub struct WatcherSet {
     watchers: Vec<VmId>,
 }
 
-impl Duty {
-    /// The watchers among `members` in `data_centre`, first choice first.
-    pub fn among<'a>(
+impl WatcherSet {
+    /// Selects the watchers of `data_centre` from `members` by rendezvous hashing.
+    pub fn select<'a>(
         data_centre: &str,
         members: impl IntoIterator<Item = &'a MemberRecord>,
     ) -> Self {
@@ -27,13 +27,13 @@
             .map(|member| (rendezvous_score(0, u64::from(member.vm.0), 1), member.vm))
             .collect();
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        ranked.truncate(WATCHERS);
+        ranked.truncate(WATCHERS_PER_DATA_CENTRE);
         Self {
             watchers: ranked.into_iter().map(|(_, vm)| vm).collect(),
         }
     }
 
-    /// Whether `vm` has to watch: as one of the chosen, or because nobody is.
+    /// Whether `vm` has to watch: it was selected, or no watcher is known.
     pub fn is_watcher(
         &self,
         vm: VmId,
@@ -41,10 +41,10 @@
         self.watchers.is_empty() || self.watchers.contains(&vm)
     }
 
-    /// The watchers that `vm` may ask, first choice first.
+    /// Watchers that `vm` polls, in order of preference.
     ///
-    /// Half of the others begin with the second, so that both carry the same.
-    pub fn ask_order(
+    /// The order is rotated by VM number to balance the load between watchers.
+    pub fn poll_order(
         &self,
         vm: VmId,
     ) -> Vec<VmId> {
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -9,13 +9,13 @@
     std::{path::Path, path::PathBuf, process::ExitCode},
 };
 
-/// The exit code after settings that are not in order.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for missing or invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let args = command().get_matches();
     let Some(file) = args.get_one::<PathBuf>(SETTINGS) else {
-        return ExitCode::from(BAD_SETTINGS);
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
     };
     let result = if args.get_flag(CHECK_SETTINGS) {
         check(file)
@@ -27,7 +27,7 @@
         Err(e) => {
             eprintln!("jasmine-controller: {e}");
             match e {
-                StartError::Settings(_) => ExitCode::from(BAD_SETTINGS),
+                StartError::Settings(_) => ExitCode::from(EXIT_INVALID_SETTINGS),
                 _ => ExitCode::FAILURE,
             }
         }
--- a/crates/controller/src/operators/api_error.rs
+++ b/crates/controller/src/operators/api_error.rs
@@ -8,21 +8,21 @@
     jasmine_core::error::{ErrorKind, Refusal},
 };
 
-/// An answer to an operator that is an error.
+/// Error response to an operator.
 #[derive(Clone, Debug)]
 #[derive(derive_more::Display)]
 #[display("{kind}: {message}")]
 pub struct ApiError {
-    /// The kind in the closed list.
+    /// Error kind, which determines the status code.
     pub kind: ErrorKind,
-    /// What to do about it.
+    /// Explanation for the operator.
     pub message: String,
-    /// What others changed, where that is the reason.
+    /// Conflicting edits, empty for other errors.
     pub conflicts: Vec<Conflict>,
 }
 
 impl ApiError {
-    /// An error that says more than the table.
+    /// Creates an error with its own message instead of the default of its kind.
     pub const fn new(
         kind: ErrorKind,
         message: String,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// An error of a question, for which a path that doesn't exist is no invalid edit.
+    /// Converts an error of a read, where a missing path is not an invalid edit.
     pub(super) fn of_read(e: &EditError) -> Self {
         let kind = match e {
             EditError::NoSuchNode { .. } => ErrorKind::NotFound,
@@ -44,7 +44,7 @@
         Self::new(kind, e.to_string())
     }
 
-    /// The answer, with the id of the request that it is for.
+    /// Builds the HTTP response, with the id of the request.
     pub(super) fn response(
         &self,
         request_id: &str,
@@ -99,7 +99,7 @@
 }
 
 impl From<actix::MailboxError> for ApiError {
-    /// The rest of the controller is gone or about to be.
+    /// A closed mailbox means that the controller is shutting down.
     fn from(_: actix::MailboxError) -> Self {
         Self::from(ErrorKind::ShuttingDown)
     }
--- a/crates/controller/src/operators/guard.rs
+++ b/crates/controller/src/operators/guard.rs
@@ -1,4 +1,4 @@
-//! What every request passes: its id, the operators' token, and errors in one shape.
+//! Middleware for request ids, token checks and a uniform error format.
 
 use {
     super::ApiError,
@@ -15,11 +15,11 @@
     jasmine_telemetry::log::Line,
 };
 
-const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Characters of a request id that is taken over from the caller.
-const MAX_REQUEST_ID: usize = 64;
+const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
+/// Longest accepted request id from a client, in characters.
+const MAX_REQUEST_ID_LEN: usize = 64;
 
-/// Checks the token, then lets the request through and gives every error the same shape.
+/// Checks the token, calls the handler and adds the request id to errors and headers.
 pub(super) async fn guard<B>(
     req: ServiceRequest,
     next: Next<B>,
@@ -27,11 +27,13 @@
 where
     B: MessageBody + 'static,
 {
-    let name = request_name(&req);
-    let asked = format!("{} {}", req.method(), req.path());
+    let request_id = request_id_of(&req);
+    let method_and_path = format!("{} {}", req.method(), req.path());
     let mut response = match check_token(&req) {
         Ok(()) => next.call(req).await?.map_into_left_body(),
-        Err(e) => req.into_response(e.response(&name)).map_into_right_body(),
+        Err(e) => req
+            .into_response(e.response(&request_id))
+            .map_into_right_body(),
     };
     let error = response
         .response()
@@ -40,28 +42,28 @@
         .cloned();
     if let Some(e) = error {
         response = response
-            .into_response(e.response(&name))
+            .into_response(e.response(&request_id))
             .map_into_right_body();
     }
-    // The path holds names of the tree; a token or a key is in no part of it.
+    // Safe to log: paths contain tree names but no tokens or keys.
     Line::new("operator_request")
-        .with("request_id", &name)
-        .with("asked", asked)
+        .with("request_id", &request_id)
+        .with("asked", method_and_path)
         .with("status", response.status().as_u16())
         .info();
-    if let Ok(value) = HeaderValue::from_str(&name) {
-        response.headers_mut().insert(REQUEST_ID, value);
+    if let Ok(value) = HeaderValue::from_str(&request_id) {
+        response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
     Ok(response)
 }
 
-fn request_name(req: &ServiceRequest) -> String {
+fn request_id_of(req: &ServiceRequest) -> String {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'_' | b'-');
     let given = req
         .headers()
-        .get(REQUEST_ID)
+        .get(REQUEST_ID_HEADER)
         .and_then(|value| value.to_str().ok())
-        .filter(|name| (1..=MAX_REQUEST_ID).contains(&name.len()) && name.bytes().all(allowed));
+        .filter(|name| (1..=MAX_REQUEST_ID_LEN).contains(&name.len()) && name.bytes().all(allowed));
     match given {
         Some(name) => name.to_owned(),
         None => hex::encode(&rand::random::<[u8; 12]>()),
@@ -78,12 +80,12 @@
     match (token, operators) {
         (None, _) => Err(ApiError::new(
             ErrorKind::KeyMissing,
-            "No operators' token came with the request.".to_owned(),
+            "The request has no bearer token of an operator.".to_owned(),
         )),
         (Some(token), Some(operators)) if operators.accepts(token.trim()) => Ok(()),
         (Some(_), _) => Err(ApiError::new(
             ErrorKind::KeyUnknown,
-            "The token is not one of the operators'.".to_owned(),
+            "The bearer token is not valid for operators.".to_owned(),
         )),
     }
 }
--- a/crates/controller/src/operators/link.rs
+++ b/crates/controller/src/operators/link.rs
@@ -7,70 +7,70 @@
     jasmine_core::error::ErrorKind,
 };
 
-/// What the operators' HTTP asks of the rest of the controller.
+/// Actor recipients for the operators' HTTP handlers.
 ///
-/// The three recipients are usually one actor; they may be reached from any thread.
+/// They are usually one actor and can be used from any thread.
 #[derive(Clone, Debug)]
 pub struct OperatorsLink {
-    /// Who has the tree in force.
+    /// Returns the current tree.
     pub read: Recipient<ReadTree>,
-    /// Who writes edits to the store.
+    /// Writes edits to the store.
     pub submit: Recipient<SubmitEdit>,
-    /// Who knows the fleet.
+    /// Returns the state of the fleet.
     pub fleet: Recipient<ReadFleet>,
 }
 
-/// The tree in force and the newest edits; both are cheap copies.
+/// The current tree and the newest edits; both are cheap to clone.
 #[derive(Clone, Debug)]
 pub struct TreeView {
-    /// The tree.
+    /// Tree at the current revision.
     pub tree: Tree,
-    /// The newest edits.
+    /// Log of the newest edits.
     pub log: EditLog,
 }
 
-/// Answer to [`ReadTree`]; an error while no configuration is in force.
-pub type TreeAnswer = Result<TreeView, ErrorKind>;
-/// Answer to [`SubmitEdit`].
-pub type SubmitAnswer = Result<AcceptedEdit, SubmitError>;
-/// Answer to [`ReadFleet`].
-pub type FleetAnswer = Result<FleetStatus, ErrorKind>;
+/// Reply to [`ReadTree`]; an error while no configuration is loaded.
+pub type ReadTreeResult = Result<TreeView, ErrorKind>;
+/// Reply to [`SubmitEdit`].
+pub type SubmitEditResult = Result<AcceptedEdit, SubmitError>;
+/// Reply to [`ReadFleet`].
+pub type ReadFleetResult = Result<FleetStatus, ErrorKind>;
 
-/// Asks for the tree in force.
+/// Requests the current tree.
 #[derive(Clone, Copy, Debug)]
 #[derive(Message)]
-#[rtype(result = "TreeAnswer")]
+#[rtype(result = "ReadTreeResult")]
 pub struct ReadTree;
 
-/// Asks for the state of all VMs.
+/// Requests the state of all VMs.
 #[derive(Clone, Copy, Debug)]
 #[derive(Message)]
-#[rtype(result = "FleetAnswer")]
+#[rtype(result = "ReadFleetResult")]
 pub struct ReadFleet;
 
-/// Asks for an edit to be accepted.
+/// Submits an edit.
 ///
-/// An edit whose id is accepted already is answered with its record, so that sending it again after
-/// a lost answer does nothing twice.
+/// Idempotent: an edit whose id was already accepted returns its existing record, so retrying after a
+/// lost reply is safe.
 #[derive(Clone, Debug)]
 #[derive(Message)]
-#[rtype(result = "SubmitAnswer")]
+#[rtype(result = "SubmitEditResult")]
 pub struct SubmitEdit(pub Edit);
 
-/// Why an edit is not known to be accepted.
+/// Error of submitting an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub enum SubmitError {
-    /// It does not fit the tree, or runs into somebody else's.
+    /// The edit is invalid or conflicts with another edit.
     #[display("{_0}")]
     Refused(EditError),
-    /// Another cause; the kind says whether anything may have been written.
+    /// Another error; its kind says whether the edit may have been written.
     #[display("{}", _0.message())]
     Failed(ErrorKind),
 }
 
 impl SubmitError {
-    /// The kind in the closed list.
+    /// Error kind reported to operators.
     pub const fn kind(&self) -> ErrorKind {
         match self {
             Self::Refused(e) => e.kind(),
--- a/crates/controller/src/operators/mod.rs
+++ b/crates/controller/src/operators/mod.rs
@@ -1,20 +1,19 @@
-//! Operators' HTTP.
+//! HTTP API for operators.
 //!
-//! The handlers are thin: they check the token, read the query or body, send one typed message to
-//! whoever holds the configuration ([`OperatorsLink`]) and turn the answer into JSON. Nothing here
-//! knows the store or the peers.
+//! Handlers check the token, parse the query or body, send one message through [`OperatorsLink`] and
+//! return the reply as JSON. They don't depend on the store or on peers.
 
-mod answers;
 mod api_error;
 mod guard;
 mod link;
+mod queries;
 mod routes;
 
 pub use {
     api_error::ApiError,
     link::{
-        FleetAnswer, OperatorsLink, ReadFleet, ReadTree, SubmitAnswer, SubmitEdit, SubmitError,
-        TreeAnswer, TreeView,
+        OperatorsLink, ReadFleet, ReadFleetResult, ReadTree, ReadTreeResult, SubmitEdit,
+        SubmitEditResult, SubmitError, TreeView,
     },
     routes::{configure, listen},
 };
--- a/crates/controller/src/operators/answers.rs
+++ b/crates/controller/src/operators/queries.rs
@@ -1,4 +1,4 @@
-//! How one question to the tree is answered.
+//! Query parameters and results of reads of the tree and its history.
 
 use {
     super::{ApiError, TreeView},
@@ -9,14 +9,14 @@
     serde::Deserialize,
 };
 
-/// Nodes on one page when the question doesn't say.
-const DEFAULT_PAGE: usize = 1_000;
-/// Nodes on one page at most.
-const MAX_PAGE: usize = 5_000;
-/// Edits in one answer when the question doesn't say.
-const DEFAULT_HISTORY: usize = 50;
+/// Default number of nodes per page.
+const DEFAULT_PAGE_NODES: usize = 1_000;
+/// Upper bound of `limit` in both queries.
+const MAX_LIMIT: usize = 5_000;
+/// Default number of edits per reply.
+const DEFAULT_HISTORY_EDITS: usize = 50;
 
-/// Which part of the tree is asked for.
+/// Query parameters of a read of the tree.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -27,7 +27,7 @@
     limit: Option<usize>,
 }
 
-/// Which edits are asked for.
+/// Query parameters of a read of the edit history.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -36,7 +36,7 @@
     limit: Option<usize>,
 }
 
-/// One page of the nodes at and below a path.
+/// Returns one page of the nodes at and below a path.
 pub(super) fn tree_page(
     tree: &Tree,
     query: &TreeQuery,
@@ -45,14 +45,19 @@
     if tree.node(&top).is_none() {
         return Err(ApiError::of_read(&EditError::NoSuchNode { path: top }));
     }
-    let limit = query.limit.unwrap_or(DEFAULT_PAGE).clamp(1, MAX_PAGE);
-    let most = query.depth.map(|depth| levels(&top).saturating_add(depth));
+    let limit = query
+        .limit
+        .unwrap_or(DEFAULT_PAGE_NODES)
+        .clamp(1, MAX_LIMIT);
+    let max_depth = query
+        .depth
+        .map(|depth| depth_of(&top).saturating_add(depth));
     let all: Box<dyn Iterator<Item = _>> = match &query.after {
         Some(after) => Box::new(tree.within_after(&top, after)),
         None => Box::new(tree.within(&top)),
     };
     let mut rows = all
-        .filter(|(path, _)| most.is_none_or(|most| levels(path) <= most))
+        .filter(|(path, _)| max_depth.is_none_or(|max_depth| depth_of(path) <= max_depth))
         .map(|(path, node)| NodeRow {
             path: path.clone(),
             node: node.clone(),
@@ -66,21 +71,24 @@
     })
 }
 
-/// How many levels below the root a path stands.
-fn levels(path: &Path) -> usize {
+/// Depth of a path below the root.
+fn depth_of(path: &Path) -> usize {
     match path.as_str() {
         "/" => 0,
         text => text.matches('/').count(),
     }
 }
 
-/// The newest edits about a path.
+/// Returns the newest edits that affect a path.
 pub(super) fn history(
     view: &TreeView,
     query: &HistoryQuery,
 ) -> History {
     let top = query.path.clone().unwrap_or_else(Path::root);
-    let limit = query.limit.unwrap_or(DEFAULT_HISTORY).clamp(1, MAX_PAGE);
+    let limit = query
+        .limit
+        .unwrap_or(DEFAULT_HISTORY_EDITS)
+        .clamp(1, MAX_LIMIT);
     History {
         edits: view.log.history_of(&top).take(limit).cloned().collect(),
     }
--- a/crates/controller/src/operators/routes.rs
+++ b/crates/controller/src/operators/routes.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         ApiError, OperatorsLink, ReadFleet, ReadTree, SubmitEdit, TreeView,
-        answers::{self, HistoryQuery, TreeQuery},
         guard::guard,
+        queries::{self, HistoryQuery, TreeQuery},
     },
     actix_web::{
         App, HttpRequest, HttpResponse, HttpServer,
@@ -24,20 +24,20 @@
     },
 };
 
-/// How long a request's head may take to arrive.
-const REQUEST_READ: Duration = Duration::from_secs(10);
-/// Threads that serve operators, of whom there are few.
-const WORKERS: usize = 1;
-/// Bytes that a request's body may have: an edit, and room for spaces between its tokens.
-const MAX_BODY: usize = 2 * MAX_EDIT_BYTES;
+/// Timeout for receiving the head of a request.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Worker threads of the HTTP server.
+const WORKER_THREADS: usize = 1;
+/// Largest request body: an edit of maximum size plus whitespace in its JSON.
+const MAX_BODY_BYTES: usize = 2 * MAX_EDIT_BYTES;
 
-type Answer = Result<HttpResponse, ApiError>;
+type HandlerResult = Result<HttpResponse, ApiError>;
 
-/// Serves operators on a listener that is bound already.
+/// Starts the operators' HTTP server on a bound listener.
 ///
 /// # Errors
 ///
-/// What the system says where the listener can't be used.
+/// The I/O error if the listener can't be used.
 pub fn listen(
     listener: TcpListener,
     link: OperatorsLink,
@@ -47,14 +47,14 @@
         let (link, operators) = (link.clone(), operators.clone());
         App::new().configure(move |cfg| configure(cfg, link, operators))
     })
-    .workers(WORKERS)
-    .client_request_timeout(REQUEST_READ)
+    .workers(WORKER_THREADS)
+    .client_request_timeout(REQUEST_HEAD_TIMEOUT)
     .disable_signals()
     .listen(listener)?;
     Ok(server.run())
 }
 
-/// Puts the operators' routes into an application.
+/// Registers the operators' routes in an application.
 pub fn configure(
     cfg: &mut web::ServiceConfig,
     link: OperatorsLink,
@@ -64,7 +64,7 @@
         .wrap(from_fn(guard))
         .app_data(Data::new(link))
         .app_data(Data::new(operators))
-        .app_data(PayloadConfig::new(MAX_BODY))
+        .app_data(PayloadConfig::new(MAX_BODY_BYTES))
         .route("/v1/tree", web::get().to(get_tree))
         .route("/v1/explain", web::get().to(get_explain))
         .route("/v1/history", web::get().to(get_history))
@@ -76,7 +76,7 @@
     cfg.service(scope);
 }
 
-/// Which value is to be explained.
+/// Query parameters of the explain route.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -85,7 +85,7 @@
     setting: Setting,
 }
 
-/// How an edit is to be taken.
+/// Query parameters of the edit route.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -97,16 +97,16 @@
 async fn get_tree(
     req: HttpRequest,
     link: Data<OperatorsLink>,
-) -> Answer {
+) -> HandlerResult {
     let query: TreeQuery = parse_query(&req)?;
     let view = link.read.send(ReadTree).await??;
-    Ok(HttpResponse::Ok().json(answers::tree_page(&view.tree, &query)?))
+    Ok(HttpResponse::Ok().json(queries::tree_page(&view.tree, &query)?))
 }
 
 async fn get_explain(
     req: HttpRequest,
     link: Data<OperatorsLink>,
-) -> Answer {
+) -> HandlerResult {
     let query: ExplainQuery = parse_query(&req)?;
     let view = link.read.send(ReadTree).await??;
     let explanation = view
@@ -119,19 +119,19 @@
 async fn get_history(
     req: HttpRequest,
     link: Data<OperatorsLink>,
-) -> Answer {
+) -> HandlerResult {
     let query: HistoryQuery = parse_query(&req)?;
     let view = link.read.send(ReadTree).await??;
-    Ok(HttpResponse::Ok().json(answers::history(&view, &query)))
+    Ok(HttpResponse::Ok().json(queries::history(&view, &query)))
 }
 
 async fn post_edit(
     req: HttpRequest,
     body: Result<Bytes, actix_web::Error>,
     link: Data<OperatorsLink>,
-) -> Answer {
+) -> HandlerResult {
     let query: EditQuery = parse_query(&req)?;
-    let body = body.map_err(|e| unreadable(&e))?;
+    let body = body.map_err(|e| body_error(&e))?;
     let edit: Edit = serde_json::from_slice(&body).map_err(|e| bad_request(&e))?;
     let accepted = if query.dry_run {
         dry_run(&link, &edit).await?
@@ -145,7 +145,7 @@
     }))
 }
 
-/// Checks an edit as it would be, against the tree in force here, and writes nothing.
+/// Validates an edit against the current tree without writing it.
 async fn dry_run(
     link: &OperatorsLink,
     edit: &Edit,
@@ -161,14 +161,14 @@
 async fn get_edit(
     id: UrlPath<String>,
     link: Data<OperatorsLink>,
-) -> Answer {
+) -> HandlerResult {
     let id = EditId::parse(&id)?;
     let view = link.read.send(ReadTree).await??;
     let accepted = view.log.find(&id).ok_or_else(|| no_such_edit(&id))?;
     Ok(HttpResponse::Ok().json(accepted))
 }
 
-async fn get_fleet(link: Data<OperatorsLink>) -> Answer {
+async fn get_fleet(link: Data<OperatorsLink>) -> HandlerResult {
     let fleet = link.fleet.send(ReadFleet).await??;
     Ok(HttpResponse::Ok().json(fleet))
 }
@@ -176,7 +176,7 @@
 async fn get_progress(
     id: UrlPath<String>,
     link: Data<OperatorsLink>,
-) -> Answer {
+) -> HandlerResult {
     let id = EditId::parse(&id)?;
     let view = link.read.send(ReadTree).await??;
     let revision = view
@@ -188,7 +188,7 @@
     Ok(HttpResponse::Ok().json(EditProgress::of(id, revision, &fleet)))
 }
 
-async fn no_such_route() -> Answer {
+async fn no_such_route() -> HandlerResult {
     Err(ApiError::from(ErrorKind::NotFound))
 }
 
@@ -204,23 +204,26 @@
 fn bad_request(e: &serde_json::Error) -> ApiError {
     ApiError::new(
         ErrorKind::BadRequest,
-        format!("the edit is not understood: {e}"),
+        format!("the body is not a valid edit: {e}"),
     )
 }
 
 fn no_such_edit(id: &EditId) -> ApiError {
     ApiError::new(
         ErrorKind::NotFound,
-        format!("no edit {id} among the newest edits known here"),
+        format!("edit {id} is not in the log of the newest edits"),
     )
 }
 
-fn unreadable(e: &actix_web::Error) -> ApiError {
+fn body_error(e: &actix_web::Error) -> ApiError {
     match e.as_error::<PayloadError>() {
         Some(PayloadError::Overflow) => ApiError::new(
             ErrorKind::BodyTooLarge,
-            format!("an edit may have {MAX_EDIT_BYTES} bytes: split it"),
+            format!("the edit exceeds {MAX_EDIT_BYTES} bytes: split it"),
+        ),
+        _ => ApiError::new(
+            ErrorKind::BadRequest,
+            "the request body could not be read".to_owned(),
         ),
-        _ => ApiError::new(ErrorKind::BadRequest, "the body did not arrive".to_owned()),
     }
 }
--- a/crates/controller/src/shared/mod.rs
+++ b/crates/controller/src/shared/mod.rs
@@ -1,4 +1,4 @@
-//! What nearly every part of the controller needs.
+//! State and handles shared by the components of the controller.
 
 mod parts;
 
--- a/crates/controller/src/shared/parts.rs
+++ b/crates/controller/src/shared/parts.rs
@@ -1,6 +1,7 @@
 use {
     crate::{
-        clock::OwnClock, config::ConfigKeeper, fleet::FleetMirror, follow::Duty, peers::PeerLinks,
+        clock::OwnClock, config::ConfigKeeper, fleet::FleetMirror, follow::WatcherSet,
+        peers::PeerLinks,
     },
     jasmine_core::ids::Holder,
     jasmine_store::{etcd::StoreConnectivity, store::Store},
@@ -8,43 +9,43 @@
     tokio::time::sleep,
 };
 
-/// How often a watcher looks whether it is still one.
-const DUTY_CHECK: Duration = Duration::from_secs(1);
+/// Interval at which a watcher checks whether it still has to watch.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Handles to what nearly every part of the controller needs.
+/// State and handles shared by the components of the controller.
 #[derive(Clone)]
 pub struct SharedParts {
-    /// This run of this daemon.
+    /// Identity of this daemon, with the incarnation of this run.
     pub me: Holder,
-    /// The name of the data centre that it stands in.
+    /// Data centre of this VM.
     pub data_centre: Rc<str>,
-    /// This process's clock.
+    /// Monotonic clock of this process.
     pub clock: OwnClock,
-    /// The platform's key-value service.
+    /// Client of the platform's key-value service.
     pub store: Rc<dyn Store>,
-    /// Whether the service answers.
+    /// Connectivity of the key-value service.
     pub connectivity: StoreConnectivity,
-    /// The fleet as the store tells it.
+    /// Local copy of the fleet records in the store.
     pub fleet: Rc<RefCell<FleetMirror>>,
-    /// The configuration in force.
+    /// Current configuration.
     pub config: Rc<ConfigKeeper>,
-    /// Links to other controllers.
+    /// Connections to other controllers.
     pub links: Rc<PeerLinks>,
 }
 
 impl SharedParts {
-    /// Who watches the store in this data centre, as far as is known here.
-    pub fn duty(&self) -> Duty {
-        Duty::among(&self.data_centre, self.fleet.borrow().members.values())
+    /// Selects the controllers that watch the store in this data centre.
+    pub fn watchers(&self) -> WatcherSet {
+        WatcherSet::select(&self.data_centre, self.fleet.borrow().members.values())
     }
 
-    /// Ends once this VM need not watch, and not just for a moment.
-    pub async fn off_duty(&self) {
+    /// Completes once two consecutive checks find that this VM is not a watcher.
+    pub async fn stopped_watching(&self) {
         loop {
-            sleep(DUTY_CHECK).await;
-            if !self.duty().is_watcher(self.me.vm) {
-                sleep(DUTY_CHECK).await;
-                if !self.duty().is_watcher(self.me.vm) {
+            sleep(WATCHER_CHECK_INTERVAL).await;
+            if !self.watchers().is_watcher(self.me.vm) {
+                sleep(WATCHER_CHECK_INTERVAL).await;
+                if !self.watchers().is_watcher(self.me.vm) {
                     return;
                 }
             }
--- a/crates/controller/src/status/figures.rs
+++ b/crates/controller/src/status/gauges.rs
@@ -6,34 +6,34 @@
     },
 };
 
-/// Figures of the decisions' thread, readable from any thread.
+/// Gauges set by the controller's thread and readable from any thread.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    cells: Arc<[AtomicU64; Figure::ALL.len()]>,
+pub struct Gauges {
+    values: Arc<[AtomicU64; Gauge::ALL.len()]>,
 }
 
-/// One figure of the metrics page.
+/// One gauge of the metrics page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
-    /// The revision in force here.
+pub enum Gauge {
+    /// Current configuration revision.
     Revision,
-    /// The revision in force at the gateway beside this controller.
+    /// Revision that the gateway on this VM uses.
     GatewayRevision,
-    /// Milliseconds since the store confirmed what is in force.
+    /// Milliseconds since the store confirmed the current revision.
     FreshMs,
-    /// The epoch of rights.
+    /// Current epoch of rights.
     Epoch,
-    /// VMs with a live lease, as far as is known here.
+    /// Known VMs with a live lease.
     Members,
-    /// Engines owned.
+    /// Engines owned by this controller.
     Owned,
-    /// Orders sent to engines.
+    /// Load and unload orders sent to engines.
     Orders,
-    /// Whether the store answers.
+    /// One while the store replies, else zero.
     StoreUp,
 }
 
-impl Figure {
+impl Gauge {
     const ALL: [Self; 8] = [
         Self::Revision,
         Self::GatewayRevision,
@@ -60,40 +60,40 @@
 
     const fn description(self) -> &'static str {
         match self {
-            Self::Revision => "Revision of the configuration in force here",
-            Self::GatewayRevision => "Revision in force at the gateway of this VM",
-            Self::FreshMs => "Time since the store confirmed what is in force",
-            Self::Epoch => "Epoch of rights that this controller is in",
-            Self::Members => "VMs with a live lease, as far as is known here",
+            Self::Revision => "Current revision of the configuration",
+            Self::GatewayRevision => "Configuration revision that the gateway on this VM uses",
+            Self::FreshMs => "Time since the store confirmed the current revision",
+            Self::Epoch => "Current epoch of rights of this controller",
+            Self::Members => "Known VMs with a live lease",
             Self::Owned => "Engines owned by this controller",
             Self::Orders => "Orders sent to engines since the start",
-            Self::StoreUp => "1 while the key-value service answers, else 0",
+            Self::StoreUp => "1 while the key-value service replies, else 0",
         }
     }
 }
 
-impl Figures {
-    /// Notes a figure.
+impl Gauges {
+    /// Sets the value of a gauge.
     pub fn set(
         &self,
-        figure: Figure,
+        gauge: Gauge,
         value: u64,
     ) {
-        self.cells[figure as usize].store(value, Ordering::Relaxed);
+        self.values[gauge as usize].store(value, Ordering::Relaxed);
     }
 
-    /// Makes a gauge for each figure.
+    /// Registers all gauges with a meter.
     pub fn register(
         &self,
         meter: &Meter,
     ) {
-        for figure in Figure::ALL {
-            let cells = Arc::clone(&self.cells);
+        for gauge in Gauge::ALL {
+            let values = Arc::clone(&self.values);
             meter
-                .u64_observable_gauge(figure.name())
-                .with_description(figure.description())
+                .u64_observable_gauge(gauge.name())
+                .with_description(gauge.description())
                 .with_callback(move |observer| {
-                    observer.observe(cells[figure as usize].load(Ordering::Relaxed), &[]);
+                    observer.observe(values[gauge as usize].load(Ordering::Relaxed), &[]);
                 })
                 .build();
         }
--- a/crates/controller/src/status/health.rs
+++ b/crates/controller/src/status/health.rs
@@ -7,65 +7,67 @@
     },
 };
 
-/// A controller whose decisions have stood still for longer than this is not healthy.
-const STALL: Millis = Millis(5_000);
+/// Time without a heartbeat after which the controller is unhealthy.
+const HEARTBEAT_TIMEOUT: Millis = Millis(5_000);
 
-/// What the status port needs to know, readable from any thread.
+/// Health and readiness, readable from any thread.
 #[derive(Clone, Debug)]
 pub struct Health {
     clock: OwnClock,
-    cells: Arc<Cells>,
+    state: Arc<HealthState>,
 }
 
 #[derive(Debug, Default)]
-struct Cells {
+struct HealthState {
     config_loaded: AtomicBool,
     lease_until: AtomicU64,
     leaving: AtomicBool,
-    tick: AtomicU64,
+    last_heartbeat: AtomicU64,
 }
 
 impl Health {
-    /// The health of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(clock: OwnClock) -> Self {
         Self {
             clock,
-            cells: Arc::default(),
+            state: Arc::default(),
         }
     }
 
-    /// Notes the state of the decisions' thread, which is alive as of now.
-    pub fn note(
+    /// Records the state and a heartbeat of the controller's thread.
+    pub fn update(
         &self,
         config_loaded: bool,
         lease_until: Millis,
         leaving: bool,
     ) {
-        let cells = &self.cells;
-        cells.config_loaded.store(config_loaded, Ordering::Relaxed);
-        cells.lease_until.store(lease_until.0, Ordering::Relaxed);
-        cells.leaving.store(leaving, Ordering::Relaxed);
-        cells.tick.store(self.clock.now().0, Ordering::Relaxed);
+        let state = &self.state;
+        state.config_loaded.store(config_loaded, Ordering::Relaxed);
+        state.lease_until.store(lease_until.0, Ordering::Relaxed);
+        state.leaving.store(leaving, Ordering::Relaxed);
+        state
+            .last_heartbeat
+            .store(self.clock.now().0, Ordering::Relaxed);
     }
 
-    /// Whether the decisions' thread is at work.
+    /// Whether the controller's thread sent a heartbeat recently.
     pub fn is_healthy(&self) -> bool {
-        let tick = Millis(self.cells.tick.load(Ordering::Relaxed));
-        self.clock.now().since(tick) < STALL
+        let last_heartbeat = Millis(self.state.last_heartbeat.load(Ordering::Relaxed));
+        self.clock.now().since(last_heartbeat) < HEARTBEAT_TIMEOUT
     }
 
-    /// What keeps this controller from being ready; nothing when it is.
-    pub fn unready(&self) -> Vec<&'static str> {
-        let cells = &self.cells;
-        let lease_until = Millis(cells.lease_until.load(Ordering::Relaxed));
+    /// Reasons why this controller is not ready; empty when it is.
+    pub fn unready_reasons(&self) -> Vec<&'static str> {
+        let state = &self.state;
+        let lease_until = Millis(state.lease_until.load(Ordering::Relaxed));
         let checks = [
             (!self.is_healthy(), "stalled"),
             (
-                !cells.config_loaded.load(Ordering::Relaxed),
+                !state.config_loaded.load(Ordering::Relaxed),
                 "config_not_loaded",
             ),
             (lease_until <= self.clock.now(), "lease_not_held"),
-            (cells.leaving.load(Ordering::Relaxed), "leaving"),
+            (state.leaving.load(Ordering::Relaxed), "leaving"),
         ];
         checks
             .into_iter()
--- a/crates/controller/src/status/mod.rs
+++ b/crates/controller/src/status/mod.rs
@@ -1,12 +1,12 @@
-//! Health, readiness and metrics of this controller over HTTP.
+//! HTTP endpoints for health, readiness and metrics.
 
-mod figures;
+mod gauges;
 mod health;
 mod status_api;
 mod store_metrics;
 
 pub use {
-    figures::{Figure, Figures},
+    gauges::{Gauge, Gauges},
     health::Health,
     status_api::start,
     store_metrics::register,
--- a/crates/controller/src/status/status_api.rs
+++ b/crates/controller/src/status/status_api.rs
@@ -10,11 +10,11 @@
     std::{io, net::TcpListener},
 };
 
-/// Serves `/healthz`, `/readyz` and `/metrics` from a thread of its own.
+/// Serves `/healthz`, `/readyz` and `/metrics` on a separate thread.
 ///
 /// # Errors
 ///
-/// Where the listener can't be used.
+/// The I/O error if the listener can't be used.
 pub fn start(
     listener: TcpListener,
     health: Health,
@@ -26,7 +26,7 @@
             .app_data(Data::new(metrics.clone()))
             .route("/healthz", web::get().to(healthz))
             .route("/readyz", web::get().to(readyz))
-            .route("/metrics", web::get().to(page))
+            .route("/metrics", web::get().to(metrics_page))
     })
     .workers(1)
     .disable_signals()
@@ -44,15 +44,15 @@
 }
 
 async fn readyz(health: Data<Health>) -> HttpResponse {
-    let unready = health.unready();
-    if unready.is_empty() {
+    let unready_reasons = health.unready_reasons();
+    if unready_reasons.is_empty() {
         HttpResponse::Ok().body("ready\n")
     } else {
-        HttpResponse::ServiceUnavailable().body(format!("{}\n", unready.join(" ")))
+        HttpResponse::ServiceUnavailable().body(format!("{}\n", unready_reasons.join(" ")))
     }
 }
 
-async fn page(metrics: Data<Metrics>) -> HttpResponse {
+async fn metrics_page(metrics: Data<Metrics>) -> HttpResponse {
     match metrics.page() {
         Ok(page) => HttpResponse::Ok()
             .content_type(ContentType::plaintext())
--- a/crates/controller/src/store_keys/mod.rs
+++ b/crates/controller/src/store_keys/mod.rs
@@ -1,4 +1,4 @@
-//! The keys that the daemons use in the platform's key-value service.
+//! Keys of the daemons' records in the platform's key-value service.
 
 use {
     jasmine_core::{
@@ -8,52 +8,52 @@
     jasmine_store::store::Range,
 };
 
-/// Everything of the configuration.
+/// Prefix of all configuration records.
 pub const CONFIG: &str = "/jasmine/config/";
 
-/// The newest edit and the revisions of the shards.
+/// Key of the record with the newest edit and the revisions of the shards.
 pub const CONFIG_HEAD: &str = "/jasmine/config/head";
 
 const MEMBER: &str = "/jasmine/member/";
 const OWNER: &str = "/jasmine/owner/";
 const CLAIM: &str = "/jasmine/claim/";
 
-/// The key after the last that a controller watches.
+/// Exclusive end of the key range that controllers watch.
 ///
-/// Claims, which change with each call of a caller, sort before the configuration and so lie outside.
+/// Claims change with each client request; they sort before the configuration and are not watched.
 const WATCHED_END: &str = "/jasmine/s";
 
-/// What a controller watches: configuration, epoch, holdings, members, owners, released.
+/// Range of all watched keys: configuration, epoch, holdings, members, owners, released.
 pub fn watched() -> Range {
     Range::between(CONFIG, WATCHED_END)
 }
 
-/// The watched keys without the configuration.
+/// Range of the watched keys without the configuration.
 pub fn fleet() -> Range {
     Range::between(EPOCH_KEY, WATCHED_END)
 }
 
-/// The record of a VM.
+/// Key of the membership record of a VM.
 pub fn member(vm: VmId) -> String {
     format!("{MEMBER}{vm}")
 }
 
-/// The VM whose record this key is.
+/// Parses the VM from the key of its membership record.
 pub fn parse_member(key: &str) -> Option<VmId> {
     key.strip_prefix(MEMBER)?.parse().ok().map(VmId)
 }
 
-/// The record of an upstream's owner.
+/// Key of the record of an upstream's owner.
 pub fn owner(upstream: UpstreamId) -> String {
     format!("{OWNER}{upstream}")
 }
 
-/// The upstream whose owner's record this key is.
+/// Parses the upstream from the key of its owner record.
 pub fn parse_owner(key: &str) -> Option<UpstreamId> {
     key.strip_prefix(OWNER)?.parse().ok().map(UpstreamId)
 }
 
-/// The record of an idempotency key in use.
+/// Key of the claim of an idempotency key, from the digest of the latter.
 pub fn claim(digest: &[u8]) -> String {
     use std::fmt::Write;
     digest.iter().fold(CLAIM.to_owned(), |mut key, byte| {
--- a/crates/controller/tests/config_order.rs
+++ b/crates/controller/tests/config_order.rs
@@ -1,4 +1,4 @@
-//! The configuration in force never becomes an older one.
+//! The revision of the current configuration never decreases.
 
 use {
     bolero::check,
@@ -10,7 +10,7 @@
 
 const EDITS: u64 = 12;
 
-/// Revisions 0 to `EDITS`, each with one more account, and the edits between them.
+/// Trees of revisions 0 to `EDITS`, each with one more account, and the edits between them.
 fn history() -> (Vec<Tree>, Vec<AcceptedEdit>) {
     let mut trees = vec![Tree::default()];
     let mut edits = Vec::new();
@@ -34,8 +34,7 @@
     (trees, edits)
 }
 
-/// Edits and whole trees reach a VM from the store's watch, from reads and from peers, late, twice and
-/// in any order. Were an older one to replace a newer one, a withdrawn key would work again.
+/// Guards against stale or reordered edits and trees restoring a revoked key.
 #[test]
 fn any_arrival() {
     let (trees, edits) = history();
@@ -43,39 +42,45 @@
         .with_iterations(500)
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|arrivals| {
-            let keeper = ConfigKeeper::new(OwnClock::start());
+            let state = ConfigKeeper::new(OwnClock::start());
             let mut newest = Revision(0);
             for &(kind, a, b) in arrivals {
                 let (a, b) = (u64::from(a) % (EDITS + 1), u64::from(b) % (EDITS + 1));
                 match kind % 4 {
                     0 => {
-                        keeper.install(trees[a as usize].clone(), Vec::new());
+                        state.install(trees[a as usize].clone(), Vec::new());
                     }
                     1 => {
                         let body = TreeBody::from(&trees[a as usize]);
-                        keeper.take_body(&serde_json::to_vec(&body).unwrap(), true);
+                        state.apply_body(&serde_json::to_vec(&body).unwrap(), true);
                     }
                     2 => {
                         let some = a.min(b) as usize..a.max(b) as usize;
                         let body = EditsBody {
                             edits: edits[some].to_vec(),
                         };
-                        keeper.take_body(&serde_json::to_vec(&body).unwrap(), false);
+                        state.apply_body(&serde_json::to_vec(&body).unwrap(), false);
                     }
                     _ => {
                         if let Some(edit) = edits.get(a as usize) {
-                            keeper.apply(edit);
+                            state.apply(edit);
                         }
                     }
                 }
-                assert!(keeper.revision() >= newest, "went back from {newest}");
-                newest = keeper.revision();
+                assert!(
+                    state.revision() >= newest,
+                    "the revision decreased from {newest}"
+                );
+                newest = state.revision();
             }
-            let Some((tree, _)) = keeper.tree() else {
+            let Some((tree, _)) = state.tree() else {
                 return;
             };
-            assert!(tree == trees[newest.0 as usize], "another tree at {newest}");
-            let fleet = keeper.fleet().unwrap();
+            assert!(
+                tree == trees[newest.0 as usize],
+                "the tree differs at revision {newest}"
+            );
+            let fleet = state.fleet().unwrap();
             assert_eq!(fleet.accounts.iter().count() as u64, newest.0);
         });
 }
--- a/crates/controller/tests/edit_in_doubt.rs
+++ b/crates/controller/tests/edit_in_doubt.rs
@@ -1,10 +1,10 @@
-//! Edits whose write may still be on its way to the store.
+//! Errors of edits whose write may still be in flight to the store.
 
 use {
     jasmine_conf::tree::{Edit, EditId, EditOp, NodeKind, Path, Settings},
     jasmine_controller::{
         clock::OwnClock,
-        config::{ConfigKeeper, ConfigStore, EditDesk, EditRefusal},
+        config::{ConfigKeeper, ConfigReader, EditSubmitError, EditWriter},
     },
     jasmine_core::{clock::Millis, error::ErrorKind, ids::Revision},
     jasmine_store::store::{
@@ -14,13 +14,13 @@
     std::{cell::Cell, rc::Rc},
 };
 
-/// A store without any key that loses the reply to the first write and takes no connection for the rest.
+/// An empty store that drops the reply to the first write and refuses connections for later writes.
 #[derive(Debug, Default)]
-struct VanishingStore {
+struct FlakyStore {
     writes: Cell<u32>,
 }
 
-impl Store for VanishingStore {
+impl Store for FlakyStore {
     fn range(
         &self,
         _: Range,
@@ -70,16 +70,16 @@
     }
 }
 
-async fn submit(store: VanishingStore) -> EditRefusal {
+async fn submit(store: FlakyStore) -> EditSubmitError {
     let store: Rc<dyn Store> = Rc::new(store);
     let clock = OwnClock::start();
-    let keeper = Rc::new(ConfigKeeper::new(clock));
-    let reader = Rc::new(ConfigStore::new(
+    let state = Rc::new(ConfigKeeper::new(clock));
+    let reader = Rc::new(ConfigReader::new(
         Rc::clone(&store),
         clock,
-        Rc::clone(&keeper),
+        Rc::clone(&state),
     ));
-    let desk = EditDesk::new(store, clock, keeper, reader);
+    let writer = EditWriter::new(store, clock, state, reader);
     let op = EditOp::Create {
         path: Path::parse("/accounts/farm").unwrap(),
         kind: NodeKind::Account,
@@ -91,25 +91,22 @@
         base: Revision(0),
         ops: vec![op],
     };
-    desk.submit(&edit).await.unwrap_err()
+    writer.submit(&edit).await.unwrap_err()
 }
 
-/// The first write is slow on its way and its reply does not come; the store then takes no connection.
-/// An operator who is told that nothing was written makes another change, and the first one takes
-/// effect behind their back.
+/// Guards against reporting a write as not executed while an earlier attempt may still take effect.
 #[actix_web::test]
 async fn a_write_on_its_way_is_not_called_unwritten() {
-    let refusal = submit(VanishingStore::default()).await;
-    assert_eq!(refusal.kind(), ErrorKind::EditOutcomeUnknown, "{refusal}");
+    let error = submit(FlakyStore::default()).await;
+    assert_eq!(error.kind(), ErrorKind::EditOutcomeUnknown, "{error}");
 }
 
-/// The store takes no connection at all: then nothing was written, and saying so lets the operator
-/// do it again.
+/// Guards against an unknown outcome being reported when no write reached the store.
 #[actix_web::test]
 async fn a_write_that_never_left_is_called_unwritten() {
-    let store = VanishingStore {
+    let store = FlakyStore {
         writes: Cell::new(1),
     };
-    let refusal = submit(store).await;
-    assert_eq!(refusal.kind(), ErrorKind::StoreUnavailable, "{refusal}");
+    let error = submit(store).await;
+    assert_eq!(error.kind(), ErrorKind::StoreUnavailable, "{error}");
 }
--- a/crates/controller/tests/fake_controller/mod.rs
+++ b/crates/controller/tests/fake_controller/mod.rs
@@ -1,4 +1,4 @@
-//! A tree behind the operators' HTTP, without a store or peers.
+//! In-memory controller behind the operators' HTTP API, without a store or peers.
 
 use {
     actix::prelude::{Actor, Context, Handler},
@@ -8,8 +8,8 @@
         tree::{EditLog, Tree},
     },
     jasmine_controller::operators::{
-        FleetAnswer, OperatorsLink, ReadFleet, ReadTree, SubmitAnswer, SubmitEdit, SubmitError,
-        TreeAnswer, TreeView, listen,
+        OperatorsLink, ReadFleet, ReadFleetResult, ReadTree, ReadTreeResult, SubmitEdit,
+        SubmitEditResult, SubmitError, TreeView, listen,
     },
     jasmine_core::{
         error::ErrorKind,
@@ -21,46 +21,46 @@
     },
 };
 
-/// The token that the operators of these tests present.
+/// Bearer token accepted by the fake controller.
 pub const TOKEN: &str = "operators-token-of-the-tests";
 
-/// A controller with nothing behind it.
+/// In-memory controller with configurable faults.
 #[derive(Debug, Default)]
 pub struct FakeController {
     tree: Tree,
     log: EditLog,
-    lost_answers: u32,
+    lost_replies: u32,
     gateway_lag: Option<u64>,
-    answers_nothing: bool,
-    forgets_the_log: bool,
-    stays_silent: bool,
+    drops_all_replies: bool,
+    resets_log: bool,
+    has_silent_gateway: bool,
 }
 
 impl FakeController {
-    /// Loses this many answers to edits after the edit has taken effect.
+    /// Drops the replies to the first `count` edits after applying them.
     pub fn losing_answers(
         mut self,
         count: u32,
     ) -> Self {
-        self.lost_answers = count;
+        self.lost_replies = count;
         self
     }
 
-    /// Starts anew after a lost answer, with the tree and without the log of edits.
+    /// Clears the edit log, but not the tree, after each dropped reply.
     pub fn forgetting_the_log(mut self) -> Self {
-        self.forgets_the_log = true;
+        self.resets_log = true;
         self
     }
 
-    /// Loses every answer to an edit, also to one sent again.
+    /// Drops the replies to all edits, including retries, without applying them.
     pub fn answering_nothing(mut self) -> Self {
-        self.answers_nothing = true;
+        self.drops_all_replies = true;
         self
     }
 
-    /// Leaves the gateway of VM 2 silent for good.
+    /// Keeps the gateway of VM 2 silent permanently.
     pub fn with_silent_gateway(mut self) -> Self {
-        self.stays_silent = true;
+        self.has_silent_gateway = true;
         self
     }
 }
@@ -70,13 +70,13 @@
 }
 
 impl Handler<ReadTree> for FakeController {
-    type Result = TreeAnswer;
+    type Result = ReadTreeResult;
 
     fn handle(
         &mut self,
         _: ReadTree,
         _: &mut Self::Context,
-    ) -> TreeAnswer {
+    ) -> ReadTreeResult {
         Ok(TreeView {
             tree: self.tree.clone(),
             log: self.log.clone(),
@@ -85,14 +85,14 @@
 }
 
 impl Handler<SubmitEdit> for FakeController {
-    type Result = SubmitAnswer;
+    type Result = SubmitEditResult;
 
     fn handle(
         &mut self,
         SubmitEdit(edit): SubmitEdit,
         _: &mut Self::Context,
-    ) -> SubmitAnswer {
-        if self.answers_nothing {
+    ) -> SubmitEditResult {
+        if self.drops_all_replies {
             return Err(SubmitError::Failed(ErrorKind::EditOutcomeUnknown));
         }
         let find_duplicate = self
@@ -108,9 +108,9 @@
             .map_err(SubmitError::Refused)?;
         self.tree = proposal.tree;
         self.log.push(Arc::new(proposal.accepted.clone()));
-        if self.lost_answers > 0 {
-            self.lost_answers -= 1;
-            if self.forgets_the_log {
+        if self.lost_replies > 0 {
+            self.lost_replies -= 1;
+            if self.resets_log {
                 self.log = EditLog::new(self.tree.revision());
             }
             return Err(SubmitError::Failed(ErrorKind::EditOutcomeUnknown));
@@ -120,13 +120,13 @@
 }
 
 impl Handler<ReadFleet> for FakeController {
-    type Result = FleetAnswer;
+    type Result = ReadFleetResult;
 
     fn handle(
         &mut self,
         _: ReadFleet,
         _: &mut Self::Context,
-    ) -> FleetAnswer {
+    ) -> ReadFleetResult {
         let revision = self.tree.revision();
         let vm = |number, gateway| VmStatus {
             vm: VmId(number),
@@ -144,8 +144,8 @@
             },
             None => DaemonState::Silent,
         };
-        // Asked again, the gateway has caught up.
-        self.gateway_lag = Some(0).filter(|_| !self.stays_silent);
+        // The gateway is up to date from the second read on.
+        self.gateway_lag = Some(0).filter(|_| !self.has_silent_gateway);
         Ok(FleetStatus {
             asked: VmId(1),
             revision,
--- a/crates/controller/tests/lost_reply.rs
+++ b/crates/controller/tests/lost_reply.rs
@@ -1,4 +1,4 @@
-//! Writes that took effect although their reply was lost.
+//! Store writes that took effect although their reply was lost.
 
 mod support;
 
@@ -7,8 +7,7 @@
     support::{Fleet, account},
 };
 
-/// The store carries out an operator's edit and the connection breaks before the answer. An operator
-/// who is told that it failed would make the same change twice, or look for a fault that isn't there.
+/// Guards against reporting a written edit as failed, and against applying it twice on a retry.
 #[actix_web::test]
 async fn edit_settled() {
     let fleet = Fleet::start(2).await;
--- a/crates/controller/tests/operators_api.rs
+++ b/crates/controller/tests/operators_api.rs
@@ -1,6 +1,6 @@
-//! Operators' HTTP: tokens, edits, questions, and the shape of errors.
+//! Operators' HTTP API: tokens, edits, queries and the error format.
 
-#[expect(dead_code, reason = "the command line tests use the rest")]
+#[expect(dead_code, reason = "the command line tests use the other helpers")]
 mod fake_controller;
 
 use {
@@ -121,7 +121,7 @@
 
 #[actix::test]
 async fn no_token_and_a_wrong_token_are_refused() {
-    // Somebody in the network finds the operators' port: without a token it must tell nothing.
+    // Guards against disclosure to clients without a valid token.
     let at = serve(FakeController::default());
     for (token, code) in [(None, "key_missing"), (Some("guess"), "key_unknown")] {
         for path in ["/v1/tree", "/v1/fleet", "/no/such/route"] {
@@ -135,7 +135,7 @@
 
 #[actix::test]
 async fn a_racing_edit_is_told_what_changed() {
-    // Two operators read revision 1 and set the same rate; the second would undo the first unseen.
+    // Guards against lost updates when two operators change the same setting from one revision.
     let at = serve(FakeController::default());
     post(at, "/v1/edits", &edit("e1", 0, &account("farm"))).await;
     let set =
@@ -152,7 +152,7 @@
 
 #[actix::test]
 async fn an_edit_sent_again_does_nothing_twice() {
-    // The answer to an accepted edit is lost and the client sends it again.
+    // Guards against applying an edit twice when it is retried after a lost reply.
     let at = serve(FakeController::default().losing_answers(1));
     let wished = edit("e1", 0, &account("farm"));
     let (status, body) = post(at, "/v1/edits", &wished).await;
@@ -164,8 +164,8 @@
 
 #[actix::test]
 async fn progress_counts_a_silent_gateway_as_lacking_the_edit() {
-    // A VM that is cut off may still serve with the old settings; "in force everywhere" would be a
-    // false comfort to whoever has just withdrawn a key.
+    // Guards against reporting a revoked key as revoked everywhere while an unreachable gateway may
+    // still use the old settings.
     let at = serve(FakeController::default());
     post(at, "/v1/edits", &edit("e1", 0, &account("farm"))).await;
     let (_, progress) = get(at, "/v1/fleet/edit/e1").await;
--- a/crates/controller/tests/outage_start.rs
+++ b/crates/controller/tests/outage_start.rs
@@ -1,4 +1,4 @@
-//! A VM that starts while the store is out.
+//! Start of a VM during a store outage.
 
 mod support;
 
@@ -8,8 +8,7 @@
     support::{Fleet, SOON, account},
 };
 
-/// A VM is replaced while the store is out. It has kept nothing, and without the others' help it would
-/// refuse every caller until the store is back.
+/// Guards against a new VM rejecting all requests until the store recovers.
 #[actix_web::test]
 async fn config_from_peer() {
     let mut fleet = Fleet::start(1).await;
--- a/crates/controller/tests/store_outage.rs
+++ b/crates/controller/tests/store_outage.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service out for a while.
+//! Outages and stalls of the platform's key-value service.
 
 mod support;
 
@@ -9,9 +9,8 @@
     support::{Fleet, LATER, SOON, account},
 };
 
-/// The store is out for longer than every lease. Operators who edit meanwhile must hear that nothing
-/// was written; what was in force stays in force, and soon after the store's return edits go through
-/// again everywhere without anybody's help.
+/// Guards against losing the configuration, or rejecting edits permanently, after a store outage that
+/// outlasts every lease.
 #[actix_web::test]
 async fn out_and_back() {
     let fleet = Fleet::start(2).await;
@@ -30,7 +29,9 @@
             _ => Err(status.to_string()),
         }
     };
-    poll("store known to be out", SOON, look).await.unwrap();
+    poll("store reported as unavailable", SOON, look)
+        .await
+        .unwrap();
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(fleet.revision(2).await, 1);
 
@@ -44,26 +45,24 @@
     let (back, ()) = poll("edit accepted again", SOON, look).await.unwrap();
     let everywhere = fleet.wait_revision(1, 2).await;
     println!(
-        "edit accepted {back:?} after the store's return, at the other VM {everywhere:?} later"
+        "edit accepted {back:?} after the store recovered, applied at the other VM {everywhere:?} later"
     );
     fleet.wait_ready(1).await;
     fleet.wait_ready(2).await;
 }
 
-/// The watch of one VM stalls while its other calls work, so it hears of nothing. A key withdrawn
-/// in that time would go on working there.
+/// Guards against missing edits, such as a key revocation, while watches stall and other calls work.
 #[actix_web::test]
 async fn watch_stalled() {
     let fleet = Fleet::start(2).await;
     fleet.fault(json!({"stall_watches": true})).await;
     assert_eq!(fleet.edit(1, "first", account("clinic")).await.status, 200);
     let took = fleet.wait_revision(2, 1).await;
-    println!("edit in force at the other VM after {took:?}");
+    println!("edit applied at the other VM after {took:?}");
     assert!(took < Duration::from_secs(3));
 }
 
-/// Open connections to the store go silent for good while new ones work: something in between has
-/// forgotten them. Without fresh connections the VM would lose its lease and hear of no edit.
+/// Guards against losing the lease and missing edits when open connections hang and new ones work.
 #[actix_web::test]
 async fn connections_silent() {
     let fleet = Fleet::start(2).await;
@@ -73,7 +72,7 @@
         .set_mode(jasmine_testkit::proxy::Fault::Silent);
     assert_eq!(fleet.edit(1, "first", account("clinic")).await.status, 200);
     let took = fleet.wait_revision(2, 1).await;
-    println!("edit in force behind silent connections after {took:?}");
+    println!("edit applied behind silent connections after {took:?}");
     let ready = fleet.wait_ready(2).await;
     assert!(ready < LATER, "{ready:?}");
 }
--- a/crates/controller/tests/support/gateway_calls.rs
+++ b/crates/controller/tests/support/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Calls as a gateway makes them.
+//! RPC calls of a gateway to a controller.
 
 use {
     jasmine_core::{clock::Millis, ids::Holder, placement::Instance},
@@ -9,9 +9,9 @@
     },
 };
 
-type To = Link<controller::Client>;
+type ControllerLink = Link<controller::Client>;
 
-/// What an owner answered.
+/// Owner's reply to an acquire call.
 #[derive(Debug)]
 pub struct Acquired {
     pub outcome: AcquireOutcome,
@@ -20,7 +20,7 @@
 }
 
 pub async fn poll_fleet(
-    to: &To,
+    to: &ControllerLink,
     from: Holder,
 ) -> Result<Vec<(u32, u32, u64)>, LinkError> {
     to.call(Millis::ZERO, move |client| async move {
@@ -38,7 +38,7 @@
 }
 
 pub async fn poll_upstreams(
-    to: &To,
+    to: &ControllerLink,
     from: Holder,
     seen: (u32, u64),
     held: Vec<Instance>,
@@ -57,7 +57,7 @@
 }
 
 pub async fn acquire(
-    to: &To,
+    to: &ControllerLink,
     from: Holder,
     ask: u64,
     upstream: u32,
@@ -85,7 +85,7 @@
 }
 
 pub async fn claim(
-    to: &To,
+    to: &ControllerLink,
     key: &'static [u8],
     fingerprint: &'static [u8],
 ) -> (ClaimOutcome, Vec<u8>) {
@@ -102,7 +102,7 @@
 }
 
 pub async fn finish_claim(
-    to: &To,
+    to: &ControllerLink,
     key: &'static [u8],
     fingerprint: &'static [u8],
     answer: &'static [u8],
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Controllers as processes before the stand-in of the platform, each behind a proxy of its own.
+//! Controller processes and a simulated platform, with one proxy per controller in between.
 
-#![expect(dead_code, reason = "each test file uses a part")]
+#![expect(dead_code, reason = "each test file uses only some helpers")]
 
 pub mod gateway_calls;
 
@@ -31,20 +31,20 @@
 
 const TOKEN: &str = "operators-token";
 
-/// How long things may take that need no lease to lapse.
+/// Timeout of waits that do not depend on a lease expiry.
 pub const SOON: Duration = Duration::from_secs(8);
 
-/// How long things may take that need a lease to lapse.
+/// Timeout of waits that include a lease expiry.
 pub const LATER: Duration = Duration::from_secs(20);
 
-/// A controller with its link to the platform.
+/// A controller process and the proxy of its platform connection.
 pub struct Controller {
     pub vm: u32,
     pub daemon: Daemon,
     pub to_platform: Proxy,
 }
 
-/// The platform and the controllers before it.
+/// The simulated platform and its controllers.
 pub struct Fleet {
     pub controllers: Vec<Controller>,
     pub platform: Running,
@@ -58,7 +58,7 @@
 }
 
 impl Fleet {
-    /// The platform alone.
+    /// Starts the platform without controllers.
     pub fn empty() -> Self {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let n = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// So many controllers, all ready.
+    /// Starts `vms` controllers and waits until all are ready.
     pub async fn start(vms: u32) -> Self {
         let mut fleet = Self::empty();
         let listed = (1..=vms + 2)
@@ -87,7 +87,7 @@
         fleet
     }
 
-    /// Starts the controller of one more VM, in a data centre of its own number modulo three.
+    /// Starts the controller of a VM in data centre `dc-{vm % 3}`.
     pub fn add(
         &mut self,
         vm: u32,
@@ -113,7 +113,7 @@
         });
     }
 
-    /// The controller of a VM, the newest if there were several.
+    /// The controller of a VM; the newest one after restarts.
     pub fn at(
         &self,
         vm: u32,
@@ -181,7 +181,7 @@
         tree["revision"].as_u64().unwrap_or_default()
     }
 
-    /// How long until a VM has a revision in force.
+    /// Waits until a VM has reached a revision and returns the time taken.
     pub async fn wait_revision(
         &self,
         vm: u32,
@@ -218,14 +218,14 @@
         .unwrap();
     }
 
-    /// The stand-in's own count of calls.
+    /// Call counters of the simulated platform.
     pub async fn calls(&self) -> Value {
         get_json(self.platform.address(), "/stand-in/calls")
             .await
             .unwrap()
     }
 
-    /// A figure of a VM's metrics page, all its rows summed.
+    /// Sum of all series of a metric on a VM's metrics page.
     pub async fn metric(
         &self,
         vm: u32,
@@ -241,7 +241,7 @@
             .sum()
     }
 
-    /// Engines owned at each VM, as a controller tells it.
+    /// VM numbers with their owned engines, as reported by the controller of `asked`.
     pub async fn owned(
         &self,
         asked: u32,
@@ -256,7 +256,7 @@
             .collect()
     }
 
-    /// A link as a gateway has it.
+    /// An RPC link to the controller of a VM.
     pub fn link(
         &self,
         vm: u32,
@@ -265,7 +265,7 @@
     }
 }
 
-/// The gateway of a VM, as it names itself.
+/// Identity of the gateway of a VM.
 pub fn gateway(vm: u32) -> Holder {
     Holder {
         vm: VmId(vm),
@@ -278,7 +278,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-/// Ops that make three data centres, a model, one engine for each address and two adapters.
+/// Operations that create three data centres, a model, one engine per address and two adapters.
 pub fn first_ops(engines: &[SocketAddr]) -> Value {
     let create = |path: String, kind: &str, settings: Value| json!({"op": "create", "path": path, "kind": kind, "settings": settings});
     let mut ops = vec![create("/models/base".into(), "model", json!({}))];
@@ -307,7 +307,7 @@
     json!(ops)
 }
 
-/// An op that makes an account.
+/// Operations that create an account.
 pub fn account(name: &str) -> Value {
     json!([{
         "op": "create", "path": format!("/accounts/{name}"), "kind": "account",
--- a/crates/controller/tests/watch_relay.rs
+++ b/crates/controller/tests/watch_relay.rs
@@ -1,4 +1,4 @@
-//! Few watchers in each data centre, the rest by their word.
+//! Two controllers per data centre watch the store; the others poll these.
 
 mod support;
 
@@ -8,9 +8,8 @@
     support::{Fleet, LATER, account},
 };
 
-/// Nine VMs in three data centres. Were each to watch the store, the platform's rates, which grow more
-/// slowly than the fleet, would be used up by waiting; and when the watchers of a data centre die at
-/// once, the third VM must hear of a withdrawn key all the same.
+/// Guards against too many store watches, and against a VM that misses edits after all watchers of its
+/// data centre died.
 #[actix_web::test]
 async fn two_a_data_centre() {
     let mut fleet = Fleet::start(9).await;
@@ -19,7 +18,7 @@
         for vm in 1..=9 {
             waiting.push(fleet.metric(vm, "jasmine_store_watches").await as u32);
         }
-        // Two watchers in each of three data centres; each watches edits and the fleet.
+        // Three data centres with two watchers, each with one watch for edits and one for the fleet.
         match waiting.iter().sum() {
             12 => Ok(()),
             _ => Err(format!("{waiting:?}")),
@@ -34,7 +33,7 @@
     for vm in 1..=9 {
         worst = worst.max(fleet.wait_revision(vm, 1).await);
     }
-    println!("edit in force at nine VMs within {worst:?}");
+    println!("edit applied at nine VMs within {worst:?}");
     assert!(worst < Duration::from_secs(2), "{worst:?}");
 
     for vm in [1, 4] {
@@ -43,5 +42,5 @@
     let answer = fleet.edit(2, "second", account("bakery")).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     let took = fleet.wait_revision(7, 2).await;
-    println!("edit in force {took:?} after two of a data centre's three died");
+    println!("edit applied {took:?} after two of three VMs of a data centre died");
 }
