--- a/crates/controller/src/config/edit_writer.rs
+++ b/crates/controller/src/config/edit_writer.rs
@@ -73,11 +73,11 @@
         &self,
         edit: &Edit,
     ) -> Result<AcceptedEdit, EditSubmitError> {
-        let until = self.clock.now() + SUBMIT_TIMEOUT;
+        let deadline = self.clock.now() + SUBMIT_TIMEOUT;
         // Serializes the edits of this VM, which would otherwise conflict in the store.
         let _guard = self.submit_lock.lock().await;
-        while self.clock.now() < until {
-            match self.attempt(edit, until).await? {
+        while self.clock.now() < deadline {
+            match self.attempt(edit, deadline).await? {
                 Attempt::Accepted(accepted) => return Ok(accepted),
                 Attempt::Conflict => {}
             }
@@ -91,7 +91,7 @@
     async fn attempt(
         &self,
         edit: &Edit,
-        until: Millis,
+        deadline: Millis,
     ) -> Result<Attempt, EditSubmitError> {
         self.reader.pull().await.map_err(|e| unavailable(&e))?;
         let head = self.reader.head().await.map_err(|e| unavailable(&e))?;
@@ -117,32 +117,33 @@
             0 => Compare::Absent(HEAD_KEY.into()),
             revision => Compare::ModRevision(HEAD_KEY.into(), revision),
         };
-        self.write(&proposal, to_txn(compare, write), until).await
+        self.write(&proposal, to_txn(compare, write), deadline)
+            .await
     }
 
     async fn write(
         &self,
         proposal: &Proposal,
         txn: Txn,
-        until: Millis,
+        deadline: Millis,
     ) -> Result<Attempt, EditSubmitError> {
-        let mut is_in_doubt = false;
+        let mut is_outcome_unknown = false;
         loop {
             match self.store.txn(txn.clone()).await {
                 Ok(reply) if reply.succeeded => return Ok(self.accept(&proposal.accepted)),
                 // The head changed: by another edit, or by an earlier attempt of this one.
                 Ok(_) => {}
-                Err(StoreError::OutcomeUnknown(_)) => is_in_doubt = true,
+                Err(StoreError::OutcomeUnknown(_)) => is_outcome_unknown = true,
                 // This attempt was not executed, but an earlier one may still be in flight.
-                Err(e) if is_in_doubt => {
+                Err(e) if is_outcome_unknown => {
                     return Err(EditSubmitError::OutcomeUnknown(e.to_string()));
                 }
                 Err(e) => return Err(EditSubmitError::Unavailable(e.to_string())),
             }
-            match self.read_outcome(proposal, until).await? {
+            match self.read_outcome(proposal, deadline).await? {
                 WriteOutcome::AcceptedEdit => return Ok(self.accept(&proposal.accepted)),
                 WriteOutcome::Superseded(_) => return Ok(Attempt::Conflict),
-                WriteOutcome::Pending if self.clock.now() >= until => {
+                WriteOutcome::Pending if self.clock.now() >= deadline => {
                     return Err(EditSubmitError::OutcomeUnknown(
                         "the store did not confirm the write".into(),
                     ));
@@ -157,7 +158,7 @@
     async fn read_outcome(
         &self,
         proposal: &Proposal,
-        until: Millis,
+        deadline: Millis,
     ) -> Result<WriteOutcome, EditSubmitError> {
         let accepted = &proposal.accepted;
         loop {
@@ -165,7 +166,7 @@
                 return write_outcome(&accepted.edit.id, record.as_deref())
                     .map_err(|e| EditSubmitError::OutcomeUnknown(e.to_string()));
             }
-            if self.clock.now() >= until {
+            if self.clock.now() >= deadline {
                 Line::new("edit_unsettled")
                     .with("edit", &accepted.edit.id)
                     .warn();
--- a/crates/controller/src/follow/fleet_follower.rs
+++ b/crates/controller/src/follow/fleet_follower.rs
@@ -29,7 +29,7 @@
     shared: SharedParts,
     changed: Signal,
     synced: Cell<bool>,
-    read: Cell<bool>,
+    has_read: Cell<bool>,
     /// Epoch last reported by a peer, and whether it was closing.
     reported: Cell<(Epoch, bool)>,
 }
@@ -42,7 +42,7 @@
             shared,
             changed,
             synced: Cell::new(false),
-            read: Cell::new(false),
+            has_read: Cell::new(false),
             reported: Cell::default(),
         }
     }
@@ -54,14 +54,14 @@
 
     /// Whether the fleet has been read at least once, from the store or a peer.
     pub const fn is_read(&self) -> bool {
-        self.read.get()
+        self.has_read.get()
     }
 
     /// Tracks the fleet until the future is dropped.
     pub async fn run(&self) {
         let mut backoff = Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1);
         loop {
-            if self.read.get() && !self.shared.watchers().is_watcher(self.shared.me.vm) {
+            if self.has_read.get() && !self.shared.watchers().is_watcher(self.shared.me.vm) {
                 self.synced.set(false);
                 self.poll_until_watcher().await;
             }
@@ -82,7 +82,7 @@
         let reply = self.shared.store.range(store_keys::fleet()).await?;
         self.shared.fleet.borrow_mut().reset(&reply.kvs);
         self.update_links();
-        self.read.set(true);
+        self.has_read.set(true);
         self.synced.set(true);
         let mut watch = StoreWatch::new(
             Rc::clone(&self.shared.store),
@@ -112,15 +112,15 @@
             if watchers.is_watcher(self.shared.me.vm) {
                 return;
             }
-            let mut reported = false;
+            let mut has_reply = false;
             for vm in watchers.poll_order(self.shared.me.vm) {
                 if let Some(seq) = self.poll(vm, have).await {
                     have = (Some(vm), seq);
-                    reported = true;
+                    has_reply = true;
                     break;
                 }
             }
-            if !reported {
+            if !has_reply {
                 return;
             }
         }
