--- a/crates/core/src/scheduler/account_rates.rs
+++ b/crates/core/src/scheduler/account_rates.rs
@@ -19,7 +19,7 @@
 const TAKEOVER_GRANT_PERCENT: u64 = 5;
 /// How far ahead tokens are reserved for a rate-limited caller that is told when to retry.
 const RESERVATION_HORIZON: Millis = Millis(600);
-/// Initial grant of all VMs together while there is no scheduler, in percent of the same limit.
+/// Initial grant of all VMs together without a scheduler, in percent of the limit over the window.
 ///
 /// Zero would make a VM that has just started reject its first requests.
 const STANDALONE_GRANT_PERCENT: u64 = 3;
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -6,12 +6,12 @@
     },
 };
 
-/// An order to an engine.
+/// A load or unload that the scheduler tells an engine to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Load an adapter.
     Load {
-        /// Its base model.
+        /// Base model that the adapter extends.
         model: ModelId,
         /// The adapter and its expected version.
         adapter: AdapterVersion,
@@ -20,9 +20,9 @@
     },
     /// Unload an unused adapter.
     Unload {
-        /// Its base model.
+        /// Base model that the adapter extends.
         model: ModelId,
-        /// The adapter and its version.
+        /// Adapter version to unload.
         adapter: AdapterVersion,
     },
     /// Load a base model.
@@ -34,9 +34,9 @@
 pub enum SchedulerAction {
     /// Send the request to this upstream.
     Assign {
-        /// The request's attempt.
+        /// Identifies the attempt on the forwarding VM.
         ticket: Ticket,
-        /// The chosen upstream.
+        /// Upstream to forward the request to.
         upstream: UpstreamId,
         /// The required adapter version, if an operator has announced one.
         version: Option<u32>,
@@ -45,25 +45,25 @@
     },
     /// Reject the request; it has not run.
     Refuse {
-        /// The request's attempt.
+        /// Identifies the attempt on the forwarding VM.
         ticket: Ticket,
-        /// The error, and when to retry.
+        /// Error for the caller, with the time after which to retry.
         refusal: Refusal,
         /// The reason that it waited for longest.
         waited_for: WaitReason,
     },
     /// Send an order to an engine, which must reject it unless its sequence number is `after_seq`.
     Order {
-        /// The target engine.
+        /// Engine that must carry out the order.
         upstream: UpstreamId,
-        /// The order.
+        /// What the engine has to load or unload.
         order: Order,
         /// Number of orders that the engine has accepted so far.
         after_seq: u64,
     },
     /// Request a status report from an engine.
     RequestReport {
-        /// The engine.
+        /// Engine whose report is requested.
         upstream: UpstreamId,
     },
 }
--- a/crates/core/src/scheduler/announced_versions.rs
+++ b/crates/core/src/scheduler/announced_versions.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The version to use.
+    /// Version that new requests should use: the announced one, or the initial one.
     pub(super) fn wanted(
         &self,
         adapter: AdapterId,
@@ -62,7 +62,7 @@
         AdapterVersion { adapter, version }
     }
 
-    /// The announced version, if any.
+    /// Version that an operator announced; `None` without an announcement.
     pub(super) fn announced_version(
         &self,
         adapter: AdapterId,
--- a/crates/core/src/scheduler/backlog.rs
+++ b/crates/core/src/scheduler/backlog.rs
@@ -31,7 +31,7 @@
     observed_at: Millis,
 }
 
-/// A measured prefill time.
+/// Time that an engine took to process prompts, as an input of the estimator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PrefillSample {
     pub tokens: f64,
@@ -107,7 +107,7 @@
         self.observed_at = now;
     }
 
-    /// The slowness, decayed towards 1.
+    /// The moving average `slowness`, decayed towards 1 since its last update.
     ///
     /// Without the decay, an engine that is avoided for being slow would never be tried again.
     fn slowness_at(
--- a/crates/core/src/scheduler/choose/best.rs
+++ b/crates/core/src/scheduler/choose/best.rs
@@ -9,7 +9,7 @@
 /// The cheapest options found so far among the evaluated engines, with costs in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct BestOptions {
-    /// The cheapest option of any kind.
+    /// Cheapest option, whether it sends, waits or loads.
     cheapest: Option<(f64, UpstreamId, ServingOption)>,
     /// The cheapest engine that has the adapter ready, without the delay by requests queued for it.
     ready: Option<(f64, UpstreamId, AdapterVersion)>,
--- a/crates/core/src/scheduler/choose/load.rs
+++ b/crates/core/src/scheduler/choose/load.rs
@@ -42,7 +42,9 @@
         base: f64,
         copies: AdapterCopies,
     ) -> Option<(f64, ServingOption)> {
-        if !self.can_order || engine.coming(self.now) >= self.settings.loads.max_per_engine {
+        if !self.can_order
+            || engine.loading_adapter_count(self.now) >= self.settings.loads.max_per_engine
+        {
             return None;
         }
         let is_warm = engine.was_unloaded_recently(wanted);
--- a/crates/core/src/scheduler/choose/mod.rs
+++ b/crates/core/src/scheduler/choose/mod.rs
@@ -32,11 +32,11 @@
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 /// Penalty for a late first token, besides its time.
 const LATE_PENALTY_MS: f64 = 3_500.0;
-/// The lateness penalty grows from none at `LATE_START_RATIO` to full at `LATE_FULL_RATIO`, as the
-/// ratio of the expected wait to the time left until the objective. The range covers the error of
-/// the estimate.
-const LATE_START_RATIO: f64 = 0.6;
-const LATE_FULL_RATIO: f64 = 1.2;
+/// Ratio of the expected wait to the time left until the objective, above which the lateness
+/// penalty applies. It grows to its full value at `LATE_PENALTY_FULL_RATIO`; the range between
+/// covers the error of the estimate.
+const LATE_PENALTY_START_RATIO: f64 = 0.6;
+const LATE_PENALTY_FULL_RATIO: f64 = 1.2;
 /// Delay of the first token per request running on the engine, as each makes its batch steps
 /// longer.
 const PER_RUNNING_REQUEST_MS: f64 = 0.4;
@@ -55,7 +55,7 @@
 /// Expected time from sending an order to an engine until its answer.
 const ORDER_ROUND_TRIP_MS: f64 = 3.0;
 
-/// A planned adapter load.
+/// An adapter load to order, with the engine and the adapter to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadPlan {
     pub upstream: UpstreamId,
@@ -65,7 +65,7 @@
     pub evict: Option<AdapterVersion>,
 }
 
-/// The decision for one request.
+/// What to do with one queued request: send it, load its adapter, or let it wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Choice {
     /// The upstream and adapter version to send it to; `None` keeps it queued.
@@ -96,7 +96,7 @@
     pub now: Millis,
 }
 
-/// Estimated copies of an adapter in the whole service.
+/// Estimated number of engines of a service that hold an adapter, and its recent use.
 #[derive(Clone, Copy, Debug, Default)]
 struct AdapterCopies {
     /// Engines that hold the current version or are loading it.
@@ -112,7 +112,7 @@
     NotFailed,
     /// Reachable upstreams.
     Reachable,
-    /// All ready upstreams.
+    /// Ready upstreams, unreachable ones included.
     Ready,
 }
 
@@ -400,7 +400,10 @@
         wait: f64,
     ) -> f64 {
         let remaining = job.objective.since(self.now).0 as f64;
-        let (start, full) = (remaining * LATE_START_RATIO, remaining * LATE_FULL_RATIO);
+        let (start, full) = (
+            remaining * LATE_PENALTY_START_RATIO,
+            remaining * LATE_PENALTY_FULL_RATIO,
+        );
         LATE_PENALTY_MS * ((wait - start) / (full - start).max(1.0)).clamp(0.0, 1.0)
     }
 
--- a/crates/core/src/scheduler/choose/preferred.rs
+++ b/crates/core/src/scheduler/choose/preferred.rs
@@ -38,7 +38,7 @@
     /// Value of [`PreferredEngines::departures`] at the last update.
     departures: u64,
     /// Entries of [`PreferredEngines::joined`] that have been applied.
-    applied_joins: usize,
+    applied_join_count: usize,
 }
 
 impl PreferredEngines {
@@ -86,11 +86,11 @@
             *ranking = Ranking::build(adapter, members, max_len);
             ranking.departures = self.departures;
         } else {
-            let new = self.joined[ranking.applied_joins..].iter().copied();
+            let new = self.joined[ranking.applied_join_count..].iter().copied();
             new.filter(is_member)
                 .for_each(|engine| ranking.insert(adapter, engine));
         }
-        ranking.applied_joins = self.joined.len();
+        ranking.applied_join_count = self.joined.len();
     }
 
     /// An adapter's preferred engines, best first; empty before the first [`Self::prepare`].
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -24,13 +24,13 @@
 /// Capacity of an engine of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Concurrent requests.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// KV cache capacity, in tokens of running requests.
     pub kv_tokens: u64,
-    /// Resident adapters, including those being loaded.
+    /// Maximum number of resident adapters, including those being loaded.
     pub adapter_slots: usize,
-    /// Megabytes for base models and adapters together.
+    /// Memory for base models and adapters together, in megabytes.
     pub weights_mb: f64,
     /// Base model loads from the weight store per second, over all engines.
     pub loads_per_s: f64,
@@ -41,14 +41,14 @@
 /// Whether the scheduler's view of an engine matches the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ViewState {
-    /// The view is up to date.
+    /// No difference from the engine is known.
     Synced,
     /// The view may be wrong, for example after an order without a response.
     Stale {
         /// When to request a report.
         request_at: Millis,
     },
-    /// A report was requested.
+    /// A report was requested and has not arrived.
     Requested {
         /// When to request it again.
         retry_at: Millis,
@@ -338,7 +338,7 @@
     }
 
     /// Number of adapters being loaded.
-    pub(super) fn coming(
+    pub(super) fn loading_adapter_count(
         &self,
         now: Millis,
     ) -> usize {
--- a/crates/core/src/scheduler/fleet.rs
+++ b/crates/core/src/scheduler/fleet.rs
@@ -287,7 +287,7 @@
             .and_then(|upstream| upstream.engine.as_mut())
     }
 
-    /// All engines with their ids.
+    /// Iterates over the engines, with the id of each.
     pub(super) fn engines_mut(&mut self) -> impl Iterator<Item = (UpstreamId, &mut Engine)> {
         self.upstreams
             .values_mut()
--- a/crates/core/src/scheduler/fleet_totals.rs
+++ b/crates/core/src/scheduler/fleet_totals.rs
@@ -80,7 +80,7 @@
             .is_none_or(|updated_at| now >= updated_at + Self::refresh_interval(upstreams))
     }
 
-    /// Time between two recomputations, for this number of upstreams.
+    /// Interval at which the totals are recomputed; grows with the number of upstreams.
     pub(super) const fn refresh_interval(upstreams: usize) -> Millis {
         Millis(upstreams as u64 / UPSTREAMS_PER_MS)
     }
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -4,9 +4,9 @@
 const HALF_LIFE: Millis = Millis(3_000);
 /// Assumed earlier successes, so that a single failure doesn't give a failure rate of 1.
 const PRIOR_SUCCESSES: f64 = 4.0;
-/// Pause after the first failed connection; doubled with each further one.
+/// Pause of an upstream after its first failed connection; doubles with each further failure.
 const MIN_PAUSE: Millis = Millis(200);
-/// Upper bound of the pause, and so of the delay in noticing a recovery.
+/// Longest pause of an upstream, and so the longest delay until its recovery is noticed.
 const MAX_PAUSE: Millis = Millis(1_600);
 
 /// Recent health of an upstream, measured by the outcomes of its requests.
--- a/crates/core/src/scheduler/holders.rs
+++ b/crates/core/src/scheduler/holders.rs
@@ -3,7 +3,7 @@
     std::collections::HashMap,
 };
 
-/// Minimum length of a list before it is pruned.
+/// Number of engines listed for an adapter from which outdated entries are pruned.
 const MIN_PRUNE_LEN: usize = 8;
 
 /// Index of the engines that may hold an adapter or have unloaded it recently.
--- a/crates/core/src/scheduler/job.rs
+++ b/crates/core/src/scheduler/job.rs
@@ -10,16 +10,16 @@
 pub struct Ticket {
     /// The forwarding VM, by the number that the scheduler's caller assigned.
     pub vm: u32,
-    /// The attempt's number, unique on that VM.
+    /// Counter that is unique on the forwarding VM.
     pub number: u64,
 }
 
 /// A generation by a base model, with or without an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Generation {
-    /// The base model.
+    /// Base model that generates the output.
     pub model: ModelId,
-    /// The adapter, if any.
+    /// LoRA adapter to apply; `None` for the base model alone.
     pub adapter: Option<AdapterId>,
     /// Prompt and output size, in tokens.
     pub size: PromptSize,
@@ -27,7 +27,7 @@
     pub parts: Vec<PromptPart>,
 }
 
-/// The kind of request.
+/// Whether a request is a plain call or a generation, with its parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
     /// A call of a service without engines.
@@ -36,7 +36,7 @@
     Generation(Generation),
 }
 
-/// A request to be scheduled.
+/// A request as the scheduler sees it: its account, its work and its time limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
     /// The account whose rate limit applies; `None` if it is unlimited.
@@ -45,9 +45,9 @@
     pub caller: CallerTag,
     /// Cost in tokens of the account's rate limit.
     pub cost: u64,
-    /// The requested service.
+    /// Service whose upstreams may serve the request.
     pub service: ServiceId,
-    /// The kind of request.
+    /// The call or the generation to run.
     pub work: Work,
     /// Priority; 0 is the highest.
     pub priority: u8,
--- a/crates/core/src/scheduler/load_slowdown.rs
+++ b/crates/core/src/scheduler/load_slowdown.rs
@@ -1,8 +1,8 @@
 use crate::clock::Millis;
 
-/// Margin on the observed time, because the load was not finished by then.
+/// Factor applied to the elapsed time of an unfinished load, to estimate its total time.
 const MARGIN_FACTOR: f64 = 1.1;
-/// Upper bound of the factor: late loads may have other causes.
+/// Largest slowdown factor assumed, as late loads may have other causes.
 const MAX_FACTOR: f64 = 3.0;
 /// Half-life of an observed slowdown.
 const HALF_LIFE: Millis = Millis(6_000);
--- a/crates/core/src/scheduler/loads.rs
+++ b/crates/core/src/scheduler/loads.rs
@@ -21,7 +21,7 @@
 /// Share of the allowed load rate to use, in percent; loads start some time after their orders.
 const LOAD_RATE_PERCENT: f64 = 90.0;
 
-/// Recent orders to load base models.
+/// Recent orders to load base models, counted for the rate limit of the weight store.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelLoads {
     ordered: VecDeque<Millis>,
--- a/crates/core/src/scheduler/local_usage.rs
+++ b/crates/core/src/scheduler/local_usage.rs
@@ -7,7 +7,7 @@
 const HALF_LIFE: Millis = Millis(3_000);
 /// How long a VM may continue at its earlier rate without a scheduler; covers an election.
 const ALLOWANCE_DURATION: Millis = Millis(2_000);
-/// The same for an account that was over its rate, whose demand exceeds its limit.
+/// How long a VM may continue at its earlier rate for an account that was over its limit.
 const OVER_RATE_ALLOWANCE_DURATION: Millis = Millis(1_000);
 /// Additional requests of average cost, for accounts that a VM sees only occasionally.
 const EXTRA_REQUESTS: f64 = 1.5;
--- a/crates/core/src/scheduler/outcome.rs
+++ b/crates/core/src/scheduler/outcome.rs
@@ -41,7 +41,7 @@
     OtherUpstream,
     /// The order was sent and got no response; it may be executed, even later.
     Lost,
-    /// The order was not sent.
+    /// The order never left this VM, so the engine is unchanged.
     Unsent,
 }
 
@@ -50,11 +50,11 @@
 pub enum PausedEngines {
     /// Every second engine, so that the next scheduler can order these at once.
     EverySecond,
-    /// All engines.
+    /// Stops orders to every engine.
     All,
 }
 
-/// Rate limit decision for a request, by any scheduler.
+/// Whether a scheduler, on this or another VM, admitted a request under its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateDecision {
     /// The account was charged.
--- a/crates/core/src/scheduler/running.rs
+++ b/crates/core/src/scheduler/running.rs
@@ -10,11 +10,11 @@
 /// A request that is already running when a scheduler takes over, as reported by its VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningRequest {
-    /// The request's attempt.
+    /// Identifies the attempt on the forwarding VM.
     pub ticket: Ticket,
-    /// The request itself.
+    /// What the request asks for, with its limits.
     pub job: Job,
-    /// The upstream that runs it.
+    /// Upstream to which the request is assigned.
     pub upstream: UpstreamId,
     /// The adapter version that it uses, if known.
     pub version: Option<u32>,
@@ -51,7 +51,7 @@
     pub waits_since: Millis,
     /// Earlier waiting times, by reason.
     pub waited: WaitTimes,
-    /// The charge to its account.
+    /// Amount charged to the account's rate limit, if any.
     pub charge: Option<Charge>,
     /// When it is dropped if its VM never reports an outcome.
     pub forget_at: Millis,
--- a/crates/core/src/scheduler/settings.rs
+++ b/crates/core/src/scheduler/settings.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Adapter loading.
+/// Limits and expected times of adapter loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSettings {
     /// Duration of a load from the adapter store.
@@ -72,7 +72,7 @@
     /// Zero where engines check fencing tokens; other engines may still execute orders of the
     /// previous scheduler.
     pub order_gap: Millis,
-    /// Adapter loading.
+    /// Limits and expected times of adapter loads.
     pub loads: LoadSettings,
     /// Retry budget of each service.
     pub repeats: RetrySettings,
--- a/crates/core/src/scheduler/state_machine/decisions.rs
+++ b/crates/core/src/scheduler/state_machine/decisions.rs
@@ -45,7 +45,7 @@
 enum DispatchPhase {
     /// Requests that can still be on time.
     OnTime,
-    /// All requests.
+    /// Every queued request, late ones included.
     All,
 }
 
@@ -367,7 +367,7 @@
         let Some(mut entry) = self.entries.remove(&request) else {
             return;
         };
-        self.by_ticket.remove(&entry.ticket);
+        self.by_attempt_id.remove(&entry.ticket);
         let has_run = match entry.stage {
             Stage::Waiting => {
                 entry.waits_for(entry.waits_for, now);
--- a/crates/core/src/scheduler/state_machine/events.rs
+++ b/crates/core/src/scheduler/state_machine/events.rs
@@ -273,7 +273,7 @@
         charge: Option<Charge>,
         now: Millis,
     ) {
-        self.by_ticket.insert(ticket, request);
+        self.by_attempt_id.insert(ticket, request);
         let entry = TrackedRequest {
             ticket,
             latest_send_at: self.latest_send_at(&job),
@@ -320,7 +320,7 @@
         ticket: Ticket,
         now: Millis,
     ) -> Vec<Action> {
-        let Some(&request) = self.by_ticket.get(&ticket) else {
+        let Some(&request) = self.by_attempt_id.get(&ticket) else {
             return Vec::new();
         };
         let Some(entry) = self.entries.get(&request) else {
@@ -353,7 +353,7 @@
         outcome: Outcome,
         now: Millis,
     ) -> Vec<Action> {
-        if let Some(request) = self.by_ticket.get(&ticket).copied() {
+        if let Some(request) = self.by_attempt_id.get(&ticket).copied() {
             self.finish(request, outcome, now);
         }
         self.decide(now)
@@ -372,7 +372,7 @@
             version,
             has_begun,
         } = adopted;
-        if self.by_ticket.contains_key(&ticket) {
+        if self.by_attempt_id.contains_key(&ticket) {
             return;
         }
         let request = RequestId(self.next_request);
--- a/crates/core/src/scheduler/state_machine/mod.rs
+++ b/crates/core/src/scheduler/state_machine/mod.rs
@@ -43,7 +43,7 @@
     taken_over_at: Option<Millis>,
     queue: FairQueue,
     entries: HashMap<RequestId, TrackedRequest>,
-    by_ticket: HashMap<Ticket, RequestId>,
+    by_attempt_id: HashMap<Ticket, RequestId>,
     /// Number of queued requests by adapter.
     queued_by_adapter: HashMap<AdapterId, u32>,
     /// Queued work by service, in prompt tokens or calls.
@@ -88,7 +88,7 @@
                 ..QueueSettings::default()
             }),
             entries: HashMap::new(),
-            by_ticket: HashMap::new(),
+            by_attempt_id: HashMap::new(),
             queued_by_adapter: HashMap::new(),
             queued_work: HashMap::new(),
             on_time: BTreeSet::new(),
--- a/crates/core/src/scheduler/state_machine/queries.rs
+++ b/crates/core/src/scheduler/state_machine/queries.rs
@@ -62,7 +62,7 @@
         &self,
         ticket: Ticket,
     ) -> bool {
-        let request = self.by_ticket.get(&ticket);
+        let request = self.by_attempt_id.get(&ticket);
         let entry = request.and_then(|request| self.entries.get(request));
         entry.is_some_and(|entry| matches!(entry.stage, Stage::Running { .. }))
     }
--- a/crates/core/src/scheduler/upstream.rs
+++ b/crates/core/src/scheduler/upstream.rs
@@ -25,7 +25,7 @@
     pub seq: Option<u64>,
     /// Base models that are loaded.
     pub models: Vec<ModelId>,
-    /// Adapters that are loaded.
+    /// Loaded adapter versions, each with its base model.
     pub adapters: Vec<(ModelId, AdapterVersion)>,
     /// Adapters being loaded; only in the engine's own report.
     pub coming: Vec<(ModelId, AdapterVersion)>,
@@ -33,14 +33,14 @@
     pub is_busy: bool,
 }
 
-/// An upstream's store entry.
+/// What the configuration store holds about an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamStatus {
-    /// The service it belongs to.
+    /// Service whose requests the upstream serves.
     pub service: ServiceId,
-    /// Its data centre, if known.
+    /// Data centre of the upstream; `None` if unknown.
     pub data_centre: Option<DataCentreId>,
-    /// Concurrent requests.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether it accepts new requests.
     pub is_ready: bool,
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -21,7 +21,7 @@
 }
 
 impl WaitReason {
-    /// All reasons.
+    /// Every reason, one for each variant.
     pub const ALL: [Self; 8] = [
         Self::Turn,
         Self::NoUpstream,
@@ -33,12 +33,12 @@
         Self::AdapterSlot,
     ];
 
-    /// The reason with this name.
+    /// Parses a name from [`Self::as_str`]; `None` if it is unknown.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.as_str() == name)
     }
 
-    /// The name in logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Turn => "turn",
--- a/crates/gateway/src/coordinator/active_request.rs
+++ b/crates/gateway/src/coordinator/active_request.rs
@@ -9,7 +9,7 @@
 /// The stage of a request between arrival and end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Waits for rights from peers or from the next epoch.
+    /// Waits for a share of its account's rate limit, from peers or in the next epoch.
     AwaitingRights {
         /// Start of the wait.
         since: Millis,
@@ -18,7 +18,7 @@
     Queued,
     /// Sent to an upstream.
     Sent {
-        /// The upstream.
+        /// Upstream to which the request is assigned.
         upstream: UpstreamId,
         /// The adapter instance it uses there, if any.
         instance: Option<Instance>,
@@ -32,12 +32,12 @@
 pub struct ActiveRequest {
     /// The request as submitted for admission.
     pub admission: AdmissionRequest,
-    /// Its current stage.
+    /// What the request is waiting for, or where it runs.
     pub stage: Stage,
-    /// Its charge, unless settled.
+    /// Charge to the account's rate limit; `None` once settled.
     pub charge: Option<Charge>,
-    /// The upstream to avoid, as the last attempt failed there.
-    pub avoid: Option<UpstreamId>,
+    /// Upstream where the last attempt failed; not chosen if another one is available.
+    pub excluded_upstream: Option<UpstreamId>,
     /// Start of its current wait for a route.
     pub waiting_since: Millis,
     reply: Option<oneshot::Sender<Result<Routed, Refusal>>>,
@@ -56,7 +56,7 @@
             admission,
             stage: Stage::Idle,
             charge: None,
-            avoid: None,
+            excluded_upstream: None,
             waiting_since: now,
             reply: Some(reply),
             withdrawn: Some(withdrawn),
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Notifies the worker that the key is withdrawn.
-    pub fn notify_withdrawn(&mut self) {
+    /// Notifies the worker that an operator has withdrawn the API key.
+    pub fn notify_key_withdrawn(&mut self) {
         if let Some(withdrawn) = self.withdrawn.take() {
             withdrawn.send(()).unwrap_or_default();
         }
--- a/crates/gateway/src/coordinator/admission.rs
+++ b/crates/gateway/src/coordinator/admission.rs
@@ -16,9 +16,9 @@
 
 /// How long a request waits for rights from peers before it is refused as rate limited.
 const PEER_RIGHTS_TIMEOUT: Millis = Millis(300);
-/// The same while holders join or leave, when some rights may have no holder.
+/// How long a request waits for rights while gateways join or leave and some rights are unassigned.
 const TRANSITION_TIMEOUT: Millis = Millis(1_000);
-/// The same for a new account, whose rights are granted only after the current epoch change.
+/// How long a request of a new account waits for the first grant of its rights.
 const NEW_ACCOUNT_TIMEOUT: Millis = Millis(1_500);
 
 impl State {
--- a/crates/gateway/src/coordinator/config_freshness.rs
+++ b/crates/gateway/src/coordinator/config_freshness.rs
@@ -5,9 +5,9 @@
 
 /// Tracks whether the current configuration has recently been confirmed as the newest.
 ///
-/// A withdrawn key must stop working within a bound, also on a VM in a network partition. Responses of
-/// the store or of other VMs confirm the configuration; when the last confirmation is older than the
-/// bound, new requests are refused with `config_unavailable`.
+/// A withdrawn (revoked) API key must stop working within a bound, also on a VM in a network partition.
+/// Responses of the store or of other VMs confirm the configuration; when the last confirmation is older
+/// than the bound, new requests are refused with `config_unavailable`.
 ///
 /// A store outage alone must not stop the service, and no edit can be accepted during one. VMs
 /// therefore confirm each other, but only by majority: a partitioned minority could miss edits. A
--- a/crates/gateway/src/coordinator/configuration.rs
+++ b/crates/gateway/src/coordinator/configuration.rs
@@ -36,12 +36,12 @@
     pub store_confirmation_age: Millis,
 }
 
-/// A controller's response to a fleet poll.
+/// A controller's response to a poll for the VMs, the engine owners and the rights epoch.
 #[derive(Clone, Debug)]
 pub struct FleetResponse {
     /// All VMs of the serving layer.
     pub members: Vec<Member>,
-    /// The owner of each engine.
+    /// VM whose controller owns each engine and sends it load orders.
     pub owners: HashMap<UpstreamId, VmId>,
     /// The rights epoch that this gateway is a member of; the default if it is in none.
     pub epoch: Epoch,
@@ -49,7 +49,7 @@
     pub newest_epoch: Epoch,
     /// Whether the epoch still collects its members' reports of the rights that they hold.
     pub is_closing: bool,
-    /// The rights that the epoch grants to this gateway.
+    /// Shares of the accounts' rate limits that the epoch grants to this gateway.
     pub grants: Vec<Right>,
 }
 
@@ -123,7 +123,7 @@
         let now = self.clock.now();
         self.set_upstreams();
         self.set_accounts(now);
-        self.cancel_withdrawn_keys();
+        self.cancel_requests_with_withdrawn_keys();
         self.remove_accounts(now);
         self.fleet_updates
             .send_replace(Arc::new(self.fleet.clone()));
@@ -197,12 +197,12 @@
         }
     }
 
-    /// Cancels active requests whose key has been withdrawn.
-    fn cancel_withdrawn_keys(&mut self) {
+    /// Cancels active requests whose API key was withdrawn (revoked) or deleted.
+    fn cancel_requests_with_withdrawn_keys(&mut self) {
         for active in self.active.values_mut() {
             let key = self.fleet.key(active.admission.key);
             if key.is_none_or(|key| key.withdrawn) {
-                active.notify_withdrawn();
+                active.notify_key_withdrawn();
             }
         }
     }
--- a/crates/gateway/src/coordinator/dispatch.rs
+++ b/crates/gateway/src/coordinator/dispatch.rs
@@ -77,8 +77,8 @@
             let admission = active.admission;
             let account = admission.account;
             let (target, prefix) = (admission.target, admission.prefix);
-            let route = match active.avoid {
-                Some(avoid) => router.route_avoiding(avoid, target, prefix, account, now),
+            let route = match active.excluded_upstream {
+                Some(excluded) => router.route_avoiding(excluded, target, prefix, account, now),
                 None => router.route(target, prefix, account, now),
             };
             match route {
@@ -173,7 +173,7 @@
         let Some(active) = self.active.get_mut(&reroute.request) else {
             return;
         };
-        active.avoid = failed_upstream.filter(|_| !reroute.not_loaded);
+        active.excluded_upstream = failed_upstream.filter(|_| !reroute.not_loaded);
         active.restart_wait(reply, now);
         // The failed attempt may have run, so its charge is spent; the next one is charged anew.
         if reroute.cause == RouteCause::MayHaveRun
--- a/crates/gateway/src/coordinator/effect.rs
+++ b/crates/gateway/src/coordinator/effect.rs
@@ -8,22 +8,22 @@
 /// A message to another daemon, produced by a change of the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Request rights from a peer.
+    /// Request a share of an account's rate limit (rights) from a peer.
     TakeRights(OutgoingTakeRequest),
     /// Request an adapter from an engine's owner.
     Acquire {
-        /// The engine.
+        /// Engine that should load the adapter.
         upstream: UpstreamId,
         /// The adapter version to load.
         adapter: AdapterVersion,
         /// The account that needs the adapter.
         account: AccountId,
-        /// The number of this acquire request.
+        /// Sequence number of this acquire request.
         ask: u64,
     },
     /// Tell an engine's owner that an instance has been released.
     Release {
-        /// The instance.
+        /// Adapter version on its engine that this gateway no longer uses.
         instance: Instance,
         /// The highest fencing token seen for the engine.
         fence: Fence,
--- a/crates/gateway/src/coordinator/handle.rs
+++ b/crates/gateway/src/coordinator/handle.rs
@@ -101,7 +101,7 @@
         routed
     }
 
-    /// Waits until the key is withdrawn.
+    /// Waits until an operator withdraws (revokes) the API key of the request.
     pub async fn withdrawn(&mut self) {
         if (&mut self.withdrawn).await.is_err() {
             // The coordinator has removed the request and sends no notification.
--- a/crates/gateway/src/coordinator/links.rs
+++ b/crates/gateway/src/coordinator/links.rs
@@ -27,7 +27,7 @@
     pub seq: u64,
     /// Engines that have changed since the polled sequence number.
     pub engines: Vec<EngineView>,
-    /// Instances that this gateway must release.
+    /// Adapter instances that this gateway must stop using and release.
     pub recalls: Vec<Instance>,
 }
 
--- a/crates/gateway/src/coordinator/members.rs
+++ b/crates/gateway/src/coordinator/members.rs
@@ -9,7 +9,7 @@
 /// A VM of the serving layer, as reported by the controllers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The VM's id.
+    /// VM described by this entry.
     pub vm: VmId,
     /// The address on which its controller serves other daemons.
     pub controller: SocketAddr,
@@ -122,7 +122,7 @@
             .collect()
     }
 
-    /// The gateways that hold rights.
+    /// Gateways that hold shares of the accounts' rate limits.
     pub fn holders(&self) -> Vec<Holder> {
         self.by_vm
             .values()
--- a/crates/gateway/src/coordinator/messages.rs
+++ b/crates/gateway/src/coordinator/messages.rs
@@ -16,7 +16,7 @@
 /// A request to be admitted and routed.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Its id, unique within this process.
+    /// Id of the request, unique within this process.
     pub request: RequestId,
     /// Digest of the caller's API key.
     pub key: KeyDigest,
@@ -24,7 +24,7 @@
     pub account: AccountId,
     /// Upper bound of its cost, in tokens.
     pub cost: u64,
-    /// Its priority class.
+    /// Priority class, which orders requests of the same account.
     pub priority: Priority,
     /// The time after which the caller no longer waits.
     pub deadline: Millis,
@@ -39,9 +39,9 @@
 /// The upstream chosen for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routed {
-    /// The upstream.
+    /// Upstream that serves the request.
     pub upstream: UpstreamId,
-    /// The upstream's address.
+    /// Address to connect to.
     pub address: SocketAddr,
     /// The model name to send: an instance or the base model; empty for a plain service.
     pub model: String,
@@ -58,7 +58,7 @@
 /// Asks for another upstream after a failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RerouteRequest {
-    /// The request.
+    /// Id from the admission of the request.
     pub request: RequestId,
     /// Why the last attempt failed.
     pub cause: RouteCause,
@@ -69,7 +69,7 @@
 /// The result of a request's last attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The upstream responded.
+    /// The upstream sent a response.
     Answered,
     /// The upstream failed.
     Failed,
@@ -80,7 +80,7 @@
 /// Reports that a request has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Finished {
-    /// The request.
+    /// Id from the admission of the request.
     pub request: RequestId,
     /// Tokens used; none if unknown, in which case the whole charge counts as used.
     pub used_tokens: Option<u64>,
@@ -97,7 +97,7 @@
     pub fingerprint: Vec<u8>,
 }
 
-/// The result of a claim.
+/// Whether an idempotency key was claimed, or why it was not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
     /// The key is claimed for this request, which may run.
@@ -119,16 +119,16 @@
 pub enum WorkerMessage {
     /// Admit, queue and route a request.
     Admit {
-        /// The request.
+        /// Request to admit, with its account, cost and target.
         admission: AdmissionRequest,
         /// Receives the route; the worker drops its receiver when the caller disconnects.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
-        /// Notified when the key is withdrawn.
+        /// Notified when an operator withdraws (revokes) the API key.
         withdrawn: oneshot::Sender<()>,
     },
     /// Route a request again.
     Reroute {
-        /// The request.
+        /// Request whose attempt failed, and why.
         reroute: RerouteRequest,
         /// Receives the new route.
         reply: oneshot::Sender<Result<Routed, Refusal>>,
@@ -137,14 +137,14 @@
     Finished(Finished),
     /// Claim an idempotency key.
     Claim {
-        /// The key.
+        /// Idempotency key and fingerprint of the request.
         claim: ClaimRequest,
         /// Receives the result.
         reply: oneshot::Sender<ClaimResult>,
     },
     /// Record the answer for a claimed key, or release the claim.
     FinishClaim {
-        /// The key.
+        /// Idempotency key and fingerprint of the request.
         claim: ClaimRequest,
         /// The answer; none to release the claim of a request that didn't run.
         answer: Option<Arc<[u8]>>,
--- a/crates/gateway/src/coordinator/mod.rs
+++ b/crates/gateway/src/coordinator/mod.rs
@@ -1,5 +1,8 @@
 //! The gateway's coordinator: rate rights, queue, routing and configuration, on one thread.
 //!
+//! Rights are shares of an account's rate limit; a gateway that has some is a holder. The VM whose controller
+//! decides which adapters an engine loads is that engine's owner.
+//!
 //! Each of these is a single state machine that must see all requests, and the RPC links to other daemons
 //! are bound to one thread. The HTTP workers send messages to this thread: one to have a request admitted
 //! and routed, one when it has ended.
--- a/crates/gateway/src/coordinator/polls.rs
+++ b/crates/gateway/src/coordinator/polls.rs
@@ -37,7 +37,7 @@
 /// Spawns all polling tasks.
 pub(super) fn start(core: &Rc<Core>) {
     spawn_local(poll_config(Rc::clone(core)));
-    spawn_local(poll_for_confirmation(Rc::clone(core)));
+    spawn_local(poll_for_config_confirmation(Rc::clone(core)));
     spawn_local(poll_fleet(Rc::clone(core)));
     spawn_local(poll_all_engines(Rc::clone(core)));
 }
@@ -90,7 +90,7 @@
 }
 
 /// Polls other VMs for a confirmation of the configuration while the store gives none.
-async fn poll_for_confirmation(core: Rc<Core>) {
+async fn poll_for_config_confirmation(core: Rc<Core>) {
     loop {
         sleep(CONFIRM_INTERVAL.to_std()).await;
         let controllers = core.state.borrow().vms_to_poll();
