--- a/crates/core/src/forward/event.rs
+++ b/crates/core/src/forward/event.rs
@@ -79,7 +79,7 @@
     CallerReady,
     /// The caller has closed its connection.
     CallerGone,
-    /// The API key of the request has been withdrawn.
+    /// The API key of the request was revoked.
     KeyWithdrawn,
     /// The daemon is shutting down and can't finish the request.
     Stopping,
--- a/crates/core/src/ownership/action.rs
+++ b/crates/core/src/ownership/action.rs
@@ -9,7 +9,7 @@
 pub enum AcquireOutcome {
     /// The gateway may route to this instance until it is recalled.
     Granted {
-        /// The instance.
+        /// The adapter copy on the engine that may be used.
         instance: Instance,
         /// The fencing token of the owner that grants it.
         owner: Fence,
@@ -29,23 +29,23 @@
 pub enum OwnerAction {
     /// Order the engine to load an instance.
     OrderLoad {
-        /// The instance.
+        /// The adapter copy to load, with its engine.
         instance: Instance,
-        /// The order's fencing token.
+        /// Fencing token sent with the order; the engine refuses older ones.
         fence: Fence,
     },
     /// Order the engine to unload an instance.
     OrderUnload {
-        /// The instance.
+        /// The adapter copy to unload, with its engine.
         instance: Instance,
-        /// The order's fencing token.
+        /// Fencing token sent with the order; the engine refuses older ones.
         fence: Fence,
     },
     /// Tell the engine to refuse older fencing tokens.
     RaiseFence {
-        /// The engine.
+        /// The engine that is told.
         upstream: UpstreamId,
-        /// The fencing token.
+        /// The lowest fencing token that the engine may still accept.
         fence: Fence,
     },
     /// Obtain a newer fencing token for the engine, since a name under this one can't be reused.
@@ -54,18 +54,18 @@
     RequestBudget(u32),
     /// Reply to a gateway's acquire request.
     Reply {
-        /// The gateway.
+        /// The gateway that sent the request.
         to: Holder,
-        /// Id of the request.
+        /// Id that the gateway gave the acquire request.
         ask: u64,
-        /// The reply.
+        /// Whether the adapter is granted, loading or unavailable.
         outcome: AcquireOutcome,
     },
     /// Ask a gateway to release an instance; also in [`super::OwnerMachine::recalls`].
     Recall {
-        /// The gateway.
+        /// The gateway that holds a grant for the instance.
         holder: Holder,
-        /// The instance.
+        /// The adapter copy whose grant is recalled.
         instance: Instance,
     },
 }
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -7,9 +7,9 @@
 /// Ownership of an engine by this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ownership {
-    /// The engine.
+    /// The engine that this controller owns.
     pub upstream: UpstreamId,
-    /// The fencing token; higher than that of any former owner.
+    /// The fencing token of this ownership; higher than that of any former owner.
     pub fence: Fence,
     /// Whether the engine supports fencing, that is, can refuse orders with an older token.
     pub checks_fencing: bool,
@@ -20,7 +20,7 @@
 /// A poll by a gateway, with the fencing tokens it has seen and the grants it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// The gateway.
+    /// The gateway that polls.
     pub from: Holder,
     /// The highest fencing token it has seen for each engine.
     pub seen: Vec<(UpstreamId, Fence)>,
@@ -31,11 +31,11 @@
 /// A gateway's request to acquire an adapter version on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcquireRequest {
-    /// The gateway.
+    /// The gateway that needs the adapter.
     pub from: Holder,
     /// Request id; increases with each request of this gateway.
     pub ask: u64,
-    /// The engine.
+    /// The engine on which the adapter is wanted.
     pub upstream: UpstreamId,
     /// The requested adapter version.
     pub adapter: AdapterVersion,
@@ -48,26 +48,26 @@
 /// A gateway's confirmation that it has released its grants for instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
-    /// The gateway.
+    /// The gateway that no longer uses the instances.
     pub from: Holder,
     /// The highest fencing token the gateway has seen for the engine; older owners ignore it.
     pub fence: Fence,
     /// Covers grants made for requests with an id up to this one.
     pub ask: u64,
-    /// The released instances.
+    /// Adapter copies that the gateway sends no more requests to.
     pub instances: Vec<Instance>,
 }
 
 /// How a load ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadResult {
-    /// The instance is loaded.
+    /// The engine has loaded the instance and can serve it.
     Loaded,
     /// The engine could not load the weights.
     Failed,
     /// The engine has no free slot.
     NoFreeSlot,
-    /// The engine has seen a newer owner.
+    /// The engine refused the order because it has seen a newer fencing token.
     StaleFence,
     /// No response; the load may have taken effect or may do so later.
     Unknown,
@@ -78,7 +78,7 @@
 pub enum UnloadResult {
     /// The instance is not loaded any more, or was not loaded.
     Gone,
-    /// The engine has seen a newer owner.
+    /// The engine refused the order because it has seen a newer fencing token.
     StaleFence,
     /// No response; the unload may still take effect at any time.
     Unknown,
@@ -87,9 +87,9 @@
 /// An engine's report of what it has loaded; it lags behind the engine's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The engine.
+    /// The engine that sent the report.
     pub upstream: UpstreamId,
-    /// Changes when the engine restarts.
+    /// Boot id of the engine; changes when the engine restarts.
     pub boot: u64,
     /// Number of adapter slots.
     pub slots: u32,
@@ -108,19 +108,19 @@
     OwnershipLost(UpstreamId),
     /// The VMs whose gateways may hold grants: all that are not known to have stopped.
     Members(Vec<VmId>),
-    /// A gateway has polled.
+    /// A gateway has reported its grants and the fencing tokens it has seen.
     Polled(Poll),
     /// A gateway requests an adapter version.
     Acquire(AcquireRequest),
-    /// A gateway has released instances.
+    /// A gateway has given up grants, so that the copies can be unloaded.
     Released(Release),
     /// The engine has accepted (`true`) or refused the fencing token.
     FenceRaised(UpstreamId, Fence, bool),
-    /// A load has ended.
+    /// A load order has succeeded, failed or gone without response.
     LoadEnded(Instance, LoadResult),
-    /// An unload has ended.
+    /// An unload order has succeeded, been refused or gone without response.
     UnloadEnded(Instance, UnloadResult),
-    /// An engine has sent a report.
+    /// An engine has listed the instances that it has loaded.
     Reported(Report),
     /// Budget for this many more loads was granted.
     BudgetGranted(u32),
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -185,17 +185,17 @@
         }
     }
 
-    /// Requeues a request as if it arrived `by` after `now`, without its priority delay.
+    /// Requeues a request as if it arrived `delay` after `now`, without its priority delay.
     pub fn postpone(
         &mut self,
         request: RequestId,
-        by: Millis,
+        delay: Millis,
         now: Millis,
     ) {
         let Some(&location) = self.locations.get(&request) else {
             return;
         };
-        let position = (now + by, self.next_seq);
+        let position = (now + delay, self.next_seq);
         self.next_seq += 1;
         let account_queue = self.accounts.entry(location.account).or_default();
         if let Some(waiting) = account_queue.remove(location.position, location.target) {
--- a/crates/core/src/rights/transfer_log.rs
+++ b/crates/core/src/rights/transfer_log.rs
@@ -4,20 +4,20 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// Responses kept per asker for resent requests.
-const MAX_RESPONSES_PER_ASKER: usize = 64;
+/// Limits the responses kept for each peer that requests rights.
+const MAX_RESPONSES_PER_REQUESTER: usize = 64;
 
-/// Responses of this epoch, to deduplicate resent requests.
+/// Responses to transfer requests in this epoch, to deduplicate resent requests.
 ///
-/// Handling a resent request as new would subtract rights twice, while the asker applies only one
-/// response.
+/// Handling a resent request as new would subtract rights (shares of an account's rate limit)
+/// twice, while the requester applies only one response.
 #[derive(Clone, Debug, Default)]
 pub struct TransferLog {
-    askers: HashMap<Holder, Asker>,
+    requesters: HashMap<Holder, Requester>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Asker {
+struct Requester {
     responses: VecDeque<(TransferId, TakeResponse)>,
     /// The highest transfer whose response was evicted.
     last_evicted: Option<TransferId>,
@@ -26,7 +26,7 @@
 /// Whether a request was handled before.
 #[derive(Clone, Copy, Debug)]
 pub enum LookUp {
-    /// The request is new.
+    /// No response is stored, and none was evicted that could be this one.
     New,
     /// The request was handled with this response.
     Handled(TakeResponse),
@@ -41,34 +41,34 @@
         from: Holder,
         transfer: TransferId,
     ) -> LookUp {
-        let Some(asker) = self.askers.get(&from) else {
+        let Some(requester) = self.requesters.get(&from) else {
             return LookUp::New;
         };
-        let kept = asker.responses.iter().find(|(id, _)| *id == transfer);
-        match (kept, asker.last_evicted) {
+        let kept = requester.responses.iter().find(|(id, _)| *id == transfer);
+        match (kept, requester.last_evicted) {
             (Some(&(_, given)), _) => LookUp::Handled(given),
             (None, Some(last_evicted)) if transfer <= last_evicted => LookUp::Evicted,
             (None, _) => LookUp::New,
         }
     }
 
-    /// Stores a response, evicting the oldest of the asker if there are too many.
+    /// Stores a response, evicting the oldest of the requester if there are too many.
     pub fn store(
         &mut self,
         from: Holder,
         transfer: TransferId,
         given: TakeResponse,
     ) {
-        let asker = self.askers.entry(from).or_default();
-        asker.responses.push_back((transfer, given));
-        if asker.responses.len() > MAX_RESPONSES_PER_ASKER {
-            let oldest = asker.responses.pop_front().map(|(id, _)| id);
-            asker.last_evicted = asker.last_evicted.max(oldest);
+        let requester = self.requesters.entry(from).or_default();
+        requester.responses.push_back((transfer, given));
+        if requester.responses.len() > MAX_RESPONSES_PER_REQUESTER {
+            let oldest = requester.responses.pop_front().map(|(id, _)| id);
+            requester.last_evicted = requester.last_evicted.max(oldest);
         }
     }
 
     /// Drops all responses; requests of earlier epochs are rejected by their epoch.
     pub fn clear(&mut self) {
-        self.askers.clear();
+        self.requesters.clear();
     }
 }
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -46,21 +46,21 @@
         }
     }
 
-    /// Decides where a request that has just failed at `avoid` is retried.
+    /// Decides where a request that has just failed at `excluded_upstream` is retried.
     ///
     /// A failing upstream looks idle until its breaker trips, so a retry goes to another one unless
     /// there is none.
     pub fn route_avoiding(
         &mut self,
-        avoid: UpstreamId,
+        excluded_upstream: UpstreamId,
         target: Target,
         prefix: Option<u64>,
         account: AccountId,
         now: Millis,
     ) -> Route {
-        self.avoid = Some(avoid);
+        self.excluded_upstream = Some(excluded_upstream);
         let route = self.route(target, prefix, account, now);
-        self.avoid = None;
+        self.excluded_upstream = None;
         route
     }
 
@@ -146,10 +146,11 @@
                 .filter_map(|upstream| self.engines.get(upstream))
                 .filter(|engine| engine.is_usable(now))
         };
-        let avoid = self
-            .avoid
-            .filter(|avoid| candidates().any(|engine| engine.spec.upstream != *avoid));
-        let usable = || candidates().filter(|engine| Some(engine.spec.upstream) != avoid);
+        let excluded_upstream = self
+            .excluded_upstream
+            .filter(|excluded| candidates().any(|engine| engine.spec.upstream != *excluded));
+        let usable =
+            || candidates().filter(|engine| Some(engine.spec.upstream) != excluded_upstream);
         let cost = |engine: &&Engine| engine.cost(&self.settings);
         let least = usable().min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
         let Some(prefix) = prefix else {
--- a/crates/core/src/routing/route.rs
+++ b/crates/core/src/routing/route.rs
@@ -5,7 +5,7 @@
     placement::Instance,
 };
 
-/// The target of a request.
+/// What a request needs: a base model, an adapter version or a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// A base model without an adapter.
@@ -16,19 +16,19 @@
     Service(ServiceId),
 }
 
-/// The routing decision for a request.
+/// Whether a request is sent, waits or is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
     /// Send it to the upstream; it counts as in flight until [`super::Router::finished`].
     Send {
-        /// The upstream.
+        /// The engine or server that the request is sent to.
         upstream: UpstreamId,
         /// The adapter instance to use; `None` for a base model or a service.
         instance: Option<Instance>,
     },
     /// Request the adapter from the engine's owner and route again on the reply.
     Acquire {
-        /// The engine.
+        /// The engine that is to load the adapter.
         upstream: UpstreamId,
         /// Id of the acquire request.
         ask: u64,
@@ -42,7 +42,7 @@
 /// How a sent request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The upstream has responded.
+    /// The upstream returned a response.
     Done,
     /// The upstream was unreachable or the connection was lost.
     Failed,
@@ -55,7 +55,7 @@
 pub enum RouterAction {
     /// Tell the engine's owner that the grant for an instance was released.
     Release {
-        /// The instance.
+        /// The adapter copy that this gateway no longer uses.
         instance: Instance,
         /// The highest fencing token seen for the engine; older owners ignore the release.
         fence: Fence,
@@ -64,9 +64,9 @@
     },
     /// Request one more copy of a busy adapter from an engine's owner.
     Acquire {
-        /// The engine.
+        /// The engine that is to load the copy.
         upstream: UpstreamId,
-        /// The adapter version.
+        /// The adapter version that needs another copy.
         adapter: AdapterVersion,
         /// The client account that used it last.
         account: AccountId,
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -28,8 +28,8 @@
     pub(super) upstreams_version: u64,
     /// Id of the last acquire request.
     pub(super) ask: u64,
-    /// The upstream to avoid because the request being routed has just failed there.
-    pub(super) avoid: Option<UpstreamId>,
+    /// The upstream to exclude because the request being routed has just failed there.
+    pub(super) excluded_upstream: Option<UpstreamId>,
 }
 
 impl Router {
@@ -45,7 +45,7 @@
             active: BTreeSet::new(),
             upstreams_version: 0,
             ask: 0,
-            avoid: None,
+            excluded_upstream: None,
         }
     }
 
--- a/crates/core/src/routing/upstream_spec.rs
+++ b/crates/core/src/routing/upstream_spec.rs
@@ -1,20 +1,20 @@
 use crate::ids::{DataCentreId, ModelId, ServiceId, UpstreamId};
 
-/// The kind of an upstream.
+/// Whether an upstream runs a model or serves another service, with its capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamSpecKind {
-    /// A model engine.
+    /// Runs one base model and loads adapters into its slots.
     Engine {
-        /// The base model it runs.
+        /// The base model that its adapters extend.
         model: ModelId,
-        /// Number of adapter slots.
+        /// Number of adapters that it can have loaded at once.
         slots: u32,
         /// Maximum number of requests in a batch.
         max_batch: u32,
     },
     /// A server of a service without a model.
     Server {
-        /// The service.
+        /// The service that it provides.
         service: ServiceId,
     },
 }
@@ -22,9 +22,9 @@
 /// Configuration of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamSpec {
-    /// Its id.
+    /// Id that is unique among all upstreams.
     pub upstream: UpstreamId,
-    /// Its data centre.
+    /// The data centre where the upstream stands.
     pub data_centre: DataCentreId,
     /// Whether it is an engine or a server.
     pub kind: UpstreamSpecKind,
