--- a/crates/core/src/queue/account_queue.rs
+++ b/crates/core/src/queue/account_queue.rs
@@ -63,7 +63,10 @@
             }
         }
         self.len += 1;
-        let backlog = self.backlogs.entry(Pool::of(waiting.target)).or_default();
+        let backlog = self
+            .backlogs
+            .entry(Pool::for_target(waiting.target))
+            .or_default();
         backlog.add(waiting.priority, waiting.cost);
     }
 
@@ -86,7 +89,7 @@
             }
         }
         self.len -= 1;
-        if let Some(backlog) = self.backlogs.get_mut(&Pool::of(target)) {
+        if let Some(backlog) = self.backlogs.get_mut(&Pool::for_target(target)) {
             backlog.remove(waiting.priority, waiting.cost);
         }
         Some(waiting)
--- a/crates/core/src/queue/estimate.rs
+++ b/crates/core/src/queue/estimate.rs
@@ -44,7 +44,7 @@
     let mut cost_ahead: BTreeMap<Pool, u64> = BTreeMap::new();
     let mut late_requests = Vec::new();
     for waiting in account_queue.in_order() {
-        let pool = Pool::of(waiting.target);
+        let pool = Pool::for_target(waiting.target);
         let cost = cost_ahead.entry(pool).or_default();
         let left = waiting.deadline.since(now);
         let wait = pools
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -119,7 +119,7 @@
         };
         let expected_wait = self.check_admission(&waiting, now)?;
         self.next_seq += 1;
-        let pool = Pool::of(waiting.target);
+        let pool = Pool::for_target(waiting.target);
         let state = self.pools.entry(pool).or_default();
         let account_queue = self.accounts.entry(waiting.account).or_default();
         if account_queue.is_empty() {
@@ -164,7 +164,7 @@
         }
         let waiting = self.dequeue(account, position, target)?;
         self.increase_counter(account, waiting.cost);
-        if let Some(state) = self.pools.get_mut(&Pool::of(target)) {
+        if let Some(state) = self.pools.get_mut(&Pool::for_target(target)) {
             state
                 .rate
                 .record_served(waiting.cost, state.waiting > 0, now);
@@ -218,7 +218,7 @@
     ) -> Option<QueuedRequest> {
         let location = *self.locations.get(&request)?;
         let waiting = self.dequeue(location.account, location.position, location.target)?;
-        let pool = self.pools.get_mut(&Pool::of(location.target));
+        let pool = self.pools.get_mut(&Pool::for_target(location.target));
         if let Some(state) = pool.filter(|state| state.waiting == 0) {
             state.rate.record_empty(now);
         }
@@ -283,7 +283,7 @@
         waiting: &QueuedRequest,
         now: Millis,
     ) -> Result<Millis, Refusal> {
-        let pool = Pool::of(waiting.target);
+        let pool = Pool::for_target(waiting.target);
         let state = self.pools.get(&pool).copied().unwrap_or_default();
         let new = AccountQueue::default();
         let account_queue = self.accounts.get(&waiting.account).unwrap_or(&new);
@@ -337,7 +337,7 @@
     ) -> Option<QueuedRequest> {
         let account_queue = self.accounts.get_mut(&account)?;
         let waiting = account_queue.remove(position, target)?;
-        let pool = Pool::of(target);
+        let pool = Pool::for_target(target);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.waiting -= 1;
             let last = account_queue.backlog(pool).len == 0;
--- a/crates/core/src/queue/pool.rs
+++ b/crates/core/src/queue/pool.rs
@@ -16,8 +16,8 @@
 }
 
 impl Pool {
-    /// The pool of a target.
-    pub const fn of(target: Target) -> Self {
+    /// Returns the pool of upstreams that can serve a target.
+    pub const fn for_target(target: Target) -> Self {
         match target {
             Target::Adapter(_) | Target::Base(_) => Self::Engines,
             Target::Service(service) => Self::Service(service),
