--- a/crates/core/src/ownership/engine_copy.rs
+++ b/crates/core/src/ownership/engine_copy.rs
@@ -9,13 +9,13 @@
 /// State of one copy on an engine, as its owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyState {
-    /// The load has been ordered.
+    /// The engine was told to load it; no result yet.
     Loading,
     /// Loaded; can be granted.
     Resident,
     /// Will be unloaded once every holder has released it.
     Recalling,
-    /// The unload has been ordered.
+    /// The engine was told to unload it; no result yet.
     Unloading,
     /// May be loaded, but a delayed order may unload it at any time; never granted.
     Uncertain,
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct EngineCopy {
     pub(super) state: CopyState,
-    /// When it entered `state`.
+    /// Time of the last change of `state`.
     pub(super) state_since: Millis,
     /// The gateways that may route to it, each with the id of the last request granted.
     pub(super) grants: BTreeMap<Holder, u64>,
--- a/crates/core/src/ownership/pending_load.rs
+++ b/crates/core/src/ownership/pending_load.rs
@@ -21,11 +21,11 @@
 /// Progress of a requested load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoadStage {
-    /// Waits for budget.
+    /// Waits for the weight store's rate limit.
     Queued,
-    /// Has budget and waits for a slot.
+    /// May read the weights; waits for a free slot on the engine.
     NeedsSlot,
-    /// The load has been ordered.
+    /// The engine was told to load it; no result yet.
     Loading,
 }
 
--- a/crates/core/src/rights/admission.rs
+++ b/crates/core/src/rights/admission.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use = "a charge that is never settled is never refunded"]
 pub struct Charge {
-    /// The account that is charged.
+    /// The client account that pays for the request.
     pub account: AccountId,
-    /// Number of the charge, unique in the account at this holder.
+    /// Sequence number of the charge; unique in the account at this holder of rights.
     pub number: u64,
-    /// Tokens charged.
+    /// Estimated cost in tokens, taken from the account's limit.
     pub tokens: u64,
 }
 
@@ -21,7 +21,7 @@
 pub enum Admission {
     /// The request may run; its cost is charged.
     Admitted(Charge),
-    /// This holder is short of tokens that peers may have.
+    /// Too few tokens here; peers may hold unused shares (rights) of the account's limit.
     NeedsRights {
         /// Missing millitokens.
         shortfall: u64,
--- a/crates/core/src/routing/engine.rs
+++ b/crates/core/src/routing/engine.rs
@@ -9,7 +9,7 @@
     std::collections::BTreeMap,
 };
 
-/// A grant that this gateway holds.
+/// Permission from an engine's owner to use an adapter copy there, held by this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldGrant {
     pub(super) in_flight: u32,
--- a/crates/core/src/routing/engine_view.rs
+++ b/crates/core/src/routing/engine_view.rs
@@ -3,12 +3,12 @@
     placement::Instance,
 };
 
-/// The state of an engine as last reported by its owner; it lags.
+/// The state of an engine as last reported by its owner, the VM that controls it; may be stale.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// The engine.
+    /// The engine that is described.
     pub upstream: UpstreamId,
-    /// The owner's fencing token.
+    /// Fencing token of the owner that sent this view.
     pub owner_fence: Fence,
     /// Requests in the engine's batch.
     pub running: u32,
@@ -18,7 +18,7 @@
     pub free_slots: u32,
     /// Whether the engine responds to its owner.
     pub healthy: bool,
-    /// Changes when the engine restarts.
+    /// Boot id of the engine; changes when the engine restarts.
     pub boot: u64,
     /// The instances that its owner can grant.
     pub resident: Vec<Instance>,
