--- a/crates/controller/tests/engine_news.rs
+++ b/crates/controller/tests/engine_news.rs
@@ -5,7 +5,7 @@
 use {
     jasmine_core::{clock::Millis, ids::Holder},
     jasmine_testkit::{
-        Running,
+        RunningServer,
         engine::{self, EngineSettings},
         harness::poll,
     },
@@ -61,7 +61,7 @@
     let engines =
         [(); 2].map(|()| engine::start(support::anywhere(), EngineSettings::default()).unwrap());
     let fleet = Fleet::start(1).await;
-    let ops = first_ops(&engines.each_ref().map(Running::address));
+    let ops = first_ops(&engines.each_ref().map(RunningServer::address));
     let answer = fleet.edit(1, "first", ops).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     let (me, at) = (gateway(1), fleet.link(1));
--- a/crates/controller/tests/frozen_owner.rs
+++ b/crates/controller/tests/frozen_owner.rs
@@ -5,7 +5,7 @@
 use {
     jasmine_core::placement::Instance,
     jasmine_testkit::{
-        Running,
+        RunningServer,
         client::get_json,
         engine::{self, EngineRecord, EngineSettings},
         harness::poll,
@@ -24,7 +24,7 @@
 
 /// An engine, its owner, and a grant on it for the gateway of VM 2.
 struct Fixture {
-    engine: Running,
+    engine: RunningServer,
     fleet: Fleet,
     first: u32,
     other: u32,
--- a/crates/controller/tests/planned_stop.rs
+++ b/crates/controller/tests/planned_stop.rs
@@ -21,7 +21,7 @@
         .collect();
     let addresses: Vec<_> = engines
         .iter()
-        .map(jasmine_testkit::Running::address)
+        .map(jasmine_testkit::RunningServer::address)
         .collect();
     let mut fleet = Fleet::start(2).await;
     let answer = fleet.edit(1, "first", first_ops(&addresses)).await;
--- a/crates/controller/tests/racing_owners.rs
+++ b/crates/controller/tests/racing_owners.rs
@@ -80,7 +80,7 @@
         .collect();
     let addresses: Vec<_> = engines
         .iter()
-        .map(jasmine_testkit::Running::address)
+        .map(jasmine_testkit::RunningServer::address)
         .collect();
     let mut fleet = Fleet::start(1).await;
     let answer = fleet.edit(1, "first", first_ops(&addresses)).await;
@@ -113,7 +113,7 @@
         .collect();
     let addresses: Vec<_> = engines
         .iter()
-        .map(jasmine_testkit::Running::address)
+        .map(jasmine_testkit::RunningServer::address)
         .collect();
     let fleet = Fleet::start(1).await;
     let answer = fleet.edit(1, "first", first_ops(&addresses)).await;
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -9,7 +9,7 @@
     jasmine_conf::settings::TokenDigest,
     jasmine_core::ids::{Holder, Incarnation, Role, VmId},
     jasmine_testkit::{
-        Running,
+        RunningServer,
         client::{Answer, Call, get_json, post_json},
         harness::{Daemon, poll},
         platform,
@@ -47,7 +47,7 @@
 /// The simulated platform and its controllers.
 pub struct Fleet {
     pub controllers: Vec<Controller>,
-    pub platform: Running,
+    pub platform: RunningServer,
     folder: PathBuf,
 }
 
--- a/crates/ctl/examples/edit_in_force.rs
+++ b/crates/ctl/examples/edit_in_force.rs
@@ -81,7 +81,7 @@
 
 fn client(vm: &Vm) -> ApiClient {
     ApiClient::new(&GlobalArgs {
-        controllers: vec![format!("http://{}", vm.operators())],
+        controllers: vec![format!("http://{}", vm.operator_address())],
         token: OPERATOR_TOKEN.to_owned(),
         author: "measure".to_owned(),
         output: OutputFormat::Json,
--- a/crates/ctl/tests/real_fleet.rs
+++ b/crates/ctl/tests/real_fleet.rs
@@ -17,7 +17,7 @@
 
 async fn fleet() -> (Cluster, Ctl) {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let addresses: Vec<_> = cluster.vms.iter().map(Vm::operators).collect();
+    let addresses: Vec<_> = cluster.vms.iter().map(Vm::operator_address).collect();
     let ctl = Ctl::at(&addresses, OPERATOR_TOKEN);
     (cluster, ctl)
 }
@@ -28,7 +28,7 @@
     key: &str,
     model: &str,
 ) -> Answer {
-    Call::chat(cluster.callers(vm), key, model, "hello", 8, false)
+    Call::chat(cluster.caller_address(vm), key, model, "hello", 8, false)
         .send()
         .await
         .unwrap()
@@ -44,7 +44,7 @@
     let key = issued.out.lines().next().unwrap();
     for vm in 1..=cluster.spec().vms {
         let answer = chat(&cluster, vm, key, "notes-1").await;
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
     }
     ctl.ok(&format!("key withdraw /accounts/courier/second {WAIT}"))
         .await;
@@ -102,7 +102,7 @@
     let (cluster, ctl) = fleet().await;
     let before = cluster.revision(1).await.unwrap();
     cluster
-        .platform_fault(json!({"outage": true}))
+        .set_platform_faults(json!({"outage": true}))
         .await
         .unwrap();
     let ran = ctl.run("set /accounts/courier weight=7").await;
@@ -111,7 +111,7 @@
     // Reads are still served from the configuration in force.
     ctl.ok("show /accounts/courier").await;
     ctl.ok("fleet").await;
-    cluster.platform_fault(json!({})).await.unwrap();
+    cluster.set_platform_faults(json!({})).await.unwrap();
     assert_eq!(cluster.revision(1).await.unwrap(), before);
     ctl.ok(&format!("set /accounts/courier weight=7 {WAIT}"))
         .await;
@@ -123,12 +123,12 @@
     let (cluster, ctl) = fleet().await;
     let before = cluster.revision(1).await.unwrap();
     cluster
-        .platform_fault(json!({"lose_replies": 3}))
+        .set_platform_faults(json!({"lose_replies": 3}))
         .await
         .unwrap();
     ctl.ok(&format!("create /accounts/farm account {WAIT}"))
         .await;
-    cluster.platform_fault(json!({})).await.unwrap();
+    cluster.set_platform_faults(json!({})).await.unwrap();
     let history = ctl.ok("history /accounts/farm -o json").await.json();
     assert_eq!(history["edits"].as_array().unwrap().len(), 1, "{history}");
     assert_eq!(history["edits"][0]["revision"], before + 1);
@@ -140,7 +140,7 @@
     line: impl Fn(u32) -> String,
 ) -> Vec<ctl_runner::CommandOutput> {
     let runs = cluster.vms.iter().zip(1..).map(|(vm, number)| {
-        let ctl = Ctl::at(&[vm.operators()], OPERATOR_TOKEN);
+        let ctl = Ctl::at(&[vm.operator_address()], OPERATOR_TOKEN);
         let line = line(number);
         async move { ctl.run(&line).await }
     });
--- a/crates/gateway/tests/gateway/bad_input.rs
+++ b/crates/gateway/tests/gateway/bad_input.rs
@@ -121,7 +121,7 @@
         assert_eq!(answer.json["error"]["execution"], "not_run");
     }
     let valid_answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
-    assert!(valid_answer.is_whole(), "{valid_answer:?}");
+    assert!(valid_answer.is_complete(), "{valid_answer:?}");
 }
 
 #[actix_rt::test]
@@ -152,7 +152,7 @@
     let until_free = || async {
         let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
         answer
-            .is_whole()
+            .is_complete()
             .then_some(())
             .ok_or(answer.code().to_owned())
     };
@@ -188,7 +188,10 @@
     .await;
     let call = fixture.chat("base", "hello", 200, false);
     let answers = futures::future::join_all((0..6).map(|_| support::answer(&call))).await;
-    let refused: Vec<_> = answers.iter().filter(|answer| !answer.is_whole()).collect();
+    let refused: Vec<_> = answers
+        .iter()
+        .filter(|answer| !answer.is_complete())
+        .collect();
     assert!(!refused.is_empty());
     for answer in refused {
         assert_eq!((answer.status, answer.code()), (429, "rate_limited"));
@@ -223,6 +226,6 @@
         })
         .collect();
     let answer = support::answer(&fixture.chat("base", "hi", 4, false)).await;
-    assert!(answer.is_whole(), "{answer:?}");
+    assert!(answer.is_complete(), "{answer:?}");
     unread_streams.clear();
 }
--- a/crates/gateway/tests/gateway/broken_streams.rs
+++ b/crates/gateway/tests/gateway/broken_streams.rs
@@ -4,7 +4,7 @@
     crate::support::{self, FixtureSettings, GatewayFixture},
     jasmine_testkit::{
         client::EndOfStream,
-        engine::{Ended, answer as expected},
+        engine::{EndReason, answer as expected},
         proxy::{Fault, Link},
     },
     serde_json::json,
@@ -43,7 +43,7 @@
     }
     for stream in [true, false] {
         let answer = support::answer(&fixture.chat("base", PROMPT, 64, stream)).await;
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
         assert_eq!(answer.text, expected_text());
     }
 }
@@ -61,7 +61,7 @@
             }
         };
         let (answer, ()) = futures::future::join(support::answer(&call), silence).await;
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
         assert_eq!(answer.text, expected_text());
         assert!(answer.took < Duration::from_secs(8), "{:?}", answer.took);
     }
@@ -81,7 +81,7 @@
                 .await;
         }
         let answer = support::answer(&fixture.chat("base", PROMPT, 64, stream)).await;
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
         assert_eq!(answer.text, expected_text());
     }
 }
@@ -104,7 +104,7 @@
             assert_eq!(answer.end, EndOfStream::Error("answer_cut".to_owned()));
             assert!(expected_text().starts_with(&answer.text) && !answer.text.is_empty());
         } else {
-            assert!(answer.is_whole(), "{answer:?}");
+            assert!(answer.is_complete(), "{answer:?}");
             assert_eq!(answer.text, expected_text());
         }
     }
@@ -116,12 +116,12 @@
     // the gateway does not know of yet.
     let fixture = GatewayFixture::start(FixtureSettings::default()).await;
     let call = fixture.chat("notes", PROMPT, 32, true);
-    assert!(support::answer(&call).await.is_whole());
+    assert!(support::answer(&call).await.is_complete());
     for engine in 0..2 {
         fixture.engine_fault(engine, json!({"restart": true})).await;
     }
     let answer = support::answer(&call).await;
-    assert!(answer.is_whole(), "{answer:?}");
+    assert!(answer.is_complete(), "{answer:?}");
     let prompt = format!("user: {PROMPT}\n");
     assert_eq!(answer.text, expected("notes-v1", &prompt, 32).concat());
     assert_eq!(fixture.controller.state().loaded_instances.len(), 2);
@@ -134,7 +134,7 @@
     fixture.engine_links.remove(0);
     for _ in 0..6 {
         let answer = support::answer(&fixture.chat("base", PROMPT, 16, true)).await;
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
     }
 }
 
@@ -149,7 +149,7 @@
         let mut ran = fixture.record(0).await.requests;
         ran.extend(fixture.record(1).await.requests);
         let ended = ran.first().and_then(|ran| ran.ended);
-        (ended == Some(Ended::Cancelled))
+        (ended == Some(EndReason::Cancelled))
             .then_some(())
             .ok_or(format!("{ended:?}"))
     };
--- a/crates/gateway/tests/gateway/planned_stop.rs
+++ b/crates/gateway/tests/gateway/planned_stop.rs
@@ -35,8 +35,8 @@
         (early, late)
     };
     let (answer, (early, late)) = futures::future::join(support::answer(&call), stop).await;
-    assert!(answer.is_whole(), "{answer:?}");
-    assert!(early.is_whole(), "{early:?}");
+    assert!(answer.is_complete(), "{answer:?}");
+    assert!(early.is_complete(), "{early:?}");
     assert_eq!(late.code(), "shutting_down");
     assert_eq!(late.json["error"]["execution"], "not_run");
     assert!(exits_successfully(&mut fixture).await);
@@ -50,7 +50,7 @@
     assert!(
         support::answer(&fixture.chat("base", "hello", 4, false))
             .await
-            .is_whole()
+            .is_complete()
     );
     fixture.controller.state().is_excluded_from_epoch = true;
     let refused = || async {
--- a/crates/gateway/tests/gateway/stale_config.rs
+++ b/crates/gateway/tests/gateway/stale_config.rs
@@ -42,7 +42,7 @@
     assert!(
         support::answer(&fixture.chat("base", "hello", 4, false))
             .await
-            .is_whole()
+            .is_complete()
     );
 }
 
--- a/crates/gateway/tests/gateway/support/fixture.rs
+++ b/crates/gateway/tests/gateway/support/fixture.rs
@@ -2,7 +2,7 @@
     super::fake_controller::{ControllerState, FakeController, edit},
     jasmine_conf::{fleet::KeyDigest, hex, tree::Tree},
     jasmine_testkit::{
-        Running,
+        RunningServer,
         client::{Answer, Call, get_json, post_json},
         engine::{self, EngineRecord, EngineSettings},
         harness::{Daemon, poll},
@@ -79,8 +79,8 @@
     pub engine_links: Vec<Proxy>,
     /// Proxies in front of the servers.
     pub server_links: Vec<Proxy>,
-    engines: Vec<Running>,
-    servers: Vec<Running>,
+    engines: Vec<RunningServer>,
+    servers: Vec<RunningServer>,
     settings: PathBuf,
 }
 
@@ -100,14 +100,15 @@
         let servers: Vec<_> = (0..spec.servers)
             .map(|_| service::start(any_port).expect("a service"))
             .collect();
-        let link = |running: &Running| Proxy::start(any_port, running.address()).expect("a proxy");
+        let link =
+            |running: &RunningServer| Proxy::start(any_port, running.address()).expect("a proxy");
         let engine_links: Vec<_> = engines.iter().map(link).collect();
         let server_links: Vec<_> = servers.iter().map(link).collect();
-        let addresses_of = |links: &[Proxy], behind: &[Running]| -> Vec<SocketAddr> {
+        let addresses_of = |links: &[Proxy], behind: &[RunningServer]| -> Vec<SocketAddr> {
             if spec.is_proxied {
                 links.iter().map(Proxy::address).collect()
             } else {
-                behind.iter().map(Running::address).collect()
+                behind.iter().map(RunningServer::address).collect()
             }
         };
         let engine_addresses = addresses_of(&engine_links, &engines);
@@ -200,12 +201,12 @@
 
     /// Returns the addresses of the servers, without proxies.
     pub fn server_addresses(&self) -> Vec<SocketAddr> {
-        self.servers.iter().map(Running::address).collect()
+        self.servers.iter().map(RunningServer::address).collect()
     }
 
     /// Returns the addresses of the engines, without proxies.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
-        self.engines.iter().map(Running::address).collect()
+        self.engines.iter().map(RunningServer::address).collect()
     }
 
     /// Returns an engine's record of its requests.
--- a/crates/gateway/tests/gateway/whole_path.rs
+++ b/crates/gateway/tests/gateway/whole_path.rs
@@ -22,7 +22,7 @@
         for stream in [true, false] {
             let call = fixture.chat(model, "hello", 40, stream);
             let answer = support::answer(&call).await;
-            assert!(answer.is_whole(), "{answer:?}");
+            assert!(answer.is_complete(), "{answer:?}");
             assert_eq!(
                 answer.text,
                 tokens(weights, "hello", 40),
@@ -48,7 +48,7 @@
     assert!(
         answers
             .into_iter()
-            .all(|answer| answer.is_ok_and(|answer| answer.is_whole()))
+            .all(|answer| answer.is_ok_and(|answer| answer.is_complete()))
     );
     assert_eq!(fixture.controller.state().loaded_instances.len(), 1);
 }
--- a/crates/store/tests/lost_reply.rs
+++ b/crates/store/tests/lost_reply.rs
@@ -7,7 +7,7 @@
         etcd::{EtcdOptions, EtcdStore},
         store::{Compare, Op, Range, Store, StoreError, Txn, WatchEvent},
     },
-    jasmine_testkit::{Running, client::post_json, platform},
+    jasmine_testkit::{RunningServer, client::post_json, platform},
     serde_json::json,
     std::net::SocketAddr,
 };
@@ -16,7 +16,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-fn store_of(platform: &Running) -> EtcdStore {
+fn store_of(platform: &RunningServer) -> EtcdStore {
     EtcdStore::new(EtcdOptions::new(vec![format!(
         "http://{}",
         platform.address()
--- a/crates/testkit/examples/control_cost.rs
+++ b/crates/testkit/examples/control_cost.rs
@@ -9,7 +9,7 @@
     jasmine_testkit::{
         client::{Call, get_json},
         harness::{AccountSpec, Cluster, ClusterSpec, Daemon, Vm},
-        proxy::{Passed, Proxy},
+        proxy::{Proxy, TransferredBytes},
     },
     serde_json::{Value, json},
     std::{
@@ -33,18 +33,18 @@
 struct Totals {
     gateway_cpu_ms: u64,
     controller_cpu_ms: u64,
-    own_controller: Passed,
-    controllers: Passed,
-    gateways: Passed,
-    platform: Passed,
+    own_controller: TransferredBytes,
+    controllers: TransferredBytes,
+    gateways: TransferredBytes,
+    platform: TransferredBytes,
     platform_calls: u64,
 }
 
 fn add_passed(
-    sum: &mut Passed,
+    sum: &mut TransferredBytes,
     proxy: &Proxy,
 ) {
-    let passed = proxy.passed();
+    let passed = proxy.transferred_bytes();
     sum.to_target += passed.to_target;
     sum.to_client += passed.to_client;
 }
@@ -58,10 +58,10 @@
     for vm in &cluster.vms {
         totals.gateway_cpu_ms += vm.gateway.as_ref().map_or(0, Daemon::cpu_ms);
         totals.controller_cpu_ms += vm.controller.as_ref().map_or(0, Daemon::cpu_ms);
-        add_passed(&mut totals.own_controller, &vm.to_controller);
-        add_passed(&mut totals.controllers, &vm.controller_peers);
-        add_passed(&mut totals.gateways, &vm.gateway_peers);
-        add_passed(&mut totals.platform, &vm.to_platform);
+        add_passed(&mut totals.own_controller, &vm.controller_link);
+        add_passed(&mut totals.controllers, &vm.controller_peer_link);
+        add_passed(&mut totals.gateways, &vm.gateway_peer_link);
+        add_passed(&mut totals.platform, &vm.platform_link);
     }
     Ok(totals)
 }
@@ -88,9 +88,9 @@
     while Instant::now() < until {
         let adapter = format!("notes-{}", (sent as usize + vm as usize) % adapters + 1);
         let next = Instant::now() + REQUEST_INTERVAL;
-        let call = Call::chat(cluster.callers(vm), key, &adapter, "hi", 8, true);
+        let call = Call::chat(cluster.caller_address(vm), key, &adapter, "hi", 8, true);
         sent += 1;
-        whole += u64::from(call.send().await.is_ok_and(|answer| answer.is_whole()));
+        whole += u64::from(call.send().await.is_ok_and(|answer| answer.is_complete()));
         tokio::time::sleep_until(next.into()).await;
     }
     (whole, sent)
@@ -122,7 +122,7 @@
     let vms = cluster.vms.len() as f64;
     let rate = |after: u64, before: u64| (after - before) as f64 / secs / vms;
     let percent = |after, before| (rate(after, before) * 10.0).round() / 100.0;
-    let bytes = |after: Passed, before: Passed| {
+    let bytes = |after: TransferredBytes, before: TransferredBytes| {
         [
             rate(after.to_target, before.to_target).round(),
             rate(after.to_client, before.to_client).round(),
--- a/crates/testkit/src/bin/jasmine-demo.rs
+++ b/crates/testkit/src/bin/jasmine-demo.rs
@@ -14,17 +14,17 @@
 fn print_usage(cluster: &Cluster) {
     println!("Callers' addresses:");
     for vm in &cluster.vms {
-        println!("  VM {}  http://{}", vm.number, vm.callers());
+        println!("  VM {}  http://{}", vm.number, vm.caller_address());
     }
     println!("Operators' addresses (bearer token {OPERATOR_TOKEN}):");
     for vm in &cluster.vms {
-        println!("  VM {}  http://{}", vm.number, vm.operators());
+        println!("  VM {}  http://{}", vm.number, vm.operator_address());
     }
     println!("Keys, shown this once:");
     for account in &cluster.spec().accounts {
         println!("  {:8} {}", account.name, cluster.key(&account.name));
     }
-    let (callers, key) = (cluster.callers(1), cluster.key("courier"));
+    let (callers, key) = (cluster.caller_address(1), cluster.key("courier"));
     println!("Try:");
     println!("  curl http://{callers}/v1/models -H 'Authorization: Bearer {key}'");
     println!(
@@ -40,9 +40,10 @@
 /// Sends a few requests; returns whether all answers are as expected.
 async fn check(cluster: &Cluster) -> Result<bool, Box<dyn Error>> {
     let key = cluster.key("courier");
-    let chat = |vm, model, stream| Call::chat(cluster.callers(vm), key, model, "Hello", 20, stream);
+    let chat =
+        |vm, model, stream| Call::chat(cluster.caller_address(vm), key, model, "Hello", 20, stream);
     let enrol = Call::new(
-        cluster.callers(3),
+        cluster.caller_address(3),
         Method::POST,
         "/services/phones/phones/17/enrolment",
     );
@@ -55,11 +56,11 @@
     let mut all_ok = true;
     for (label, call, adapter) in calls {
         let answer = call.send().await?;
-        all_ok &= answer.is_whole() && answer.header("x-jasmine-adapter") == adapter;
+        all_ok &= answer.is_complete() && answer.header("x-jasmine-adapter") == adapter;
         println!("{label:18} {}", describe(&answer));
     }
     let unknown = Call::chat(
-        cluster.callers(1),
+        cluster.caller_address(1),
         "no-such-key",
         "notes-1",
         "Hello",
--- a/crates/testkit/src/bin/jasmine-load.rs
+++ b/crates/testkit/src/bin/jasmine-load.rs
@@ -4,7 +4,7 @@
     clap::{Arg, ArgMatches, Command, builder::PossibleValuesParser, value_parser},
     jasmine_testkit::{
         harness::{Cluster, ClusterSpec, Daemon},
-        load::{AccountReport, Load, Report, drive, measure_overhead},
+        load::{AccountReport, LoadPattern, Report, drive, measure_overhead},
     },
     std::{error::Error, fs, process::ExitCode, time::Duration},
 };
@@ -28,7 +28,9 @@
             Arg::new("load")
                 .long("load")
                 .default_value("steady")
-                .value_parser(PossibleValuesParser::new(Load::ALL.map(Load::name)))
+                .value_parser(PossibleValuesParser::new(
+                    LoadPattern::ALL.map(LoadPattern::name),
+                ))
                 .help("Pattern of request arrivals"),
         )
         .arg(number(
@@ -52,8 +54,8 @@
     let number = |name: &str| args.get_one::<u32>(name).copied().unwrap_or_default();
     let load = args
         .get_one::<String>("load")
-        .and_then(|name| Load::from_name(name))
-        .unwrap_or(Load::Steady);
+        .and_then(|name| LoadPattern::from_name(name))
+        .unwrap_or(LoadPattern::Steady);
     let spec = ClusterSpec {
         vms: number("vms"),
         engines: number("engines"),
--- a/crates/testkit/src/bin/jasmine-stand-in.rs
+++ b/crates/testkit/src/bin/jasmine-stand-in.rs
@@ -3,7 +3,7 @@
 use {
     clap::{Arg, ArgAction, ArgMatches, Command, value_parser},
     jasmine_testkit::{
-        Running,
+        RunningServer,
         engine::{self, EngineSettings},
         platform,
         proxy::{Proxy, start_control},
@@ -55,7 +55,7 @@
 fn start(
     name: &str,
     args: &ArgMatches,
-) -> Result<Running, Box<dyn Error>> {
+) -> Result<RunningServer, Box<dyn Error>> {
     let listen = |name: &str| args.get_one::<SocketAddr>(name).copied();
     let at = listen("listen").unwrap_or(([127, 0, 0, 1], 0).into());
     let settings = || {
--- a/crates/testkit/src/client/answer.rs
+++ b/crates/testkit/src/client/answer.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether the call succeeded and the body is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.status == 200 && matches!(self.end, EndOfStream::NoStream | EndOfStream::Done)
     }
 }
--- a/crates/testkit/src/engine/answer.rs
+++ b/crates/testkit/src/engine/answer.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns the answer to a chat of one user message.
-pub fn chat_answer(
+pub fn expected_chat_answer(
     weights: &str,
     text: &str,
     max_tokens: u32,
@@ -29,7 +29,7 @@
 }
 
 /// Returns a chat message with an answer of at least 55 tokens, for faults in mid-stream.
-pub fn long_message(weights: &str) -> String {
+pub fn message_with_long_answer(weights: &str) -> String {
     let texts = (0..).map(|n| format!("tell me story {n}"));
     let long = |text: &String| answer_len(weights, &format!("user: {text}\n"), u32::MAX) >= 55;
     texts.into_iter().find(long).unwrap_or_default()
--- a/crates/testkit/src/engine/api.rs
+++ b/crates/testkit/src/engine/api.rs
@@ -6,7 +6,7 @@
         settings::{EngineFaults, EngineSettings},
         state::Engine,
     },
-    crate::server::{self, Running, header_list},
+    crate::server::{self, RunningServer, header_list},
     actix_web::{
         Error, HttpResponse,
         body::MessageBody,
@@ -26,7 +26,7 @@
 pub fn start(
     address: SocketAddr,
     cfg: EngineSettings,
-) -> io::Result<Running> {
+) -> io::Result<RunningServer> {
     let engine = Arc::new(Engine::new(cfg));
     let stepping = Arc::clone(&engine);
     let routes = move |cfg: &mut web::ServiceConfig| {
--- a/crates/testkit/src/engine/batch.rs
+++ b/crates/testkit/src/engine/batch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        record::Ended,
+        record::EndReason,
         state::{Engine, State},
     },
     crate::server::unix_ms,
@@ -96,7 +96,7 @@
             state.record.requests[stream.record].tokens += 1;
         }
         if stream.job.made == stream.len {
-            state.end(&name, Ended::Done);
+            state.end(&name, EndReason::Done);
         }
     }
 }
@@ -114,7 +114,7 @@
         .map(|(name, _)| name.clone())
         .collect();
     for name in abandoned {
-        state.end(&name, Ended::Abandoned);
+        state.end(&name, EndReason::Abandoned);
     }
     state.streams.retain(|_, stream| {
         stream.ended.is_none()
--- a/crates/testkit/src/engine/generate.rs
+++ b/crates/testkit/src/engine/generate.rs
@@ -2,7 +2,7 @@
     super::{
         answer::{answer, prompt_of},
         api::wait_while_hung,
-        record::Ended,
+        record::EndReason,
         state::{Engine, Job},
         stream_body::{StreamReader, finish_reason, usage},
     },
@@ -117,7 +117,7 @@
     let Some(stream) = state
         .streams
         .get(source)
-        .filter(|_| ended == Some(Ended::Done))
+        .filter(|_| ended == Some(EndReason::Done))
     else {
         return lost_reply();
     };
@@ -176,7 +176,7 @@
     name: Path<String>,
 ) -> HttpResponse {
     wait_while_hung(&engine).await;
-    let open = engine.lock().end(&name, Ended::Cancelled);
+    let open = engine.lock().end(&name, EndReason::Cancelled);
     engine.tick.send_replace(());
     if open {
         HttpResponse::Ok().json(json!({"cancelled": true}))
--- a/crates/testkit/src/engine/mod.rs
+++ b/crates/testkit/src/engine/mod.rs
@@ -11,8 +11,8 @@
 mod stream_body;
 
 pub use {
-    answer::{answer, chat_answer, long_message, prefix_of, prompt_of},
+    answer::{answer, expected_chat_answer, message_with_long_answer, prefix_of, prompt_of},
     api::start,
-    record::{Ended, EngineRecord, RanRequest},
+    record::{EndReason, EngineRecord, RequestRecord},
     settings::{EngineFaults, EngineSettings},
 };
--- a/crates/testkit/src/engine/orders.rs
+++ b/crates/testkit/src/engine/orders.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         api::wait_while_hung,
-        record::Ended,
+        record::EndReason,
         state::{Engine, Job, State},
     },
     actix_web::{
@@ -206,7 +206,7 @@
     let open = state.open_streams_on(&order.instance);
     state.record.cut_by_unload += open.len() as u32;
     for name in open {
-        state.end(&name, Ended::Unloaded);
+        state.end(&name, EndReason::Unloaded);
     }
     state.record.unloads.push(order.instance);
     drop(state);
@@ -269,7 +269,7 @@
         .streams
         .get(&order.stream)
         .map(|stream| json!(stream.job).to_string());
-    state.end(&order.stream, Ended::Exported);
+    state.end(&order.stream, EndReason::Exported);
     drop(state);
     engine.tick.send_replace(());
     match job {
--- a/crates/testkit/src/engine/record.rs
+++ b/crates/testkit/src/engine/record.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ended {
+pub enum EndReason {
     /// All its tokens were generated.
     Done,
     /// It was cancelled.
@@ -22,7 +22,7 @@
 /// Record of one request on an engine.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
-pub struct RanRequest {
+pub struct RequestRecord {
     /// Request id from the `x-request-id` header.
     pub request_id: String,
     /// Client account from the `x-client-account` header.
@@ -42,7 +42,7 @@
     /// When it ended, in milliseconds of Unix time.
     pub end_ms: Option<u64>,
     /// Why it ended, none while it is open.
-    pub ended: Option<Ended>,
+    pub ended: Option<EndReason>,
 }
 
 /// Everything that an engine records for tests.
@@ -50,7 +50,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct EngineRecord {
     /// All accepted requests.
-    pub requests: Vec<RanRequest>,
+    pub requests: Vec<RequestRecord>,
     /// Number of steps run.
     pub steps: u64,
     /// Tokens generated over all steps.
--- a/crates/testkit/src/engine/state.rs
+++ b/crates/testkit/src/engine/state.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         answer::{answer_len, prefix_of, prompt_tokens},
-        record::{Ended, EngineRecord, RanRequest},
+        record::{EndReason, EngineRecord, RequestRecord},
         settings::{EngineFaults, EngineSettings},
     },
     crate::server::unix_ms,
@@ -40,7 +40,7 @@
     pub(super) prefill_left: u32,
     pub(super) readers: u32,
     pub(super) unread_since: Instant,
-    pub(super) ended: Option<Ended>,
+    pub(super) ended: Option<EndReason>,
     pub(super) record: usize,
 }
 
@@ -139,7 +139,7 @@
         self.last_stream += 1;
         let name = format!("s{}-{}", self.boot, self.last_stream);
         let prompt_tokens = prompt_tokens(&job.prompt);
-        self.record.requests.push(RanRequest {
+        self.record.requests.push(RequestRecord {
             request_id: job.request_id.clone(),
             account: job.account.clone(),
             instance: job.instance.clone(),
@@ -175,7 +175,7 @@
     pub(super) fn end(
         &mut self,
         name: &str,
-        ended: Ended,
+        ended: EndReason,
     ) -> bool {
         self.waiting.retain(|other| other != name);
         self.running.retain(|other| other != name);
@@ -206,7 +206,7 @@
     pub(super) fn restart(&mut self) {
         let streams: Vec<_> = self.streams.keys().cloned().collect();
         for name in streams {
-            self.end(&name, Ended::Restarted);
+            self.end(&name, EndReason::Restarted);
         }
         self.streams.clear();
         self.instances.clear();
--- a/crates/testkit/src/engine/stream_body.rs
+++ b/crates/testkit/src/engine/stream_body.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         answer::token,
-        record::Ended,
+        record::EndReason,
         state::{Engine, Stream},
     },
     actix_web::error::PayloadError,
@@ -71,7 +71,7 @@
     }
 
     /// Waits until the stream has ended; returns why, or `None` if it is unknown.
-    pub(super) async fn wait_ended(&mut self) -> Option<Ended> {
+    pub(super) async fn wait_ended(&mut self) -> Option<EndReason> {
         loop {
             match self.engine.lock().streams.get(&self.name) {
                 None => return None,
@@ -115,7 +115,7 @@
             _ if !text.is_empty() => ReadResult::Chunk(text.into()),
             _ if self.cut_after == Some(self.offset) => ReadResult::Cut,
             None => ReadResult::Wait,
-            Some(Ended::Done) => {
+            Some(EndReason::Done) => {
                 self.is_done = true;
                 let last = sse_event(self.offset, &chunk(stream, "", true));
                 ReadResult::Chunk(format!("{last}data: [DONE]\n\n").into())
--- a/crates/testkit/src/harness/cluster.rs
+++ b/crates/testkit/src/harness/cluster.rs
@@ -8,7 +8,7 @@
         vm::Vm,
     },
     crate::{
-        Running,
+        RunningServer,
         client::{Answer, Call, CallError, post_json},
         platform,
         proxy::Fault,
@@ -50,9 +50,9 @@
     /// Engines, servers and the weight store.
     pub upstreams: Upstreams,
     /// The platform stand-in: key-value service and VM list.
-    pub platform: Running,
+    pub platform: RunningServer,
     /// Status and latency of all gateway answers between readiness and the first success.
-    pub answers_when_ready: Vec<(u16, Duration)>,
+    pub answers_after_ready: Vec<(u16, Duration)>,
     spec: ClusterSpec,
     keys: Vec<String>,
     temp_dir: TempDir,
@@ -87,7 +87,7 @@
             vms: Vec::new(),
             upstreams,
             platform,
-            answers_when_ready: Vec::new(),
+            answers_after_ready: Vec::new(),
             spec,
             keys,
             temp_dir,
@@ -106,17 +106,17 @@
             cluster.vms.push(vm);
         }
         let ops = initial_ops(&cluster.spec, &cluster.upstreams, &cluster.keys);
-        if cluster.spec.gateways_first {
+        if cluster.spec.has_early_gateways {
             cluster.start_gateways()?;
             cluster.wait_for_gateways().await?;
         }
         cluster.apply_initial_edits(&ops).await?;
-        if !cluster.spec.gateways_first {
+        if !cluster.spec.has_early_gateways {
             cluster.start_gateways()?;
         }
         let answers = RefCell::new(Vec::new());
         cluster.wait_until_serving(&answers).await?;
-        cluster.answers_when_ready = answers.into_inner();
+        cluster.answers_after_ready = answers.into_inner();
         Ok(cluster)
     }
 
@@ -162,11 +162,11 @@
     }
 
     /// Caller address of a VM's gateway.
-    pub fn callers(
+    pub fn caller_address(
         &self,
         vm: u32,
     ) -> SocketAddr {
-        self.vms[vm as usize - 1].callers()
+        self.vms[vm as usize - 1].caller_address()
     }
 
     /// Sends an edit to the controller of a VM.
@@ -182,7 +182,7 @@
         ops: &[Value],
     ) -> Result<Answer, CallError> {
         let edit = json!({"id": id, "author": "test", "base": base, "ops": ops});
-        let operators = self.vms[vm as usize - 1].operators();
+        let operators = self.vms[vm as usize - 1].operator_address();
         Call::new(operators, Method::POST, "/v1/edits")
             .key(OPERATOR_TOKEN)
             .body(edit)
@@ -199,7 +199,7 @@
         &self,
         vm: u32,
     ) -> Result<u64, CallError> {
-        let operators = self.vms[vm as usize - 1].operators();
+        let operators = self.vms[vm as usize - 1].operator_address();
         let call = Call::new(operators, Method::GET, "/v1/tree").key(OPERATOR_TOKEN);
         let answer = call.send().await?;
         answer.json["revision"]
@@ -212,7 +212,7 @@
     /// # Errors
     ///
     /// When the stand-in doesn't answer.
-    pub async fn platform_fault(
+    pub async fn set_platform_faults(
         &self,
         faults: Value,
     ) -> Result<(), CallError> {
@@ -226,7 +226,7 @@
     /// # Errors
     ///
     /// When the stand-in doesn't answer.
-    pub async fn engine_fault(
+    pub async fn set_engine_faults(
         &self,
         engine: usize,
         faults: Value,
@@ -259,7 +259,7 @@
     }
 
     /// Sets the link mode of all upstream proxies.
-    pub fn upstream_links(
+    pub fn set_upstream_link_mode(
         &self,
         mode: Fault,
     ) {
@@ -309,7 +309,11 @@
         for vm in &self.vms {
             self.wait_until_ready(vm.number).await?;
             let check = || async {
-                let status = Call::new(vm.callers(), Method::GET, "/services/phones/phones/0");
+                let status = Call::new(
+                    vm.caller_address(),
+                    Method::GET,
+                    "/services/phones/phones/0",
+                );
                 let status = status.key(self.keys.first().map_or("", String::as_str));
                 let answer = status.send().await.map_err(|e| e.to_string())?;
                 answers.borrow_mut().push((answer.status, answer.took));
--- a/crates/testkit/src/harness/cluster_spec.rs
+++ b/crates/testkit/src/harness/cluster_spec.rs
@@ -58,13 +58,13 @@
     /// Client accounts, each with one key.
     pub accounts: Vec<AccountSpec>,
     /// Whether upstreams are reached through a proxy.
-    pub proxied_upstreams: bool,
+    pub has_proxied_upstreams: bool,
     /// Lease duration of the controllers.
     pub lease: Millis,
     /// Maximum age of a gateway's configuration.
-    pub config_stale: Millis,
+    pub max_config_age: Millis,
     /// Whether gateways start before the first configuration is applied.
-    pub gateways_first: bool,
+    pub has_early_gateways: bool,
 }
 
 impl ClusterSpec {
@@ -110,10 +110,10 @@
                 AccountSpec::new("courier", 20_000, 40_000),
                 AccountSpec::new("clinic", 20_000, 40_000),
             ],
-            proxied_upstreams: false,
+            has_proxied_upstreams: false,
             lease: Millis(2000),
-            config_stale: Millis(10_000),
-            gateways_first: false,
+            max_config_age: Millis(10_000),
+            has_early_gateways: false,
         }
     }
 }
--- a/crates/testkit/src/harness/mod.rs
+++ b/crates/testkit/src/harness/mod.rs
@@ -15,7 +15,7 @@
     cluster_spec::{AccountSpec, ClusterSpec},
     daemon::Daemon,
     poll::{HarnessError, poll},
-    served::served_within,
+    served::wait_until_served,
     upstreams::{UpstreamStandIn, Upstreams},
     vm::Vm,
 };
--- a/crates/testkit/src/harness/served.rs
+++ b/crates/testkit/src/harness/served.rs
@@ -12,14 +12,14 @@
 /// # Panics
 ///
 /// When no chat succeeds within `timeout`; the message contains the last answer.
-pub async fn served_within(
+pub async fn wait_until_served(
     cluster: &Cluster,
     vm: u32,
     model: &str,
     timeout: Duration,
 ) -> Duration {
     let mut call = Call::chat(
-        cluster.callers(vm),
+        cluster.caller_address(vm),
         cluster.key("clinic"),
         model,
         "hi",
@@ -29,7 +29,7 @@
     call.timeout = ATTEMPT_TIMEOUT;
     let check = || async {
         match call.send().await {
-            Ok(answer) if answer.is_whole() => Ok(()),
+            Ok(answer) if answer.is_complete() => Ok(()),
             Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
             Err(e) => Err(e.to_string()),
         }
--- a/crates/testkit/src/harness/upstreams.rs
+++ b/crates/testkit/src/harness/upstreams.rs
@@ -1,7 +1,7 @@
 use {
     super::{cluster_spec::ClusterSpec, poll::HarnessError},
     crate::{
-        Running,
+        RunningServer,
         client::get_json,
         engine::{self, EngineRecord, EngineSettings},
         proxy::Proxy,
@@ -22,13 +22,13 @@
     pub checks_fencing: bool,
     /// The proxy in front of it, if any.
     pub proxy: Option<Proxy>,
-    _running: Running,
+    _running: RunningServer,
 }
 
 impl UpstreamStandIn {
     fn new(
         name: String,
-        running: Running,
+        running: RunningServer,
         proxied: bool,
     ) -> Result<Self, HarnessError> {
         let address = running.address();
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Upstreams {
     /// The weight store stand-in.
-    pub weights: Running,
+    pub weights: RunningServer,
     /// The engine stand-ins.
     pub engines: Vec<UpstreamStandIn>,
     /// The service stand-ins.
@@ -78,14 +78,14 @@
             };
             let running = engine::start(loopback_any_port(), cfg)?;
             let mut engine =
-                UpstreamStandIn::new(format!("engine-{n}"), running, spec.proxied_upstreams)?;
+                UpstreamStandIn::new(format!("engine-{n}"), running, spec.has_proxied_upstreams)?;
             engine.checks_fencing = checks_fencing;
             Ok::<_, HarnessError>(engine)
         });
         let engines = engines.collect::<Result<_, _>>()?;
         let servers = (1..=spec.servers).map(|n| {
             let running = service::start(loopback_any_port())?;
-            UpstreamStandIn::new(format!("server-{n}"), running, spec.proxied_upstreams)
+            UpstreamStandIn::new(format!("server-{n}"), running, spec.has_proxied_upstreams)
         });
         let servers = servers.collect::<Result<_, _>>()?;
         Ok(Self {
--- a/crates/testkit/src/harness/vm.rs
+++ b/crates/testkit/src/harness/vm.rs
@@ -22,13 +22,13 @@
     /// The controller, `None` when stopped.
     pub controller: Option<Daemon>,
     /// Link from its controller to the platform.
-    pub to_platform: Proxy,
+    pub platform_link: Proxy,
     /// Link from its gateway to its controller.
-    pub to_controller: Proxy,
+    pub controller_link: Proxy,
     /// Link from other daemons to its controller.
-    pub controller_peers: Proxy,
+    pub controller_peer_link: Proxy,
     /// Link from other daemons to its gateway.
-    pub gateway_peers: Proxy,
+    pub gateway_peer_link: Proxy,
     settings_dir: PathBuf,
 }
 
@@ -46,21 +46,21 @@
             number,
             gateway: None,
             controller: None,
-            to_platform: Proxy::start(loopback_any_port(), platform)?,
-            to_controller: Proxy::start(loopback_any_port(), placeholder)?,
-            controller_peers: Proxy::start(loopback_any_port(), placeholder)?,
-            gateway_peers: Proxy::start(loopback_any_port(), placeholder)?,
+            platform_link: Proxy::start(loopback_any_port(), platform)?,
+            controller_link: Proxy::start(loopback_any_port(), placeholder)?,
+            controller_peer_link: Proxy::start(loopback_any_port(), placeholder)?,
+            gateway_peer_link: Proxy::start(loopback_any_port(), placeholder)?,
             settings_dir: settings_dir.to_owned(),
         };
         let any = loopback_any_port();
-        let store = format!("http://{}", vm.to_platform.address());
+        let store = format!("http://{}", vm.platform_link.address());
         vm.write_settings(
             "controller",
             &json!({
                 "vm": number,
                 "data_centre": data_centre(spec, number - 1),
                 "listen": {"operators": any, "peers": any, "status": any},
-                "advertise": {"peers": vm.controller_peers.address()},
+                "advertise": {"peers": vm.controller_peer_link.address()},
                 "platform": {"kv": [store], "vms": store},
                 "operators": {"token_digests": [token_digest]},
                 "lease_ms": spec.lease,
@@ -73,9 +73,9 @@
                 "vm": number,
                 "data_centre": data_centre(spec, number - 1),
                 "listen": {"callers": any, "peers": any, "status": any},
-                "advertise": {"peers": vm.gateway_peers.address()},
-                "controller": vm.to_controller.address(),
-                "config_stale_ms": spec.config_stale,
+                "advertise": {"peers": vm.gateway_peer_link.address()},
+                "controller": vm.controller_link.address(),
+                "config_stale_ms": spec.max_config_age,
                 "stop": {"grace_ms": 200, "deadline_ms": 10_000},
             }),
         )?;
@@ -90,8 +90,8 @@
     /// As [`Daemon::start`].
     pub fn start_controller(&mut self) -> Result<(), HarnessError> {
         let daemon = Daemon::start("jasmine-controller", &self.settings_path("controller"))?;
-        self.to_controller.retarget(daemon.port("peers"));
-        self.controller_peers.retarget(daemon.port("peers"));
+        self.controller_link.retarget(daemon.port("peers"));
+        self.controller_peer_link.retarget(daemon.port("peers"));
         self.controller = Some(daemon);
         Ok(())
     }
@@ -103,7 +103,7 @@
     /// As [`Daemon::start`].
     pub fn start_gateway(&mut self) -> Result<(), HarnessError> {
         let daemon = Daemon::start("jasmine-gateway", &self.settings_path("gateway"))?;
-        self.gateway_peers.retarget(daemon.port("peers"));
+        self.gateway_peer_link.retarget(daemon.port("peers"));
         self.gateway = Some(daemon);
         Ok(())
     }
@@ -113,7 +113,7 @@
     /// # Panics
     ///
     /// When the gateway is not running.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn caller_address(&self) -> SocketAddr {
         self.gateway
             .as_ref()
             .expect("the gateway runs")
@@ -125,7 +125,7 @@
     /// # Panics
     ///
     /// When the controller is not running.
-    pub fn operators(&self) -> SocketAddr {
+    pub fn operator_address(&self) -> SocketAddr {
         self.controller
             .as_ref()
             .expect("the controller runs")
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod service;
 pub mod weights;
 
-pub use server::Running;
+pub use server::RunningServer;
--- a/crates/testkit/src/load/arrivals.rs
+++ b/crates/testkit/src/load/arrivals.rs
@@ -16,7 +16,7 @@
 /// Pattern of request arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(derive_more::Display)]
-pub enum Load {
+pub enum LoadPattern {
     /// Every account sends at 60 % of its rate, spread over the VMs.
     Steady,
     /// As `Steady`, but to a single VM that changes every ten seconds.
@@ -39,7 +39,7 @@
     pub(super) number: u64,
 }
 
-impl Load {
+impl LoadPattern {
     /// All patterns.
     pub const ALL: [Self; 5] = [
         Self::Steady,
--- a/crates/testkit/src/load/drive.rs
+++ b/crates/testkit/src/load/drive.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        arrivals::{Arrival, Load},
+        arrivals::{Arrival, LoadPattern},
         sample::Sample,
     },
     crate::{client::Call, engine::answer, harness::Cluster},
@@ -37,7 +37,7 @@
 /// Sends an open-loop load and returns a sample per request.
 pub async fn drive(
     cluster: &Cluster,
-    load: Load,
+    load: LoadPattern,
     run: Duration,
     seed: u64,
 ) -> Vec<Sample> {
@@ -49,7 +49,7 @@
         gateways: cluster
             .vms
             .iter()
-            .map(crate::harness::Vm::callers)
+            .map(crate::harness::Vm::caller_address)
             .collect(),
         keys: names.map(|name| cluster.key(name).to_owned()).collect(),
     };
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -8,7 +8,7 @@
 mod sample;
 
 pub use {
-    arrivals::Load,
+    arrivals::LoadPattern,
     drive::drive,
     overhead::{Overhead, measure_overhead},
     report::{AccountReport, Report},
--- a/crates/testkit/src/load/overhead.rs
+++ b/crates/testkit/src/load/overhead.rs
@@ -34,7 +34,7 @@
     let path = "/phones/17";
     let direct = Call::new(cluster.upstreams.servers[0].address, Method::GET, path);
     let via_gateway = Call::new(
-        cluster.callers(1),
+        cluster.caller_address(1),
         Method::GET,
         &format!("/services/phones{path}"),
     );
--- a/crates/testkit/src/load/sample.rs
+++ b/crates/testkit/src/load/sample.rs
@@ -47,7 +47,7 @@
         });
         let usage = |name: &str| answer.usage[name].as_u64().unwrap_or(0);
         let pairs = answer.parts.iter().zip(answer.parts.iter().skip(1));
-        let code = match answer.is_whole() {
+        let code = match answer.is_complete() {
             true => String::new(),
             false if answer.code().is_empty() => "cut_unmarked".to_owned(),
             false => answer.code().to_owned(),
@@ -57,9 +57,9 @@
             sent_ms,
             cost_bound,
             cost: usage("prompt_tokens") + usage("completion_tokens"),
-            is_correct: answer.is_whole() && answer.text == expected,
+            is_correct: answer.is_complete() && answer.text == expected,
             has_wrong_text: !expected.starts_with(&answer.text)
-                || (answer.is_whole() && answer.text != expected),
+                || (answer.is_complete() && answer.text != expected),
             code,
             is_not_run: answer.json["error"]["execution"] == "not_run",
             first_us: answer.parts.first().map_or(0, |at| at.as_micros() as u64),
--- a/crates/testkit/src/platform/api.rs
+++ b/crates/testkit/src/platform/api.rs
@@ -6,7 +6,7 @@
         vm_list::{DelayedList, VmList},
         watch::Watcher,
     },
-    crate::server::{self, Running, lost_reply},
+    crate::server::{self, RunningServer, lost_reply},
     actix_web::{
         HttpResponse,
         web::{self, Data, Json},
@@ -105,7 +105,7 @@
 /// # Errors
 ///
 /// When the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<Running> {
+pub fn start(address: SocketAddr) -> io::Result<RunningServer> {
     let platform = Data::new(Platform {
         state: Mutex::default(),
         changed: watch::Sender::new(()),
--- a/crates/testkit/src/proxy/control.rs
+++ b/crates/testkit/src/proxy/control.rs
@@ -1,6 +1,6 @@
 use {
     super::{link::Link, tcp_proxy::Proxy},
-    crate::server::{self, Running},
+    crate::server::{self, RunningServer},
     actix_web::{
         HttpResponse,
         web::{self, Data, Json},
@@ -16,7 +16,7 @@
 pub fn start_control(
     address: SocketAddr,
     proxy: Proxy,
-) -> io::Result<Running> {
+) -> io::Result<RunningServer> {
     let proxy = Data::new(proxy);
     let routes = move |cfg: &mut web::ServiceConfig| {
         cfg.app_data(Data::clone(&proxy))
--- a/crates/testkit/src/proxy/mod.rs
+++ b/crates/testkit/src/proxy/mod.rs
@@ -2,12 +2,12 @@
 
 mod control;
 mod link;
-mod passed;
 mod tcp_proxy;
+mod transferred_bytes;
 
 pub use {
     control::start_control,
     link::{Fault, Link},
-    passed::Passed,
     tcp_proxy::Proxy,
+    transferred_bytes::TransferredBytes,
 };
--- a/crates/testkit/src/proxy/tcp_proxy.rs
+++ b/crates/testkit/src/proxy/tcp_proxy.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         link::{Direction, Fault, Link, State},
-        passed::{Passed, TransferCounters},
+        transferred_bytes::{TransferCounters, TransferredBytes},
     },
     std::{
         io,
@@ -81,8 +81,8 @@
     }
 
     /// Bytes transferred in each direction, over all connections.
-    pub fn passed(&self) -> Passed {
-        self.count.passed()
+    pub fn transferred_bytes(&self) -> TransferredBytes {
+        self.count.transferred_bytes()
     }
 
     /// Forwards new connections to another target, such as a restarted process.
@@ -195,7 +195,7 @@
     count: &TransferCounters,
 ) -> io::Result<()> {
     let mut buf = vec![0; BUFFER_BYTES];
-    let mut passed = 0;
+    let mut transferred_bytes = 0;
     loop {
         let n = from.read(&mut buf).await?;
         let link = rx
@@ -210,12 +210,12 @@
             time::sleep(Duration::from_millis(link.delay_ms)).await;
         }
         let allowance = match (link.close_after, direction) {
-            (Some(limit), Direction::ToClient) => limit.saturating_sub(passed) as usize,
+            (Some(limit), Direction::ToClient) => limit.saturating_sub(transferred_bytes) as usize,
             _ => usize::MAX,
         };
         to.write_all(&buf[..n.min(allowance)]).await?;
         count.add(direction, n.min(allowance) as u64);
-        passed += n as u64;
+        transferred_bytes += n as u64;
         if n >= allowance {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
--- a/crates/testkit/src/proxy/passed.rs
+++ b/crates/testkit/src/proxy/transferred_bytes.rs
@@ -5,7 +5,7 @@
 
 /// Bytes transferred through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct TransferredBytes {
     /// Bytes from clients to the target.
     pub to_target: u64,
     /// Bytes from the target to clients.
@@ -32,8 +32,8 @@
         count.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    pub(super) fn passed(&self) -> Passed {
-        Passed {
+    pub(super) fn transferred_bytes(&self) -> TransferredBytes {
+        TransferredBytes {
             to_target: self.to_target.load(Ordering::Relaxed),
             to_client: self.to_client.load(Ordering::Relaxed),
         }
--- a/crates/testkit/src/server/mod.rs
+++ b/crates/testkit/src/server/mod.rs
@@ -4,7 +4,7 @@
 mod lost_reply;
 mod running;
 
-pub use running::Running;
+pub use running::RunningServer;
 pub(crate) use {
     headers::{header, header_list},
     lost_reply::{lost_reply, unix_ms},
--- a/crates/testkit/src/server/running.rs
+++ b/crates/testkit/src/server/running.rs
@@ -14,13 +14,13 @@
 
 /// Handle of a running stand-in; dropping it stops the server and closes its connections.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningServer {
     address: SocketAddr,
     handle: ServerHandle,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningServer {
     /// Listen address.
     pub const fn address(&self) -> SocketAddr {
         self.address
@@ -34,7 +34,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         if let Some(thread) = self.thread.take() {
             block_on(self.handle.stop(false));
@@ -48,7 +48,7 @@
     address: SocketAddr,
     routes: R,
     background: B,
-) -> io::Result<Running>
+) -> io::Result<RunningServer>
 where
     R: Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
     B: FnOnce() -> F + Send + 'static,
@@ -85,7 +85,7 @@
         });
     });
     let handle = rx.recv().map_err(io::Error::other)??;
-    Ok(Running {
+    Ok(RunningServer {
         address: bound,
         handle,
         thread: Some(thread),
--- a/crates/testkit/src/service/plain_service.rs
+++ b/crates/testkit/src/service/plain_service.rs
@@ -1,5 +1,5 @@
 use {
-    crate::server::{self, Running, header, header_list, lost_reply, unix_ms},
+    crate::server::{self, RunningServer, header, header_list, lost_reply, unix_ms},
     actix_web::{
         HttpRequest, HttpResponse,
         web::{self, Bytes, Data, Json},
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// When the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<Running> {
+pub fn start(address: SocketAddr) -> io::Result<RunningServer> {
     let service = Data::new(PlainService::default());
     let routes = move |cfg: &mut web::ServiceConfig| {
         cfg.app_data(Data::clone(&service))
--- a/crates/testkit/src/weights/weight_store.rs
+++ b/crates/testkit/src/weights/weight_store.rs
@@ -1,5 +1,5 @@
 use {
-    crate::server::{self, Running},
+    crate::server::{self, RunningServer},
     actix_web::{
         HttpResponse,
         web::{self, Data, Json, Path},
@@ -94,7 +94,7 @@
 pub fn start(
     address: SocketAddr,
     cfg: WeightSettings,
-) -> io::Result<Running> {
+) -> io::Result<RunningServer> {
     let store = Data::new(WeightStore::default());
     store.lock().cfg = cfg;
     let routes = move |cfg: &mut web::ServiceConfig| {
--- a/crates/testkit/tests/account_made.rs
+++ b/crates/testkit/tests/account_made.rs
@@ -40,9 +40,9 @@
 ) -> String {
     let deadline = Instant::now() + KEY_KNOWN_TIMEOUT;
     loop {
-        let call = Call::chat(cluster.callers(vm), key, "base", "hi", 16, true);
+        let call = Call::chat(cluster.caller_address(vm), key, "base", "hi", 16, true);
         let code = match call.send().await {
-            Ok(answer) if answer.is_whole() => "whole".to_owned(),
+            Ok(answer) if answer.is_complete() => "whole".to_owned(),
             Ok(answer) => answer.code().to_owned(),
             Err(e) => e.to_string(),
         };
@@ -85,14 +85,14 @@
 /// rights: the balancer would send them requests that wait or are rate-limited.
 #[actix_web::test]
 async fn ready_at_first_start() {
-    for gateways_first in [true, false] {
+    for has_early_gateways in [true, false] {
         let spec = ClusterSpec {
-            gateways_first,
+            has_early_gateways,
             ..ClusterSpec::default()
         };
         let cluster = Cluster::start(spec).await.unwrap();
-        let answers = &cluster.answers_when_ready;
-        println!("gateways first: {gateways_first}, {answers:?}");
+        let answers = &cluster.answers_after_ready;
+        println!("gateways first: {has_early_gateways}, {answers:?}");
         let is_prompt =
             |(status, took): &(u16, Duration)| *status == 200 && *took < MAX_READY_LATENCY;
         assert!(answers.iter().all(is_prompt), "{answers:?}");
--- a/crates/testkit/tests/all_gone.rs
+++ b/crates/testkit/tests/all_gone.rs
@@ -18,7 +18,7 @@
     vm: u32,
 ) -> Call {
     let mut call = Call::chat(
-        cluster.callers(vm),
+        cluster.caller_address(vm),
         cluster.key("clinic"),
         "notes-1",
         "hi",
@@ -35,7 +35,7 @@
 ) -> Duration {
     let check = || async {
         match chat(cluster, vm).send().await {
-            Ok(answer) if answer.is_whole() => Ok(()),
+            Ok(answer) if answer.is_complete() => Ok(()),
             Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
             Err(e) => Err(e.to_string()),
         }
@@ -56,7 +56,7 @@
     let accepted = cluster.edit(1, "before", 1, &ops).await.unwrap();
     assert_eq!(accepted.status, 200, "{accepted:?}");
     cluster
-        .platform_fault(json!({"outage": true}))
+        .set_platform_faults(json!({"outage": true}))
         .await
         .unwrap();
     for vm in &mut cluster.vms {
@@ -72,7 +72,7 @@
         assert_eq!(refused.code(), "config_unavailable", "{refused:?}");
         assert_eq!(refused.json["error"]["execution"], "not_run");
     }
-    cluster.platform_fault(json!({})).await.unwrap();
+    cluster.set_platform_faults(json!({})).await.unwrap();
     for vm in [1, 2] {
         let recovery = wait_until_served(&cluster, vm).await;
         assert_eq!(cluster.revision(vm).await.unwrap(), 2);
@@ -87,7 +87,7 @@
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     wait_until_served(&cluster, 2).await;
     cluster
-        .platform_fault(json!({"outage": true}))
+        .set_platform_faults(json!({"outage": true}))
         .await
         .unwrap();
     cluster.vms[0].gateway.take().unwrap().kill();
@@ -97,13 +97,13 @@
     wait_until_served(&cluster, 2).await;
     let early = chat(&cluster, 1).send().await.unwrap();
     let is_refused_not_run = early.json["error"]["execution"] == "not_run";
-    assert!(early.is_whole() || is_refused_not_run, "{early:?}");
+    assert!(early.is_complete() || is_refused_not_run, "{early:?}");
     println!(
         "the new VM in the outage: {} {}",
         early.status,
         early.code()
     );
-    cluster.platform_fault(json!({})).await.unwrap();
+    cluster.set_platform_faults(json!({})).await.unwrap();
     let recovery = wait_until_served(&cluster, 1).await;
     println!("the new VM serves {recovery:?} after the platform was back");
 }
@@ -115,14 +115,14 @@
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     wait_until_served(&cluster, 1).await;
     for vm in &cluster.vms {
-        vm.controller_peers.set_mode(Fault::Silent);
-        vm.gateway_peers.set_mode(Fault::Silent);
-        vm.to_platform.set_mode(Fault::Silent);
+        vm.controller_peer_link.set_mode(Fault::Silent);
+        vm.gateway_peer_link.set_mode(Fault::Silent);
+        vm.platform_link.set_mode(Fault::Silent);
     }
     let frozen = cluster.vms[0].gateway.as_ref().unwrap();
     frozen.signal(nix::sys::signal::Signal::SIGSTOP);
     let send_enrolment = |vm: u32, n: u32| {
-        let to = cluster.callers(vm);
+        let to = cluster.caller_address(vm);
         let key = cluster.key("clinic").to_owned();
         async move {
             let path = format!("/services/phones/phones/{n}/enrolment");
--- a/crates/testkit/tests/controller_lost.rs
+++ b/crates/testkit/tests/controller_lost.rs
@@ -1,7 +1,7 @@
 //! Controllers killed while their gateways keep running.
 
 use {
-    jasmine_testkit::harness::{Cluster, ClusterSpec, served_within},
+    jasmine_testkit::harness::{Cluster, ClusterSpec, wait_until_served},
     std::time::Duration,
 };
 
@@ -10,12 +10,12 @@
 #[actix_web::test]
 async fn one_killed() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    served_within(&cluster, 1, "notes-1", Duration::from_secs(10)).await;
+    wait_until_served(&cluster, 1, "notes-1", Duration::from_secs(10)).await;
     cluster.vms[0].controller.take().unwrap().kill();
-    let loaded = served_within(&cluster, 1, "notes-1", Duration::from_secs(5)).await;
-    let cold = served_within(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
+    let loaded = wait_until_served(&cluster, 1, "notes-1", Duration::from_secs(5)).await;
+    let cold = wait_until_served(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
     cluster.vms[0].start_controller().unwrap();
-    let after = served_within(&cluster, 1, "notes-3", Duration::from_secs(20)).await;
+    let after = wait_until_served(&cluster, 1, "notes-3", Duration::from_secs(20)).await;
     println!("loaded {loaded:?}, cold {cold:?}, cold with the new controller {after:?}");
 }
 
@@ -25,20 +25,20 @@
 async fn all_killed() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     for vm in [1, 2] {
-        served_within(&cluster, vm, "notes-1", Duration::from_secs(10)).await;
+        wait_until_served(&cluster, vm, "notes-1", Duration::from_secs(10)).await;
     }
     for vm in &mut cluster.vms {
         vm.controller.take().unwrap().kill();
     }
     for vm in [1, 2] {
-        let loaded = served_within(&cluster, vm, "notes-1", Duration::from_secs(3)).await;
+        let loaded = wait_until_served(&cluster, vm, "notes-1", Duration::from_secs(3)).await;
         println!("VM {vm} served after {loaded:?}");
     }
     for vm in &mut cluster.vms {
         vm.start_controller().unwrap();
     }
     for vm in [1, 2] {
-        let recovery = served_within(&cluster, vm, "notes-4", Duration::from_secs(30)).await;
+        let recovery = wait_until_served(&cluster, vm, "notes-4", Duration::from_secs(30)).await;
         println!("VM {vm} served a cold adapter {recovery:?} after the controllers were back");
     }
 }
--- a/crates/testkit/tests/crossed_answer.rs
+++ b/crates/testkit/tests/crossed_answer.rs
@@ -3,7 +3,7 @@
 use {
     jasmine_testkit::{
         client::Call,
-        engine::chat_answer,
+        engine::expected_chat_answer,
         harness::{Cluster, ClusterSpec},
     },
     serde_json::json,
@@ -17,11 +17,11 @@
         ..ClusterSpec::default()
     };
     let cluster = Cluster::start(spec).await.unwrap();
-    let (to, key) = (cluster.callers(1), cluster.key("clinic"));
-    let expected = chat_answer("notes-1-v1", "hello", 20);
+    let (to, key) = (cluster.caller_address(1), cluster.key("clinic"));
+    let expected = expected_chat_answer("notes-1-v1", "hello", 20);
     for stream in [true, false] {
         cluster
-            .engine_fault(0, json!({"crossed_answers": 1}))
+            .set_engine_faults(0, json!({"crossed_answers": 1}))
             .await
             .unwrap();
         let answer = Call::chat(to, key, "notes-1", "hello", 20, stream)
--- a/crates/testkit/tests/cut_stream.rs
+++ b/crates/testkit/tests/cut_stream.rs
@@ -3,7 +3,7 @@
 use {
     jasmine_testkit::{
         client::{Call, EndOfStream},
-        engine::{EngineSettings, chat_answer, long_message},
+        engine::{EngineSettings, expected_chat_answer, message_with_long_answer},
         harness::{Cluster, ClusterSpec, poll},
     },
     serde_json::json,
@@ -15,16 +15,16 @@
 #[actix_web::test]
 async fn resumed() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let text = long_message("notes-1-v1");
+    let text = message_with_long_answer("notes-1-v1");
     for engine in 0..cluster.upstreams.engines.len() {
         cluster
-            .engine_fault(engine, json!({"cut_streams_after": 20}))
+            .set_engine_faults(engine, json!({"cut_streams_after": 20}))
             .await
             .unwrap();
     }
     for stream in [true, false] {
         let call = Call::chat(
-            cluster.callers(1),
+            cluster.caller_address(1),
             cluster.key("courier"),
             "notes-1",
             &text,
@@ -32,8 +32,8 @@
             stream,
         );
         let answer = call.send().await.unwrap();
-        assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.text, chat_answer("notes-1-v1", &text, 64));
+        assert!(answer.is_complete(), "{answer:?}");
+        assert_eq!(answer.text, expected_chat_answer("notes-1-v1", &text, 64));
         assert_eq!(
             answer.usage["completion_tokens"],
             answer.text.matches(' ').count()
@@ -51,12 +51,12 @@
         ..ClusterSpec::default()
     };
     let cluster = Cluster::start(spec).await.unwrap();
-    let text = long_message("notes-1-v1");
-    let expected = chat_answer("notes-1-v1", &text, 64);
+    let text = message_with_long_answer("notes-1-v1");
+    let expected = expected_chat_answer("notes-1-v1", &text, 64);
     for stream in [true, false] {
         let call = || {
             Call::chat(
-                cluster.callers(1),
+                cluster.caller_address(1),
                 cluster.key("courier"),
                 "notes-1",
                 &text,
@@ -67,7 +67,7 @@
         // The adapter is not loaded at first, nor after the restart in the previous iteration.
         let served = || async {
             match call().send().await {
-                Ok(answer) if answer.is_whole() => Ok(answer),
+                Ok(answer) if answer.is_complete() => Ok(answer),
                 Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
                 Err(e) => Err(e.to_string()),
             }
@@ -87,7 +87,7 @@
         let running = actix_web::rt::spawn(async move { running.send().await });
         cluster.wait_for_tokens(before + 10).await.unwrap();
         cluster
-            .engine_fault(0, json!({"restart": true}))
+            .set_engine_faults(0, json!({"restart": true}))
             .await
             .unwrap();
         let answer = running.await.unwrap().unwrap();
@@ -97,7 +97,7 @@
             answer.end,
             answer.code()
         );
-        if answer.is_whole() {
+        if answer.is_complete() {
             assert_eq!(answer.text, expected);
         } else {
             assert!(expected.starts_with(&answer.text), "{answer:?}");
@@ -109,7 +109,7 @@
         }
     }
     let last = Call::chat(
-        cluster.callers(2),
+        cluster.caller_address(2),
         cluster.key("courier"),
         "notes-1",
         &text,
@@ -118,7 +118,7 @@
     );
     let last = || async {
         match last.send().await {
-            Ok(answer) if answer.is_whole() => Ok(answer.text),
+            Ok(answer) if answer.is_complete() => Ok(answer.text),
             Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
             Err(e) => Err(e.to_string()),
         }
--- a/crates/testkit/tests/data_centre_lost.rs
+++ b/crates/testkit/tests/data_centre_lost.rs
@@ -18,7 +18,7 @@
         vms: 3,
         engines: 3,
         servers: 3,
-        proxied_upstreams: true,
+        has_proxied_upstreams: true,
         ..ClusterSpec::default()
     }
 }
@@ -29,7 +29,7 @@
     model: &str,
 ) -> Call {
     let mut call = Call::chat(
-        cluster.callers(vm),
+        cluster.caller_address(vm),
         cluster.key("clinic"),
         model,
         "hi",
@@ -47,7 +47,7 @@
 ) -> Duration {
     let check = || async {
         match chat(cluster, vm, model).send().await {
-            Ok(answer) if answer.is_whole() => Ok(()),
+            Ok(answer) if answer.is_complete() => Ok(()),
             Ok(answer) => Err(format!("{} {}", answer.status, answer.code())),
             Err(e) => Err(e.to_string()),
         }
@@ -59,7 +59,7 @@
 /// Asserts that a response is complete or carries an error code.
 fn assert_whole_or_error(answer: &Answer) {
     let has_error = !answer.code().is_empty();
-    assert!(answer.is_whole() || has_error, "{answer:?}");
+    assert!(answer.is_complete() || has_error, "{answer:?}");
 }
 
 /// Sets the fault mode of every link to the data centre of VM 3.
@@ -68,9 +68,9 @@
     mode: Fault,
 ) {
     let vm = &cluster.vms[2];
-    vm.controller_peers.set_mode(mode);
-    vm.gateway_peers.set_mode(mode);
-    vm.to_platform.set_mode(mode);
+    vm.controller_peer_link.set_mode(mode);
+    vm.gateway_peer_link.set_mode(mode);
+    vm.platform_link.set_mode(mode);
     let upstreams = [&cluster.upstreams.engines[2], &cluster.upstreams.servers[2]];
     for proxy in upstreams
         .iter()
@@ -113,7 +113,7 @@
 #[actix_web::test]
 async fn cut_off() {
     let spec = ClusterSpec {
-        config_stale: jasmine_core::clock::Millis(3000),
+        max_config_age: jasmine_core::clock::Millis(3000),
         ..three_data_centres()
     };
     let cluster = Cluster::start(spec).await.unwrap();
@@ -122,8 +122,8 @@
     }
     set_third_data_centre_links(&cluster, Fault::Cut);
     for vm in &cluster.vms {
-        vm.controller_peers.set_mode(Fault::Cut);
-        vm.gateway_peers.set_mode(Fault::Cut);
+        vm.controller_peer_link.set_mode(Fault::Cut);
+        vm.gateway_peer_link.set_mode(Fault::Cut);
     }
     let refused = || async {
         match chat(&cluster, 3, "base").send().await {
@@ -142,8 +142,8 @@
     }
     set_third_data_centre_links(&cluster, Fault::Pass);
     for vm in &cluster.vms {
-        vm.controller_peers.set_mode(Fault::Pass);
-        vm.gateway_peers.set_mode(Fault::Pass);
+        vm.controller_peer_link.set_mode(Fault::Pass);
+        vm.gateway_peer_link.set_mode(Fault::Pass);
     }
     let recovery = wait_until_served(&cluster, 3, "base").await;
     println!("refused {after:?} after the cut, served {recovery:?} after its end");
--- a/crates/testkit/tests/failing_engine.rs
+++ b/crates/testkit/tests/failing_engine.rs
@@ -3,7 +3,7 @@
 use {
     jasmine_testkit::{
         client::{Call, post_json},
-        harness::{Cluster, ClusterSpec, served_within},
+        harness::{Cluster, ClusterSpec, wait_until_served},
     },
     serde_json::json,
     std::time::{Duration, Instant},
@@ -15,7 +15,7 @@
     model: &str,
 ) -> Call {
     Call::chat(
-        cluster.callers(vm),
+        cluster.caller_address(vm),
         cluster.key("courier"),
         model,
         "hi",
@@ -29,7 +29,7 @@
 async fn loads_fail_at_one() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     cluster
-        .engine_fault(0, json!({"fail_loads": 1000}))
+        .set_engine_faults(0, json!({"fail_loads": 1000}))
         .await
         .unwrap();
     let mut slowest = Duration::ZERO;
@@ -38,7 +38,7 @@
             .send()
             .await
             .unwrap();
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
         slowest = slowest.max(answer.took);
     }
     let record = cluster.upstreams.engine_records().await.swap_remove(0);
@@ -77,11 +77,11 @@
     assert!(!refused.header("retry-after").is_empty(), "{refused:?}");
     assert!(refused.took < Duration::from_secs(10), "{:?}", refused.took);
     let other = chat(&cluster, 1, "notes-2").send().await.unwrap();
-    assert!(other.is_whole(), "{other:?}");
+    assert!(other.is_complete(), "{other:?}");
     post_json(store, "/stand-in/settings", settings(&[]))
         .await
         .unwrap();
-    let recovery = served_within(&cluster, 1, "notes-1", Duration::from_secs(40)).await;
+    let recovery = wait_until_served(&cluster, 1, "notes-1", Duration::from_secs(40)).await;
     println!("served {recovery:?} after the weights were back");
 }
 
@@ -91,10 +91,10 @@
 async fn one_hangs() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     for n in 1..=6 {
-        served_within(&cluster, 1, &format!("notes-{n}"), Duration::from_secs(10)).await;
+        wait_until_served(&cluster, 1, &format!("notes-{n}"), Duration::from_secs(10)).await;
     }
     cluster
-        .engine_fault(0, json!({"hang": true}))
+        .set_engine_faults(0, json!({"hang": true}))
         .await
         .unwrap();
     let calls: Vec<_> = (1..=6)
@@ -105,14 +105,18 @@
     let first = start.elapsed();
     for answer in answers {
         let answer = answer.unwrap();
-        assert!(answer.is_whole() || !answer.code().is_empty(), "{answer:?}");
+        assert!(
+            answer.is_complete() || !answer.code().is_empty(),
+            "{answer:?}"
+        );
     }
     assert!(first < Duration::from_secs(30), "{first:?}");
     let mut slowest = Duration::ZERO;
     for n in 1..=6 {
-        let took = served_within(&cluster, 2, &format!("notes-{n}"), Duration::from_secs(20)).await;
+        let took =
+            wait_until_served(&cluster, 2, &format!("notes-{n}"), Duration::from_secs(20)).await;
         slowest = slowest.max(took);
     }
     println!("work under way ended within {first:?}, then all served, the slowest in {slowest:?}");
-    cluster.engine_fault(0, json!({})).await.unwrap();
+    cluster.set_engine_faults(0, json!({})).await.unwrap();
 }
--- a/crates/testkit/tests/former_owner.rs
+++ b/crates/testkit/tests/former_owner.rs
@@ -3,7 +3,7 @@
 use {
     jasmine_testkit::{
         client::Call,
-        engine::{EngineSettings, chat_answer},
+        engine::{EngineSettings, expected_chat_answer},
         harness::{Cluster, ClusterSpec},
     },
     nix::sys::signal::Signal,
@@ -45,17 +45,17 @@
                 let text = format!("turn {turn} of lane {n}");
                 let model = format!("notes-{adapter}");
                 let call = Call::chat(
-                    cluster.callers(n % 2 + 1),
+                    cluster.caller_address(n % 2 + 1),
                     cluster.key("clinic"),
                     &model,
                     &text,
                     20,
                     true,
                 );
-                let expected = chat_answer(&format!("{model}-v1"), &text, 20);
+                let expected = expected_chat_answer(&format!("{model}-v1"), &text, 20);
                 match call.send().await {
-                    Ok(answer) if answer.is_whole() && answer.text == expected => whole += 1,
-                    Ok(answer) if answer.is_whole() || !expected.starts_with(&answer.text) => {
+                    Ok(answer) if answer.is_complete() && answer.text == expected => whole += 1,
+                    Ok(answer) if answer.is_complete() || !expected.starts_with(&answer.text) => {
                         failures.push(format!("{answer:?}"));
                     }
                     Ok(answer) => refused.push(answer.code().to_owned()),
--- a/crates/testkit/tests/gateway_lost.rs
+++ b/crates/testkit/tests/gateway_lost.rs
@@ -3,8 +3,8 @@
 use {
     jasmine_testkit::{
         client::{Call, EndOfStream},
-        engine::{EngineSettings, chat_answer, long_message},
-        harness::{Cluster, ClusterSpec, served_within},
+        engine::{EngineSettings, expected_chat_answer, message_with_long_answer},
+        harness::{Cluster, ClusterSpec, wait_until_served},
     },
     nix::sys::signal::Signal,
     std::time::Duration,
@@ -22,9 +22,9 @@
 #[actix_web::test]
 async fn killed() {
     let mut cluster = Cluster::start(slow_engines()).await.unwrap();
-    let text = long_message("notes-1-v1");
+    let text = message_with_long_answer("notes-1-v1");
     let call = Call::chat(
-        cluster.callers(1),
+        cluster.caller_address(1),
         cluster.key("courier"),
         "notes-1",
         &text,
@@ -36,10 +36,10 @@
     cluster.vms[0].gateway.take().unwrap().kill();
     let answer = stream.await.unwrap().unwrap();
     assert_eq!(answer.end, EndOfStream::Cut, "{answer:?}");
-    assert!(chat_answer("notes-1-v1", &text, 64).starts_with(&answer.text));
-    let other = served_within(&cluster, 2, "notes-2", Duration::from_secs(5)).await;
+    assert!(expected_chat_answer("notes-1-v1", &text, 64).starts_with(&answer.text));
+    let other = wait_until_served(&cluster, 2, "notes-2", Duration::from_secs(5)).await;
     cluster.vms[0].start_gateway().unwrap();
-    let replaced = served_within(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
+    let replaced = wait_until_served(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
     println!("other VM served after {other:?}, the new process after {replaced:?}");
 }
 
@@ -48,12 +48,12 @@
 #[actix_web::test]
 async fn ready_means_serving() {
     let mut cluster = Cluster::start(slow_engines()).await.unwrap();
-    served_within(&cluster, 2, "notes-2", Duration::from_secs(5)).await;
+    wait_until_served(&cluster, 2, "notes-2", Duration::from_secs(5)).await;
     cluster.vms[0].gateway.take().unwrap().kill();
     cluster.vms[0].start_gateway().unwrap();
     cluster.wait_until_ready(1).await.unwrap();
     let call = Call::chat(
-        cluster.callers(1),
+        cluster.caller_address(1),
         cluster.key("clinic"),
         "notes-2",
         "hi",
@@ -61,7 +61,7 @@
         true,
     );
     let first = call.send().await.unwrap();
-    assert!(first.is_whole(), "{first:?}");
+    assert!(first.is_complete(), "{first:?}");
 }
 
 /// A VM is paused for longer than its leases and then resumes. Other VMs must keep serving, and it
@@ -73,10 +73,10 @@
     let controller = cluster.vms[0].controller.as_ref().unwrap();
     assert!(frozen.signal(Signal::SIGSTOP) && controller.signal(Signal::SIGSTOP));
     let lease = cluster.spec().lease.to_std();
-    let other = served_within(&cluster, 2, "notes-2", Duration::from_secs(15)).await;
+    let other = wait_until_served(&cluster, 2, "notes-2", Duration::from_secs(15)).await;
     tokio::time::sleep(lease * 2).await;
     assert!(frozen.signal(Signal::SIGCONT) && controller.signal(Signal::SIGCONT));
-    let resumed = served_within(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
+    let resumed = wait_until_served(&cluster, 1, "notes-2", Duration::from_secs(20)).await;
     println!("other VM served after {other:?}, the resumed one after {resumed:?}");
     let records = cluster.upstreams.engine_records().await;
     assert_eq!(
--- a/crates/testkit/tests/interrupted_call.rs
+++ b/crates/testkit/tests/interrupted_call.rs
@@ -16,7 +16,8 @@
     key: Option<&str>,
 ) -> Call {
     let path = "/services/phones/phones/17/enrolment";
-    let call = Call::new(cluster.callers(vm), Method::POST, path).key(cluster.key("courier"));
+    let call =
+        Call::new(cluster.caller_address(vm), Method::POST, path).key(cluster.key("courier"));
     let call = call.body(json!({"profile": "field"}));
     match key {
         Some(key) => call.header("idempotency-key", key),
@@ -31,7 +32,7 @@
 
 fn proxied() -> ClusterSpec {
     ClusterSpec {
-        proxied_upstreams: true,
+        has_proxied_upstreams: true,
         ..ClusterSpec::default()
     }
 }
@@ -67,7 +68,7 @@
 #[actix_web::test]
 async fn refused_connection() {
     let cluster = Cluster::start(proxied()).await.unwrap();
-    cluster.upstream_links(Fault::Refuse);
+    cluster.set_upstream_link_mode(Fault::Refuse);
     let answer = enrol(&cluster, 1, Some("e-2")).send().await.unwrap();
     println!(
         "{} {} {}",
@@ -76,7 +77,7 @@
         answer.json["error"]["execution"]
     );
     assert_ne!(answer.status, 200);
-    cluster.upstream_links(Fault::Pass);
+    cluster.set_upstream_link_mode(Fault::Pass);
     let said_not_run = answer.json["error"]["execution"] == "not_run";
     assert!(!said_not_run || enrolment_count(&cluster).await == 0);
     if said_not_run {
@@ -133,7 +134,7 @@
 async fn platform_down() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     cluster
-        .platform_fault(json!({"outage": true}))
+        .set_platform_faults(json!({"outage": true}))
         .await
         .unwrap();
     let refused = enrol(&cluster, 1, Some("e-4")).send().await.unwrap();
@@ -145,5 +146,5 @@
     assert_eq!(enrolment_count(&cluster).await, 0);
     let without = enrol(&cluster, 1, None).send().await.unwrap();
     assert_eq!(without.status, 200, "{without:?}");
-    cluster.platform_fault(json!({})).await.unwrap();
+    cluster.set_platform_faults(json!({})).await.unwrap();
 }
--- a/crates/testkit/tests/leaving_upstream.rs
+++ b/crates/testkit/tests/leaving_upstream.rs
@@ -24,7 +24,7 @@
             while Instant::now() < deadline {
                 let model = format!("notes-{adapter}");
                 let call = Call::chat(
-                    cluster.callers(vm),
+                    cluster.caller_address(vm),
                     cluster.key("clinic"),
                     &model,
                     "hi",
@@ -32,7 +32,7 @@
                     true,
                 );
                 match call.send().await {
-                    Ok(answer) if answer.is_whole() => {}
+                    Ok(answer) if answer.is_complete() => {}
                     other => failed.push(format!("{other:?}")),
                 }
             }
--- a/crates/testkit/tests/planned_stop.rs
+++ b/crates/testkit/tests/planned_stop.rs
@@ -3,8 +3,8 @@
 use {
     jasmine_testkit::{
         client::Call,
-        engine::{EngineSettings, chat_answer, long_message},
-        harness::{Cluster, ClusterSpec, poll, served_within},
+        engine::{EngineSettings, expected_chat_answer, message_with_long_answer},
+        harness::{Cluster, ClusterSpec, poll, wait_until_served},
     },
     nix::sys::signal::Signal,
     std::{
@@ -25,10 +25,10 @@
         ..ClusterSpec::default()
     };
     let mut cluster = Cluster::start(spec).await.unwrap();
-    let text = long_message("notes-1-v1");
+    let text = message_with_long_answer("notes-1-v1");
     let calls = (0..8).map(|_| {
         Call::chat(
-            cluster.callers(1),
+            cluster.caller_address(1),
             cluster.key("courier"),
             "notes-1",
             &text,
@@ -50,18 +50,18 @@
     assert!(status.success(), "{status}");
     for stream in streams {
         let answer = stream.await.unwrap().unwrap();
-        assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.text, chat_answer("notes-1-v1", &text, 64));
+        assert!(answer.is_complete(), "{answer:?}");
+        assert_eq!(answer.text, expected_chat_answer("notes-1-v1", &text, 64));
     }
     let other = Call::chat(
-        cluster.callers(2),
+        cluster.caller_address(2),
         cluster.key("clinic"),
         "notes-1",
         "hi",
         16,
         true,
     );
-    assert!(other.send().await.unwrap().is_whole());
+    assert!(other.send().await.unwrap().is_complete());
 }
 
 /// A stopping controller must release its leases, or adapters that are not loaded wait until the
@@ -76,7 +76,7 @@
     });
     let (took, status) = ended.await.unwrap();
     assert!(status.success(), "{status}");
-    let cold = served_within(&cluster, 1, "notes-5", Duration::from_secs(10)).await;
+    let cold = wait_until_served(&cluster, 1, "notes-5", Duration::from_secs(10)).await;
     println!("ended after {took:?}, a cold adapter served {cold:?} later");
 }
 
@@ -85,7 +85,7 @@
 async fn all_replaced_in_turn() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let key = cluster.key("clinic").to_owned();
-    let balancer = RefCell::new(vec![cluster.callers(1), cluster.callers(2)]);
+    let balancer = RefCell::new(vec![cluster.caller_address(1), cluster.caller_address(2)]);
     let done = Cell::new(false);
     let client = |n: u32| {
         let (balancer, done, key) = (&balancer, &done, &key);
@@ -100,7 +100,7 @@
                 let model = format!("notes-{n}");
                 let call = Call::chat(to, key, &model, "hi", 16, true);
                 match call.send().await {
-                    Ok(answer) if answer.is_whole() => {
+                    Ok(answer) if answer.is_complete() => {
                         whole += 1;
                         slowest = slowest.max(answer.took);
                     }
@@ -116,10 +116,10 @@
         for vm in [1, 2] {
             balancer
                 .borrow_mut()
-                .retain(|to| *to != cluster.callers(vm));
+                .retain(|to| *to != cluster.caller_address(vm));
             stop_and_start(&mut cluster, vm).await;
             cluster.wait_until_ready(vm).await.unwrap();
-            balancer.borrow_mut().push(cluster.callers(vm));
+            balancer.borrow_mut().push(cluster.caller_address(vm));
         }
         done.set(true);
     };
--- a/crates/testkit/tests/platform_outage.rs
+++ b/crates/testkit/tests/platform_outage.rs
@@ -19,7 +19,7 @@
 async fn served_throughout() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     cluster
-        .platform_fault(json!({"outage": true}))
+        .set_platform_faults(json!({"outage": true}))
         .await
         .unwrap();
     let lease = cluster.spec().lease.to_std();
@@ -31,7 +31,7 @@
         (2, "notes-1"),
     ] {
         let call = Call::chat(
-            cluster.callers(vm),
+            cluster.caller_address(vm),
             cluster.key("clinic"),
             model,
             "hi",
@@ -39,7 +39,7 @@
             true,
         );
         let answer = call.send().await.unwrap();
-        assert!(answer.is_whole(), "{model} at VM {vm}: {answer:?}");
+        assert!(answer.is_complete(), "{model} at VM {vm}: {answer:?}");
     }
     let refused = cluster
         .edit(1, "in-outage", 1, &[set_rate(500)])
@@ -50,7 +50,7 @@
         ["store_unavailable", "edit_outcome_unknown"].contains(&refused.code()),
         "{refused:?}"
     );
-    cluster.platform_fault(json!({})).await.unwrap();
+    cluster.set_platform_faults(json!({})).await.unwrap();
     let retry = || async {
         match cluster.edit(1, "in-outage", 1, &[set_rate(500)]).await {
             Ok(answer) if answer.status == 200 => Ok(()),
@@ -71,7 +71,7 @@
 async fn lost_reply() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     cluster
-        .platform_fault(json!({"lose_replies": 1}))
+        .set_platform_faults(json!({"lose_replies": 1}))
         .await
         .unwrap();
     let first = cluster.edit(1, "lost", 1, &[set_rate(700)]).await.unwrap();
--- a/crates/testkit/tests/rate_bound.rs
+++ b/crates/testkit/tests/rate_bound.rs
@@ -3,7 +3,7 @@
 use {
     jasmine_testkit::{
         client::Call,
-        engine::RanRequest,
+        engine::RequestRecord,
         harness::{AccountSpec, Cluster, ClusterSpec},
         proxy::Fault,
     },
@@ -42,7 +42,7 @@
             .send()
             .await
         {
-            Ok(answer) if answer.is_whole() => whole += 1,
+            Ok(answer) if answer.is_complete() => whole += 1,
             Ok(answer) if answer.code() == "rate_limited" => refused += 1,
             _ => tokio::time::sleep(Duration::from_millis(20)).await,
         }
@@ -68,7 +68,7 @@
     let records = cluster.upstreams.engine_records().await;
     let mut rows: Vec<_> = records.iter().flat_map(|record| &record.requests).collect();
     rows.sort_by_key(|row| row.start_ms);
-    let cost = |row: &RanRequest| u64::from(row.prompt_tokens + row.tokens);
+    let cost = |row: &RequestRecord| u64::from(row.prompt_tokens + row.tokens);
     for (first, from) in rows.iter().enumerate() {
         let mut used = 0;
         for to in &rows[first..] {
@@ -120,13 +120,13 @@
     let cluster = Cluster::start(spec(2)).await.unwrap();
     overload_all(&cluster, Duration::from_secs(2)).await;
     for vm in &cluster.vms {
-        vm.gateway_peers.set_mode(Fault::Cut);
-        vm.controller_peers.set_mode(Fault::Cut);
+        vm.gateway_peer_link.set_mode(Fault::Cut);
+        vm.controller_peer_link.set_mode(Fault::Cut);
     }
     overload_all(&cluster, Duration::from_secs(4)).await;
     for vm in &cluster.vms {
-        vm.gateway_peers.set_mode(Fault::Pass);
-        vm.controller_peers.set_mode(Fault::Pass);
+        vm.gateway_peer_link.set_mode(Fault::Pass);
+        vm.controller_peer_link.set_mode(Fault::Pass);
     }
     overload_all(&cluster, Duration::from_secs(4)).await;
     let used = assert_bound(&cluster).await;
@@ -144,7 +144,7 @@
         // Each request is charged 2 + 16 + 16 tokens until it is settled.
         let vm = n / 20 + 1;
         let call = Call::chat(
-            cluster.callers(vm),
+            cluster.caller_address(vm),
             cluster.key("courier"),
             "base",
             "hi",
@@ -152,7 +152,7 @@
             true,
         );
         let answer = call.send().await.unwrap();
-        if !answer.is_whole() {
+        if !answer.is_complete() {
             refused.push((n, answer.code().to_owned()));
         }
         let next = start + Duration::from_millis(200) * (n + 1);
--- a/crates/testkit/tests/silent_connection.rs
+++ b/crates/testkit/tests/silent_connection.rs
@@ -4,7 +4,7 @@
     awc::http::Method,
     jasmine_testkit::{
         client::Call,
-        engine::{EngineSettings, chat_answer, long_message},
+        engine::{EngineSettings, expected_chat_answer, message_with_long_answer},
         harness::{Cluster, ClusterSpec},
         proxy::Fault,
     },
@@ -14,7 +14,7 @@
 
 fn proxied() -> ClusterSpec {
     ClusterSpec {
-        proxied_upstreams: true,
+        has_proxied_upstreams: true,
         engine: EngineSettings::default(),
         ..ClusterSpec::default()
     }
@@ -25,9 +25,9 @@
 #[actix_web::test]
 async fn in_a_stream() {
     let cluster = Cluster::start(proxied()).await.unwrap();
-    let text = long_message("notes-1-v1");
+    let text = message_with_long_answer("notes-1-v1");
     let call = Call::chat(
-        cluster.callers(1),
+        cluster.caller_address(1),
         cluster.key("courier"),
         "notes-1",
         &text,
@@ -36,11 +36,11 @@
     );
     let stream = actix_web::rt::spawn(async move { call.send().await });
     cluster.wait_for_tokens(10).await.unwrap();
-    cluster.upstream_links(Fault::Silent);
+    cluster.set_upstream_link_mode(Fault::Silent);
     let answer = stream.await.unwrap().unwrap();
     println!("whole after {:?}", answer.took);
-    assert!(answer.is_whole(), "{answer:?}");
-    assert_eq!(answer.text, chat_answer("notes-1-v1", &text, 64));
+    assert!(answer.is_complete(), "{answer:?}");
+    assert_eq!(answer.text, expected_chat_answer("notes-1-v1", &text, 64));
     assert!(answer.took < Duration::from_secs(20), "{:?}", answer.took);
 }
 
@@ -49,10 +49,10 @@
 #[actix_web::test]
 async fn before_a_call() {
     let cluster = Cluster::start(proxied()).await.unwrap();
-    let (to, key) = (cluster.callers(1), cluster.key("courier"));
+    let (to, key) = (cluster.caller_address(1), cluster.key("courier"));
     let status = Call::new(to, Method::GET, "/services/phones/phones/17").key(key);
     assert_eq!(status.send().await.unwrap().status, 200);
-    cluster.upstream_links(Fault::Silent);
+    cluster.set_upstream_link_mode(Fault::Silent);
     let enrol = Call::new(to, Method::POST, "/services/phones/phones/17/enrolment").key(key);
     let answer = enrol.body(json!({})).send().await.unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
--- a/crates/testkit/tests/whole_path.rs
+++ b/crates/testkit/tests/whole_path.rs
@@ -4,7 +4,7 @@
     awc::http::Method,
     jasmine_testkit::{
         client::{Call, EndOfStream, get_json},
-        engine::{answer, chat_answer},
+        engine::{answer, expected_chat_answer},
         harness::{Cluster, ClusterSpec, poll},
     },
     serde_json::json,
@@ -16,24 +16,31 @@
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let key = cluster.key("courier");
     for (vm, stream) in [(1, false), (2, true), (2, false), (1, true)] {
-        let call = Call::chat(cluster.callers(vm), key, "notes-1@2", "hello", 20, stream);
+        let call = Call::chat(
+            cluster.caller_address(vm),
+            key,
+            "notes-1@2",
+            "hello",
+            20,
+            stream,
+        );
         let answer = call.header("x-request-id", "mine-1").send().await.unwrap();
-        assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.text, chat_answer("notes-1-v2", "hello", 20));
+        assert!(answer.is_complete(), "{answer:?}");
+        assert_eq!(answer.text, expected_chat_answer("notes-1-v2", "hello", 20));
         assert_eq!(answer.header("x-jasmine-adapter"), "notes-1@2");
         assert_eq!(answer.header("x-request-id"), "mine-1");
         assert!(answer.usage["completion_tokens"].is_u64(), "{answer:?}");
         assert_eq!(answer.end == EndOfStream::Done, stream);
     }
-    let live = Call::chat(cluster.callers(1), key, "notes-1", "hello", 20, true);
+    let live = Call::chat(cluster.caller_address(1), key, "notes-1", "hello", 20, true);
     assert_eq!(
         live.send().await.unwrap().text,
-        chat_answer("notes-1-v1", "hello", 20)
+        expected_chat_answer("notes-1-v1", "hello", 20)
     );
-    let base = Call::chat(cluster.callers(1), key, "base", "hello", 20, false);
+    let base = Call::chat(cluster.caller_address(1), key, "base", "hello", 20, false);
     assert_eq!(
         base.send().await.unwrap().text,
-        chat_answer("", "hello", 20)
+        expected_chat_answer("", "hello", 20)
     );
 
     let records = cluster.upstreams.engine_records().await;
@@ -56,7 +63,7 @@
 #[actix_web::test]
 async fn plain_completion_and_models() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let (to, key) = (cluster.callers(1), cluster.key("clinic"));
+    let (to, key) = (cluster.caller_address(1), cluster.key("clinic"));
     let body = json!({"model": "notes-2@1", "prompt": "once", "max_tokens": 12});
     let plain = Call::new(to, Method::POST, "/v1/completions")
         .key(key)
@@ -82,7 +89,7 @@
 #[actix_web::test]
 async fn service_call() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let (to, key) = (cluster.callers(2), cluster.key("clinic"));
+    let (to, key) = (cluster.caller_address(2), cluster.key("clinic"));
     let enrol = Call::new(
         to,
         Method::POST,
@@ -124,7 +131,7 @@
 #[actix_web::test]
 async fn key_at_no_upstream() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let (to, key) = (cluster.callers(1), cluster.key("courier"));
+    let (to, key) = (cluster.caller_address(1), cluster.key("courier"));
     Call::chat(to, key, "notes-3", "hello", 8, true)
         .send()
         .await
@@ -168,7 +175,7 @@
 #[actix_web::test]
 async fn refused_keys_and_models() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
-    let (to, key) = (cluster.callers(1), cluster.key("courier"));
+    let (to, key) = (cluster.caller_address(1), cluster.key("courier"));
     let rows = [
         ("no-such-key-at-all", "notes-1", 401, "key_unknown"),
         ("short", "notes-1", 401, "key_missing"),
--- a/crates/testkit/tests/withdrawn_key.rs
+++ b/crates/testkit/tests/withdrawn_key.rs
@@ -4,7 +4,7 @@
     jasmine_core::clock::Millis,
     jasmine_testkit::{
         client::{Call, EndOfStream},
-        engine::{EngineSettings, long_message},
+        engine::{EngineSettings, message_with_long_answer},
         harness::{Cluster, ClusterSpec, poll},
         proxy::Fault,
     },
@@ -26,7 +26,7 @@
     };
     ClusterSpec {
         engine,
-        config_stale: Millis(3000),
+        max_config_age: Millis(3000),
         ..ClusterSpec::default()
     }
 }
@@ -42,7 +42,7 @@
 ) -> Duration {
     let check = || async {
         let call = Call::chat(
-            cluster.callers(vm),
+            cluster.caller_address(vm),
             cluster.key("courier"),
             "base",
             "hi",
@@ -68,10 +68,10 @@
 #[actix_web::test]
 async fn during_a_stream() {
     let cluster = Cluster::start(slow_answers()).await.unwrap();
-    let text = long_message("");
+    let text = message_with_long_answer("");
     let calls = [1, 2].map(|vm| {
         Call::chat(
-            cluster.callers(vm),
+            cluster.caller_address(vm),
             cluster.key("courier"),
             "base",
             &text,
@@ -132,16 +132,20 @@
 async fn at_a_vm_cut_off() {
     let cluster = Cluster::start(slow_answers()).await.unwrap();
     let vm = &cluster.vms[1];
-    for link in [&vm.to_platform, &vm.controller_peers, &vm.gateway_peers] {
+    for link in [
+        &vm.platform_link,
+        &vm.controller_peer_link,
+        &vm.gateway_peer_link,
+    ] {
         link.set_mode(Fault::Cut);
     }
-    cluster.vms[0].controller_peers.set_mode(Fault::Cut);
+    cluster.vms[0].controller_peer_link.set_mode(Fault::Cut);
     let at = Instant::now();
     let accepted = cluster.edit(1, "withdraw", 1, &withdraw()).await.unwrap();
     assert_eq!(accepted.status, 200, "{accepted:?}");
     wait_until_refused(&cluster, 2).await;
     let took = at.elapsed();
     println!("refused at the VM cut off after {took:?}");
-    let stale = cluster.spec().config_stale.to_std();
+    let stale = cluster.spec().max_config_age.to_std();
     assert!(took < stale + Duration::from_secs(3), "{took:?}");
 }
