--- a/crates/testkit/tests/rate_bound.rs
+++ b/crates/testkit/tests/account_rate_limit.rs
@@ -86,7 +86,7 @@
 
 /// An account exceeds its rate at every VM. Guards against each VM admitting the whole rate.
 #[actix_web::test]
-async fn all_vms_hammered() {
+async fn overload_at_all_vms() {
     let cluster = Cluster::start(spec(3)).await.unwrap();
     let (whole, refused) = overload_all(&cluster, Duration::from_secs(6)).await;
     let used = assert_bound(&cluster).await;
@@ -101,7 +101,7 @@
 
 /// A gateway is restarted repeatedly under overload. Guards against a fresh burst for each restart.
 #[actix_web::test]
-async fn gateways_replaced() {
+async fn restarts_give_no_fresh_burst() {
     let mut cluster = Cluster::start(spec(2)).await.unwrap();
     for _ in 0..3 {
         overload_all(&cluster, Duration::from_secs(2)).await;
@@ -116,7 +116,7 @@
 
 /// VMs are partitioned under overload. Guards against one VM using the share of an unreachable one.
 #[actix_web::test]
-async fn vms_cut_apart() {
+async fn partitioned_vms_keep_to_their_shares() {
     let cluster = Cluster::start(spec(2)).await.unwrap();
     overload_all(&cluster, Duration::from_secs(2)).await;
     for vm in &cluster.vms {
--- a/crates/testkit/tests/all_gone.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -49,7 +49,7 @@
 /// Every VM restarts during a platform outage. Without a configuration, gateways must refuse all
 /// requests, and recover unaided at the last accepted revision once the platform is back.
 #[actix_web::test]
-async fn platform_out_too() {
+async fn all_vms_restarted_in_platform_outage() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     wait_until_served(&cluster, 1).await;
     let ops = [json!({"op": "set", "path": "/accounts/clinic", "setting": "weight", "value": 7})];
@@ -83,7 +83,7 @@
 /// One VM is killed and replaced during a platform outage. The other keeps serving; the new one
 /// gets the configuration from its peer but no rights, so it may refuse requests as `not_run`.
 #[actix_web::test]
-async fn replaced_in_an_outage() {
+async fn vm_replaced_in_platform_outage() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     wait_until_served(&cluster, 2).await;
     cluster
@@ -111,7 +111,7 @@
 /// A gateway is frozen while all links between VMs go silent, as when a host migrates and a
 /// firewall loses its connection table. No non-idempotent call may run twice.
 #[actix_web::test]
-async fn frozen_and_silent() {
+async fn no_double_run_with_frozen_gateway_and_silent_links() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     wait_until_served(&cluster, 1).await;
     for vm in &cluster.vms {
--- a/crates/testkit/tests/controller_lost.rs
+++ b/crates/testkit/tests/controller_lost.rs
@@ -8,7 +8,7 @@
 /// One controller is killed. Its gateway keeps serving loaded adapters; adapters that are not
 /// loaded wait until another controller owns the engines.
 #[actix_web::test]
-async fn one_killed() {
+async fn one_controller_killed() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     wait_until_served(&cluster, 1, "notes-1", Duration::from_secs(10)).await;
     cluster.vms[0].controller.take().unwrap().kill();
@@ -22,7 +22,7 @@
 /// All controllers are killed at once. Gateways keep serving loaded adapters until their
 /// configuration is too old for key checks.
 #[actix_web::test]
-async fn all_killed() {
+async fn all_controllers_killed() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     for vm in [1, 2] {
         wait_until_served(&cluster, vm, "notes-1", Duration::from_secs(10)).await;
--- a/crates/testkit/tests/crossed_answer.rs
+++ b/crates/testkit/tests/crossed_answer.rs
@@ -11,7 +11,7 @@
 
 /// Guards against passing one account's response to another when an engine swaps two responses.
 #[actix_web::test]
-async fn never_passed_on() {
+async fn swapped_responses_are_not_forwarded() {
     let spec = ClusterSpec {
         engines: 1,
         ..ClusterSpec::default()
--- a/crates/testkit/tests/data_centre_lost.rs
+++ b/crates/testkit/tests/data_centre_lost.rs
@@ -83,7 +83,7 @@
 /// A data centre loses power. Its adapters must be served from other data centres, no truncated
 /// response may look complete, and its VM must serve again after recovery.
 #[actix_web::test]
-async fn without_power() {
+async fn data_centre_without_power() {
     let mut cluster = Cluster::start(three_data_centres()).await.unwrap();
     for n in 1..=6 {
         wait_until_served(&cluster, n % 3 + 1, &format!("notes-{n}")).await;
@@ -152,7 +152,7 @@
 /// Links to a data centre lose all replies. Guards against waiting on it as if it were only slow:
 /// its adapters must be served elsewhere within seconds, and no response may be cut.
 #[actix_web::test]
-async fn cut_one_way() {
+async fn data_centre_replies_lost() {
     let cluster = Cluster::start(three_data_centres()).await.unwrap();
     for n in 1..=6 {
         wait_until_served(&cluster, n % 3 + 1, &format!("notes-{n}")).await;
--- a/crates/testkit/tests/failing_engine.rs
+++ b/crates/testkit/tests/failing_engine.rs
@@ -26,7 +26,7 @@
 
 /// One engine fails every load, as with a broken disk cache. Other engines must serve its adapters.
 #[actix_web::test]
-async fn loads_fail_at_one() {
+async fn loads_fail_at_one_engine() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     cluster
         .set_engine_faults(0, json!({"fail_loads": 1000}))
@@ -88,7 +88,7 @@
 /// An engine accepts connections but never responds. Its running requests must end or move to
 /// another engine within a bound, and new requests must go to other engines.
 #[actix_web::test]
-async fn one_hangs() {
+async fn one_engine_hangs() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     for n in 1..=6 {
         wait_until_served(&cluster, 1, &format!("notes-{n}"), Duration::from_secs(10)).await;
--- a/crates/testkit/tests/gateway_lost.rs
+++ b/crates/testkit/tests/gateway_lost.rs
@@ -46,7 +46,7 @@
 /// Guards against a restarted gateway that reports ready but refuses requests within the account's
 /// rate.
 #[actix_web::test]
-async fn ready_means_serving() {
+async fn ready_gateway_serves() {
     let mut cluster = Cluster::start(slow_engines()).await.unwrap();
     wait_until_served(&cluster, 2, "notes-2", Duration::from_secs(5)).await;
     cluster.vms[0].gateway.take().unwrap().kill();
@@ -67,7 +67,7 @@
 /// A VM is paused for longer than its leases and then resumes. Other VMs must keep serving, and it
 /// must serve again.
 #[actix_web::test]
-async fn frozen_and_thawed() {
+async fn frozen_vm_resumes() {
     let cluster = Cluster::start(slow_engines()).await.unwrap();
     let frozen = cluster.vms[0].gateway.as_ref().unwrap();
     let controller = cluster.vms[0].controller.as_ref().unwrap();
--- a/crates/testkit/tests/account_made.rs
+++ b/crates/testkit/tests/new_account.rs
@@ -55,7 +55,7 @@
 /// Guards against rate-limiting the first requests of a new account, sent before an epoch has
 /// granted its rights to any gateway.
 #[actix_web::test]
-async fn called_at_once() {
+async fn new_account_is_not_rate_limited() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let mut failures = Vec::new();
     for n in 0..ACCOUNTS {
@@ -84,7 +84,7 @@
 /// Guards against gateways that report ready on first start before an epoch has granted any
 /// rights: the balancer would send them requests that wait or are rate-limited.
 #[actix_web::test]
-async fn ready_at_first_start() {
+async fn ready_only_with_rights_at_first_start() {
     for has_early_gateways in [true, false] {
         let spec = ClusterSpec {
             has_early_gateways,
--- a/crates/testkit/tests/planned_stop.rs
+++ b/crates/testkit/tests/planned_stop.rs
@@ -67,7 +67,7 @@
 /// A stopping controller must release its leases, or adapters that are not loaded wait until the
 /// leases expire.
 #[actix_web::test]
-async fn controller_hands_over() {
+async fn stopped_controller_releases_leases() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let controller = RefCell::new(cluster.vms[0].controller.take().unwrap());
     assert!(controller.borrow().signal(Signal::SIGTERM));
@@ -82,7 +82,7 @@
 
 /// A rolling restart of all VMs behind a balancer that uses ready VMs only: no request may fail.
 #[actix_web::test]
-async fn all_replaced_in_turn() {
+async fn rolling_restart() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let key = cluster.key("clinic").to_owned();
     let balancer = RefCell::new(vec![cluster.caller_address(1), cluster.caller_address(2)]);
--- a/crates/testkit/tests/former_owner.rs
+++ b/crates/testkit/tests/resumed_controller.rs
@@ -30,7 +30,7 @@
 /// A controller is paused until another has taken over its engines, then resumes. Its stale orders
 /// must not unload an adapter in use, even on engines that don't check fencing tokens.
 #[actix_web::test]
-async fn wakes_up() {
+async fn stale_orders_of_resumed_controller() {
     let cluster = Cluster::start(few_slots()).await.unwrap();
     let done = Cell::new(false);
     let client = |n: u32| {
--- a/crates/testkit/tests/silent_connection.rs
+++ b/crates/testkit/tests/silent_connection.rs
@@ -23,7 +23,7 @@
 /// A connection to an engine goes silent during a response. Guards against a stream that hangs until
 /// the caller's timeout.
 #[actix_web::test]
-async fn in_a_stream() {
+async fn stream_on_silent_connection() {
     let cluster = Cluster::start(proxied()).await.unwrap();
     let text = message_with_long_answer("notes-1-v1");
     let call = Call::chat(
@@ -47,7 +47,7 @@
 /// Guards against sending a non-idempotent call on a dead pooled connection, which leaves its
 /// outcome unknown.
 #[actix_web::test]
-async fn before_a_call() {
+async fn call_on_dead_pooled_connection() {
     let cluster = Cluster::start(proxied()).await.unwrap();
     let (to, key) = (cluster.caller_address(1), cluster.key("courier"));
     let status = Call::new(to, Method::GET, "/services/phones/phones/17").key(key);
--- a/crates/testkit/tests/whole_path.rs
+++ b/crates/testkit/tests/whole_path.rs
@@ -129,7 +129,7 @@
 }
 
 #[actix_web::test]
-async fn key_at_no_upstream() {
+async fn keys_never_reach_upstreams_or_logs() {
     let cluster = Cluster::start(ClusterSpec::default()).await.unwrap();
     let (to, key) = (cluster.caller_address(1), cluster.key("courier"));
     Call::chat(to, key, "notes-3", "hello", 8, true)
--- a/crates/testkit/tests/withdrawn_key.rs
+++ b/crates/testkit/tests/withdrawn_key.rs
@@ -129,7 +129,7 @@
 /// A VM isolated from the platform and all peers can't learn of the withdrawal: it must refuse
 /// requests once its configuration is stale.
 #[actix_web::test]
-async fn at_a_vm_cut_off() {
+async fn isolated_vm_refuses_withdrawn_key() {
     let cluster = Cluster::start(slow_answers()).await.unwrap();
     let vm = &cluster.vms[1];
     for link in [
