--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -46,14 +46,14 @@
         .get_many("file")
         .map(|files| files.cloned().collect())
         .unwrap_or_default();
-    let story = trace::trace(id, &files)?;
+    let request_trace = trace::trace(id, &files)?;
     if command
         .get_one::<String>("output")
         .is_some_and(|format| format == "json")
     {
-        return output::json(&story);
+        return output::json(&request_trace);
     }
-    for line in story.lines() {
+    for line in request_trace.lines() {
         println!("{line}");
     }
     Ok(())
--- a/crates/ctl/src/trace/mod.rs
+++ b/crates/ctl/src/trace/mod.rs
@@ -5,6 +5,6 @@
 
 mod log_line;
 mod read;
-mod story;
+mod request_trace;
 
-pub use {log_line::LogLine, read::trace, story::Story};
+pub use {log_line::LogLine, read::trace, request_trace::RequestTrace};
--- a/crates/ctl/src/trace/read.rs
+++ b/crates/ctl/src/trace/read.rs
@@ -1,5 +1,5 @@
 use {
-    super::{LogLine, Story},
+    super::{LogLine, RequestTrace},
     crate::CtlError,
     std::{
         fs::File,
@@ -41,41 +41,53 @@
 pub fn trace(
     id: &str,
     files: &[PathBuf],
-) -> Result<Story, CtlError> {
-    let mut story = Story::new(id);
-    for_each_line(files, &mut story, |story, line| {
+) -> Result<RequestTrace, CtlError> {
+    let mut request_trace = RequestTrace::new(id);
+    for_each_line(files, &mut request_trace, |request_trace, line| {
         if line.get("id") == Some(id) {
-            story.own.push(line);
+            request_trace.request_lines.push(line);
         }
     })?;
-    story.own.sort_by(|a, b| a.time.cmp(&b.time));
-    let Some(end) = story.own.last().map(|line| line.time.clone()) else {
-        return Ok(story);
+    request_trace
+        .request_lines
+        .sort_by(|a, b| a.time.cmp(&b.time));
+    let Some(end) = request_trace
+        .request_lines
+        .last()
+        .map(|line| line.time.clone())
+    else {
+        return Ok(request_trace);
     };
-    let own = story.own.clone();
-    let processes: Vec<&str> = own.iter().map(|line| line.process.as_str()).collect();
-    let upstreams: Vec<&str> = own.iter().filter_map(|line| line.get("upstream")).collect();
-    story.torn = 0;
-    for_each_line(files, &mut story, |story, line| {
+    let request_lines = request_trace.request_lines.clone();
+    let processes: Vec<&str> = request_lines
+        .iter()
+        .map(|line| line.process.as_str())
+        .collect();
+    let upstreams: Vec<&str> = request_lines
+        .iter()
+        .filter_map(|line| line.get("upstream"))
+        .collect();
+    request_trace.unparsed_lines = 0;
+    for_each_line(files, &mut request_trace, |request_trace, line| {
         let is_process_state = PROCESS_STATE_EVENTS.contains(&line.event.as_str())
             && processes.contains(&line.process.as_str());
         let is_upstream_event = UPSTREAM_EVENTS.contains(&line.event.as_str())
             && upstreams.contains(&line.get_or_dash("upstream"));
         if (is_process_state || is_upstream_event) && line.time <= end {
-            story.add_context(line);
+            request_trace.add_context(line);
         }
     })?;
-    story.context.sort_by(|a, b| a.time.cmp(&b.time));
-    Ok(story)
+    request_trace.context.sort_by(|a, b| a.time.cmp(&b.time));
+    Ok(request_trace)
 }
 
 fn for_each_line<F>(
     files: &[PathBuf],
-    story: &mut Story,
+    request_trace: &mut RequestTrace,
     mut f: F,
 ) -> Result<(), CtlError>
 where
-    F: FnMut(&mut Story, LogLine),
+    F: FnMut(&mut RequestTrace, LogLine),
 {
     for path in files {
         let file_error = |e: std::io::Error| CtlError::File {
@@ -90,8 +102,8 @@
         while reader.read_until(b'\n', &mut bytes).map_err(file_error)? > 0 {
             let text = String::from_utf8_lossy(&bytes);
             match LogLine::parse(&process, &text) {
-                Some(line) => f(story, line),
-                None => story.torn += 1,
+                Some(line) => f(request_trace, line),
+                None => request_trace.unparsed_lines += 1,
             }
             bytes.clear();
         }
--- a/crates/ctl/src/trace/story.rs
+++ b/crates/ctl/src/trace/request_trace.rs
@@ -3,26 +3,26 @@
 /// The log lines related to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Story {
+pub struct RequestTrace {
     /// The request's id.
     pub id: String,
     /// Lines with the request's id, in time order.
     #[serde(rename = "own")]
-    pub own: Vec<LogLine>,
+    pub request_lines: Vec<LogLine>,
     /// State of the involved processes and upstreams: the latest line of each kind, in time order.
     pub context: Vec<LogLine>,
     /// Number of lines that could not be parsed.
     #[serde(rename = "torn")]
-    pub torn: u64,
+    pub unparsed_lines: u64,
 }
 
-impl Story {
+impl RequestTrace {
     pub(super) fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
-            own: Vec::new(),
+            request_lines: Vec::new(),
             context: Vec::new(),
-            torn: 0,
+            unparsed_lines: 0,
         }
     }
 
@@ -41,8 +41,8 @@
     }
 
     /// The last line that reports the end of the request.
-    pub fn end(&self) -> Option<&LogLine> {
-        self.own.iter().rev().find(|line| {
+    pub fn end_event(&self) -> Option<&LogLine> {
+        self.request_lines.iter().rev().find(|line| {
             matches!(
                 line.event.as_str(),
                 "request_ended" | "request_given_up" | "request_refused"
@@ -52,12 +52,12 @@
 
     /// Describes how the request ended, in one sentence.
     pub fn cause(&self) -> String {
-        let Some(end) = self.end() else {
+        let Some(end) = self.end_event() else {
             return "No line reports its end: the process that handled it was killed, or log lines were dropped."
                 .to_owned();
         };
         let last_failure = self
-            .own
+            .request_lines
             .iter()
             .rev()
             .find(|line| line.event == "attempt_failed");
@@ -118,13 +118,13 @@
     /// Formats the whole trace, one line per event.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!("Request {}: {}", self.id, self.cause())];
-        lines.extend(self.own.iter().map(format_line));
+        lines.extend(self.request_lines.iter().map(format_line));
         if !self.context.is_empty() {
             lines.push("State at that time:".to_owned());
             lines.extend(self.context.iter().map(format_line));
         }
-        if self.torn > 0 {
-            lines.push(format!("{} lines could not be read.", self.torn));
+        if self.unparsed_lines > 0 {
+            lines.push(format!("{} lines could not be read.", self.unparsed_lines));
         }
         lines
     }
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -40,7 +40,7 @@
 }
 
 #[actix::test]
-async fn a_value_is_explained_down_to_its_level() {
+async fn explain_names_the_level_a_value_comes_from() {
     let ctl = sample_tree().await;
     let ran = ctl.ok("explain /accounts/clinics/san-juan rate").await;
     assert!(
@@ -104,7 +104,7 @@
 }
 
 #[actix::test]
-async fn a_racing_edit_is_refused_and_told_what_changed() {
+async fn conflicting_edit_is_refused_with_the_conflicts() {
     // Two edits are based on the same revision; the second would overwrite the first unseen.
     let ctl = sample_tree().await;
     ctl.ok("set /accounts/clinics rate=600 --base 4").await;
@@ -136,7 +136,7 @@
 }
 
 #[actix::test]
-async fn an_edit_whose_answer_is_lost_is_done_once() {
+async fn edit_is_applied_once_when_the_response_is_lost() {
     // The controller accepts the edit and its response is lost; the retry must not apply it again.
     let ctl = start_controller(FakeController::default().losing_answers(2));
     let ran = ctl.ok("create /accounts/farm account -o json").await;
@@ -146,7 +146,7 @@
 }
 
 #[actix::test]
-async fn an_edit_whose_fate_stays_unknown_says_so() {
+async fn unknown_edit_outcome_is_reported() {
     // Every response is lost, so neither success nor failure may be reported.
     let ctl = start_controller(FakeController::default().answering_nothing());
     let ran = ctl
@@ -157,7 +157,7 @@
 }
 
 #[actix::test]
-async fn an_edit_that_nobody_remembers_is_not_called_refused() {
+async fn edit_older_than_the_log_is_unknown_not_refused() {
     // The response is lost, and the retry is refused because the controller's log begins after the
     // edit's base. The edit may still be in force, as it is here.
     let ctl = start_controller(
@@ -171,7 +171,7 @@
 }
 
 #[actix::test]
-async fn an_id_used_for_another_edit_is_refused() {
+async fn reused_edit_id_is_refused() {
     // Returning the first edit's record for a repeated `key issue` would print a key that no VM accepts.
     let ctl = sample_tree().await;
     let first = "key issue /accounts/clinics/san-juan phones --edit-id e9";
@@ -188,7 +188,7 @@
 }
 
 #[actix::test]
-async fn the_next_controller_is_tried() {
+async fn unreachable_controller_is_skipped() {
     // Nothing listens at the first address of the list.
     let (_taken, nobody) = bind_without_listening();
     let ctl = Ctl::at(&[nobody, serve(FakeController::default())], TOKEN);
@@ -201,7 +201,7 @@
 }
 
 #[actix::test]
-async fn the_token_is_asked_for_and_never_shown() {
+async fn token_is_required_and_never_printed() {
     let mut ctl = start_controller(FakeController::default());
     let ran = ctl.run("fleet --token-file /nowhere").await;
     assert_eq!(ran.code, 2, "{ran:?}");
@@ -216,7 +216,7 @@
 }
 
 #[actix::test]
-async fn a_bulk_file_is_applied_whole_or_not_at_all() {
+async fn bulk_file_is_applied_atomically() {
     let ctl = sample_tree().await;
     let file = std::env::temp_dir().join(format!("jasminectl-bulk-{}.json", std::process::id()));
     let name = file.to_str().unwrap();
@@ -258,7 +258,7 @@
 }
 
 #[actix::test]
-async fn the_fleet_is_shown() {
+async fn fleet_lists_vms_and_store_state() {
     let ctl = start_controller(FakeController::default());
     let shown = ctl.ok("fleet").await;
     assert!(
@@ -269,7 +269,7 @@
 }
 
 #[actix::test]
-async fn a_mistyped_command_line_is_told_what_is_allowed() {
+async fn invalid_arguments_report_the_allowed_values() {
     let ctl = sample_tree().await;
     let rows = [
         (
@@ -294,7 +294,7 @@
 }
 
 #[actix::test]
-async fn completion_needs_no_fleet() {
+async fn completion_needs_no_controller() {
     let ctl = Ctl {
         controllers: String::new(),
         token: None,
--- a/crates/ctl/tests/operating_page.rs
+++ b/crates/ctl/tests/operating_page.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn every_command_is_understood() {
+fn documented_commands_parse() {
     let all = commands(PAGE);
     assert!(all.len() > 20, "{all:?}");
     for line in all {
@@ -35,7 +35,7 @@
 }
 
 #[actix::test]
-async fn the_first_day_goes_as_written() {
+async fn documented_first_day_commands_succeed() {
     let part = PAGE
         .split("\n## ")
         .find(|part| part.starts_with("The first day"))
--- a/crates/ctl/tests/real_fleet.rs
+++ b/crates/ctl/tests/real_fleet.rs
@@ -35,7 +35,7 @@
 }
 
 #[actix_web::test]
-async fn a_key_works_everywhere_once_issued_and_nowhere_once_withdrawn() {
+async fn issued_key_works_on_all_vms_and_withdrawn_key_on_none() {
     // A withdrawn key must stop working on every VM, not only on the one that took the edit.
     let (cluster, ctl) = fleet().await;
     let issued = ctl
@@ -85,7 +85,7 @@
 }
 
 #[actix_web::test]
-async fn operators_go_on_when_a_controller_is_gone() {
+async fn operators_fall_back_to_another_controller() {
     // The first controller of the operator's list is down.
     let (mut cluster, ctl) = fleet().await;
     cluster.vms[0].controller.take();
@@ -98,7 +98,7 @@
 }
 
 #[actix_web::test]
-async fn an_outage_of_the_platform_is_told_and_nothing_is_written() {
+async fn platform_outage_is_reported_without_a_write() {
     let (cluster, ctl) = fleet().await;
     let before = cluster.revision(1).await.unwrap();
     cluster
@@ -118,7 +118,7 @@
 }
 
 #[actix_web::test]
-async fn a_reply_of_the_platform_lost_after_the_write_does_not_double_the_edit() {
+async fn edit_is_stored_once_when_the_store_reply_is_lost() {
     // The store applies the write and its reply is lost; the retry must not write it again.
     let (cluster, ctl) = fleet().await;
     let before = cluster.revision(1).await.unwrap();
@@ -148,7 +148,7 @@
 }
 
 #[actix_web::test]
-async fn of_racing_operators_one_wins_and_the_others_are_told() {
+async fn concurrent_edits_of_one_value_accept_exactly_one() {
     // Concurrent edits of one value from the same base: a silent last write would override accepted edits.
     let (cluster, ctl) = fleet().await;
     for round in 1..=5 {
@@ -195,7 +195,7 @@
 }
 
 #[actix_web::test]
-async fn racing_edits_that_touch_different_things_all_stand() {
+async fn concurrent_edits_of_different_nodes_are_all_accepted() {
     let (cluster, ctl) = fleet().await;
     let base = cluster.revision(1).await.unwrap();
     for round in 0..5 {
--- a/crates/ctl/tests/trace_request.rs
+++ b/crates/ctl/tests/trace_request.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_refusal_leads_to_its_account() {
+fn rate_limited_request_names_its_account() {
     let log = "\
 time=2026-01-01T00:00:01.000Z level=info event=config_taken version=4 before=0 routes=9
 time=2026-01-01T00:00:02.000Z level=info event=request_given_up id=other account=two kind=no_upstream
@@ -25,8 +25,8 @@
 torn li
 time=2026-01-01T00:00:04.000Z level=info event=config_taken version=5 before=4 routes=9
 ";
-    let story = trace("r1", &[file("refused", log)]).unwrap();
-    let cause = story.cause();
+    let request_trace = trace("r1", &[file("refused", log)]).unwrap();
+    let cause = request_trace.cause();
     for part in [
         "Account one",
         "over its rate",
@@ -37,8 +37,8 @@
         assert!(cause.contains(part), "{cause}");
     }
     assert!(!cause.contains("two"));
-    assert_eq!(story.torn, 1);
-    let text = story.lines().join("\n");
+    assert_eq!(request_trace.unparsed_lines, 1);
+    let text = request_trace.lines().join("\n");
     assert!(
         text.contains("version 4") && !text.contains("version 5"),
         "{text}"
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn lines_of_several_processes_are_put_in_order() {
+fn log_lines_of_several_processes_are_merged_in_time_order() {
     // One VM sends the request; the adapter load it waited for was ordered by another VM, with its own log.
     let first = "\
 time=2026-01-01T00:00:01.500Z level=info event=request_sent id=r1 upstream=e-1 waited_ms=400 decided_by=vm-2/9
@@ -55,23 +55,29 @@
 ";
     let second = "time=2026-01-01T00:00:01.000Z level=info event=order_given upstream=e-1 op=Load adapter=a3 end=Accepted\n";
     let files = [file("one", first), file("two", second)];
-    let story = trace("r1", &files).unwrap();
+    let request_trace = trace("r1", &files).unwrap();
     assert!(
-        story.cause().contains("e-1 had it and ended with Lost"),
+        request_trace
+            .cause()
+            .contains("e-1 had it and ended with Lost"),
         "{}",
-        story.cause()
+        request_trace.cause()
     );
-    assert_eq!(story.context[0].event, "order_given");
-    assert_eq!(story.context[0].process, "two");
+    assert_eq!(request_trace.context[0].event, "order_given");
+    assert_eq!(request_trace.context[0].process, "two");
 }
 
 #[test]
-fn a_request_without_an_end_is_told() {
+fn request_without_an_end_event_is_reported() {
     let log = "time=2026-01-01T00:00:01.500Z level=info event=request_sent id=r1 upstream=e-1 waited_ms=4\n";
-    let story = trace("r1", &[file("killed", log)]).unwrap();
-    assert!(story.cause().contains("killed"), "{}", story.cause());
+    let request_trace = trace("r1", &[file("killed", log)]).unwrap();
+    assert!(
+        request_trace.cause().contains("killed"),
+        "{}",
+        request_trace.cause()
+    );
     let none = trace("unknown", &[file("none", log)]).unwrap();
-    assert!(none.own.is_empty());
+    assert!(none.request_lines.is_empty());
 }
 
 #[test]
@@ -87,7 +93,7 @@
 }
 
 #[test]
-fn any_line_is_read_or_passed_over() {
+fn malformed_log_lines_do_not_panic() {
     for text in [
         "",
         "=",
--- a/crates/entry/tests/explained_failures.rs
+++ b/crates/entry/tests/explained_failures.rs
@@ -4,7 +4,7 @@
 
 use {
     deployment::{Request, Vm, start_platform, wait_until},
-    jasmine_ctl::trace::{Story, trace},
+    jasmine_ctl::trace::{RequestTrace, trace},
     jasmine_platform_stand_in::Behaviour,
     std::fs,
 };
@@ -13,18 +13,18 @@
 fn trace_request(
     vm: &Vm,
     request: &Request,
-) -> Story {
+) -> RequestTrace {
     let path = std::env::temp_dir().join(format!("{}.log", vm.name));
-    let mut story = None;
+    let mut request_trace = None;
     wait_until("the end of the request is logged", || {
         fs::write(&path, vm.log()).unwrap();
         let traced = trace(request.id(), std::slice::from_ref(&path)).unwrap();
-        let has_end = traced.end().is_some();
-        story = Some(traced);
+        let has_end = traced.end_event().is_some();
+        request_trace = Some(traced);
         has_end
     });
     fs::remove_file(&path).unwrap();
-    story.unwrap()
+    request_trace.unwrap()
 }
 
 #[test]
@@ -61,7 +61,11 @@
         cause.contains("Upstream s-1 had it and ended with Lost"),
         "{cause}"
     );
-    let events: Vec<&str> = traced.own.iter().map(|line| line.event.as_str()).collect();
+    let events: Vec<&str> = traced
+        .request_lines
+        .iter()
+        .map(|line| line.event.as_str())
+        .collect();
     assert_eq!(
         events,
         ["request_sent", "attempt_failed", "request_given_up"]
@@ -84,7 +88,7 @@
         "{}",
         traced.cause()
     );
-    assert_eq!(traced.end().unwrap().get("events"), Some("3"));
+    assert_eq!(traced.end_event().unwrap().get("events"), Some("3"));
 }
 
 #[test]
