--- a/crates/controller/src/claims/claim_desk.rs
+++ b/crates/controller/src/claims/claim_store.rs
@@ -38,7 +38,7 @@
 ///
 /// A caller without an answer may retry at any VM, even while the first call is still running. Only a
 /// record shared by all VMs prevents a second run, so calls are refused while the store is unavailable.
-pub struct ClaimDesk {
+pub struct ClaimStore {
     store: Rc<dyn Store>,
     clock: OwnClock,
     me: String,
@@ -46,7 +46,7 @@
     lease: Cell<Option<(LeaseId, Millis)>>,
 }
 
-impl std::fmt::Debug for ClaimDesk {
+impl std::fmt::Debug for ClaimStore {
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
@@ -57,7 +57,7 @@
     }
 }
 
-impl ClaimDesk {
+impl ClaimStore {
     /// Creates a claim store; `me` prefixes attempt ids and is unique per controller run.
     pub fn new(
         store: Rc<dyn Store>,
--- a/crates/controller/src/daemon/controller_context.rs
+++ b/crates/controller/src/daemon/controller_context.rs
@@ -1,16 +1,16 @@
 use {
     super::ControllerStatus,
     crate::{
-        claims::ClaimDesk,
+        claims::ClaimStore,
         clock::{OwnClock, Signal, unix_millis},
         config::{ConfigKeeper, ConfigReader, EditWriter},
-        epochs::{EpochKeeper, HoldingsDesk, OwnEpoch},
+        epochs::{EpochFollower, EpochManager, HoldingsWriter},
         fleet::{DaemonRecord, FleetMirror, MemberRecord, Registration},
         follow::{Bootstrap, ConfigFollower, FleetFollower},
-        ownership::{Assignment, OutageLease, OwnerDesk},
+        ownership::{Assignment, EngineOwner, OutageLeaseExtension},
         peers::PeerLinks,
         rights::LoadBudget,
-        session::{LeaseSession, RENEWALS},
+        session::{LeaseSession, RENEWALS_PER_TTL},
         shared::SharedParts,
         status::{Gauge, Gauges, Health},
     },
@@ -57,21 +57,21 @@
     /// Writes operators' edits to the store.
     pub edits: Rc<EditWriter>,
     /// Claims of idempotency keys.
-    pub claims: Rc<ClaimDesk>,
+    pub claims: Rc<ClaimStore>,
     /// Connections to other controllers.
     pub links: Rc<PeerLinks>,
     /// This controller's share of the weight store's rate limit.
     pub budget: Rc<LoadBudget>,
     /// Engines owned by this controller.
-    pub desk: Rc<OwnerDesk>,
+    pub engine_owner: Rc<EngineOwner>,
     /// Acquires and hands over ownership of engines.
     pub assignment: Assignment,
     /// Writes reports of held rights to the store.
-    pub holdings: Rc<HoldingsDesk>,
+    pub holdings: Rc<HoldingsWriter>,
     /// Moves this controller's rights to the next epoch.
-    pub own_epoch: OwnEpoch,
+    pub epoch_follower: EpochFollower,
     /// Advances the epoch of the fleet.
-    pub epochs: EpochKeeper,
+    pub epochs: EpochManager,
     /// Keeps the configuration current.
     pub config_follower: Rc<ConfigFollower>,
     /// Keeps the fleet state current.
@@ -89,7 +89,7 @@
     /// Connectivity of the store.
     pub connectivity: StoreConnectivity,
     /// Extends ownership while no controller can reach the store.
-    pub outage: OutageLease,
+    pub lease_extension: OutageLeaseExtension,
 }
 
 impl ControllerContext {
@@ -120,16 +120,16 @@
             settings.lease_ms,
         ));
         let budget = Rc::new(LoadBudget::new(clock, me, Rc::clone(&shared.links)));
-        let desk = Rc::new(OwnerDesk::new(
+        let engine_owner = Rc::new(EngineOwner::new(
             clock,
             Rc::clone(&shared.config),
             Rc::clone(&budget),
             OwnerSettings::default(),
         ));
-        let holdings = Rc::new(HoldingsDesk::new(Rc::clone(&store)));
+        let holdings = Rc::new(HoldingsWriter::new(Rc::clone(&store)));
         let config_follower = Rc::new(ConfigFollower::new(shared.clone(), Rc::clone(&reader)));
         let fleet_follower = Rc::new(FleetFollower::new(shared.clone()));
-        let outage = OutageLease::new(shared.clone(), Rc::clone(&session));
+        let lease_extension = OutageLeaseExtension::new(shared.clone(), Rc::clone(&session));
         Self {
             me,
             clock,
@@ -141,15 +141,19 @@
                 Rc::clone(&shared.config),
                 reader,
             )),
-            claims: Rc::new(ClaimDesk::new(store, clock, me.to_string())),
-            assignment: Assignment::new(shared.clone(), Rc::clone(&session), Rc::clone(&desk)),
-            own_epoch: OwnEpoch::new(
+            claims: Rc::new(ClaimStore::new(store, clock, me.to_string())),
+            assignment: Assignment::new(
+                shared.clone(),
+                Rc::clone(&session),
+                Rc::clone(&engine_owner),
+            ),
+            epoch_follower: EpochFollower::new(
                 me,
                 Rc::clone(&shared.fleet),
                 Rc::clone(&budget),
                 Rc::clone(&holdings),
             ),
-            epochs: EpochKeeper::new(shared.clone(), vms()),
+            epochs: EpochManager::new(shared.clone(), vms()),
             bootstrap: Bootstrap {
                 me: me.vm,
                 port: address.port(),
@@ -164,7 +168,7 @@
             config: shared.config,
             links: shared.links,
             budget,
-            desk,
+            engine_owner,
             holdings,
             config_follower,
             fleet_follower,
@@ -173,7 +177,7 @@
             leaving: Cell::new(false),
             store_calls,
             connectivity: shared.connectivity,
-            outage,
+            lease_extension,
         }
     }
 
@@ -184,7 +188,7 @@
             gateway_revision: self.config.gateway_revision(),
             epoch: self.budget.epoch().unwrap_or_default(),
             store_up: self.is_store_up(),
-            owned: self.desk.owned().len() as u32,
+            owned: self.engine_owner.owned().len() as u32,
             leaving: self.leaving.get(),
         }
     }
@@ -200,7 +204,7 @@
             (Gauge::Epoch, status.epoch.0),
             (Gauge::Members, members as u64),
             (Gauge::Owned, u64::from(status.owned)),
-            (Gauge::Orders, self.desk.orders()),
+            (Gauge::Orders, self.engine_owner.orders()),
             (Gauge::StoreUp, u64::from(status.store_up)),
         ];
         for (gauge, value) in rows {
@@ -210,7 +214,7 @@
 
     /// Whether the store is reachable, judged by this controller's lease renewals.
     pub fn is_store_up(&self) -> bool {
-        let renewal = Millis(self.settings.lease_ms.0 / RENEWALS);
+        let renewal = Millis(self.settings.lease_ms.0 / RENEWALS_PER_TTL);
         self.connectivity
             .is_up(renewal + self.settings.platform.timeout_ms + Millis(500))
     }
--- a/crates/controller/src/daemon/stop.rs
+++ b/crates/controller/src/daemon/stop.rs
@@ -21,7 +21,7 @@
     cx.registration.set_leaving();
     cx.registration_due.raise();
     cx.health
-        .update(cx.config.is_loaded(), cx.session.until(), true);
+        .update(cx.config.is_loaded(), cx.session.expiry(), true);
     let limit = stop.deadline_ms - EXIT_RESERVE;
     let finished = timeout(limit.to_std(), hand_over_and_release(cx))
         .await
--- a/crates/controller/src/daemon/tasks.rs
+++ b/crates/controller/src/daemon/tasks.rs
@@ -69,12 +69,12 @@
         let (lease_seq, record_seq) = (cx.session.changed.seq(), cx.registration_due.seq());
         let lease = cx
             .session
-            .sure()
+            .valid_lease()
             .filter(|&lease| cx.registration.is_due(lease));
         if let Some(lease) = lease {
             match cx.registration.write(lease).await {
-                Ok(Registered::Yes) => Line::new("registered").with("lease", lease).info(),
-                Ok(Registered::Raced) => {}
+                Ok(Registered::Written) => Line::new("registered").with("lease", lease).info(),
+                Ok(Registered::Conflicted) => {}
                 Ok(Registered::Superseded) => {
                     Line::new("superseded").with("vm", cx.me.vm).error();
                     fatal.send("superseded").await.unwrap_or_default();
@@ -96,7 +96,7 @@
     loop {
         let seen = seqs(&cx);
         if !cx.leaving.get() {
-            let until = cx.outage.until().await;
+            let until = cx.lease_extension.expiry().await;
             cx.assignment.step(until).await;
         }
         wait_for_change(&cx, seen).await;
@@ -108,9 +108,9 @@
     loop {
         let seen = seqs(&cx);
         if !cx.leaving.get() {
-            cx.own_epoch.step().await;
+            cx.epoch_follower.step().await;
             let may_decide = cx.fleet_follower.is_synced() && cx.config.is_loaded();
-            if may_decide && cx.session.sure().is_some() {
+            if may_decide && cx.session.valid_lease().is_some() {
                 cx.epochs.step().await;
             }
             cx.budget.resend().await;
@@ -125,10 +125,10 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        cx.desk.handle(OwnerEvent::Tick);
+        cx.engine_owner.handle(OwnerEvent::Tick);
         cx.update_gauges();
         cx.health
-            .update(cx.config.is_loaded(), cx.session.until(), cx.leaving.get());
+            .update(cx.config.is_loaded(), cx.session.expiry(), cx.leaving.get());
     }
 }
 
@@ -140,7 +140,7 @@
         cx.fleet_follower.changed().seq(),
         cx.config.changed.seq(),
         cx.session.changed.seq(),
-        cx.desk.renew.seq(),
+        cx.engine_owner.renewal_requested.seq(),
     ]
 }
 
@@ -152,7 +152,7 @@
         _ = cx.fleet_follower.changed().changed_from(seen[0], MAX_STEP_INTERVAL) => {}
         _ = cx.config.changed.changed_from(seen[1], MAX_STEP_INTERVAL) => {}
         _ = cx.session.changed.changed_from(seen[2], MAX_STEP_INTERVAL) => {}
-        _ = cx.desk.renew.changed_from(seen[3], MAX_STEP_INTERVAL) => {}
+        _ = cx.engine_owner.renewal_requested.changed_from(seen[3], MAX_STEP_INTERVAL) => {}
     }
     sleep(STEP_DELAY).await;
 }
--- a/crates/controller/src/epochs/own_epoch.rs
+++ b/crates/controller/src/epochs/epoch_follower.rs
@@ -1,5 +1,5 @@
 use {
-    super::HoldingsDesk,
+    super::HoldingsWriter,
     crate::{fleet::FleetMirror, rights::LoadBudget},
     jasmine_core::{
         ids::{Epoch, Holder, Role},
@@ -14,21 +14,21 @@
 
 /// Carries this controller's own rights over to each new epoch.
 #[derive(Debug)]
-pub struct OwnEpoch {
+pub struct EpochFollower {
     me: Holder,
     fleet: Rc<RefCell<FleetMirror>>,
     budget: Rc<LoadBudget>,
-    holdings: Rc<HoldingsDesk>,
+    holdings: Rc<HoldingsWriter>,
     reported: Cell<Option<Epoch>>,
 }
 
-impl OwnEpoch {
+impl EpochFollower {
     /// Creates a follower that has not reported any rights.
     pub const fn new(
         me: Holder,
         fleet: Rc<RefCell<FleetMirror>>,
         budget: Rc<LoadBudget>,
-        holdings: Rc<HoldingsDesk>,
+        holdings: Rc<HoldingsWriter>,
     ) -> Self {
         Self {
             me,
--- a/crates/controller/src/epochs/epoch_keeper.rs
+++ b/crates/controller/src/epochs/epoch_manager.rs
@@ -2,7 +2,7 @@
     super::epoch_write,
     crate::{
         fleet::MemberRecord,
-        rights::{WEIGHT_STORE, weight_store_limit},
+        rights::{WEIGHT_STORE_ACCOUNT, weight_store_limit},
         shared::SharedParts,
     },
     jasmine_core::{
@@ -35,7 +35,7 @@
 ///
 /// Every controller may do so; each write is conditional on the record that was read.
 #[derive(Debug)]
-pub struct EpochKeeper {
+pub struct EpochManager {
     shared: SharedParts,
     vms: VmList,
     machine: RefCell<EpochMachine>,
@@ -43,7 +43,7 @@
     list_read_at: Cell<Option<Millis>>,
 }
 
-impl EpochKeeper {
+impl EpochManager {
     /// Creates a manager that has not read the VM list.
     pub fn new(
         shared: SharedParts,
@@ -123,7 +123,7 @@
 
     fn budgets(&self) -> Vec<Budget> {
         let loads = Budget {
-            account: WEIGHT_STORE,
+            account: WEIGHT_STORE_ACCOUNT,
             role: Role::Controller,
             limit: weight_store_limit(),
         };
--- a/crates/controller/src/epochs/holdings_desk.rs
+++ b/crates/controller/src/epochs/holdings_writer.rs
@@ -10,11 +10,11 @@
 };
 
 /// Writes the rights reported by holders to the store.
-pub struct HoldingsDesk {
+pub struct HoldingsWriter {
     store: Rc<dyn Store>,
 }
 
-impl std::fmt::Debug for HoldingsDesk {
+impl std::fmt::Debug for HoldingsWriter {
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
@@ -23,7 +23,7 @@
     }
 }
 
-impl HoldingsDesk {
+impl HoldingsWriter {
     /// Creates a writer to `store`.
     pub const fn new(store: Rc<dyn Store>) -> Self {
         Self { store }
--- a/crates/controller/src/fleet/registration.rs
+++ b/crates/controller/src/fleet/registration.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registered {
     /// The record was written under the given lease.
-    Yes,
+    Written,
     /// The record changed concurrently; the write should be retried.
-    Raced,
+    Conflicted,
     /// A later run of this VM's controller has registered, so this one must stop.
     Superseded,
 }
@@ -122,9 +122,9 @@
             })
             .await?;
         if !reply.succeeded {
-            return Ok(Registered::Raced);
+            return Ok(Registered::Conflicted);
         }
         self.written.set(Some((lease, version)));
-        Ok(Registered::Yes)
+        Ok(Registered::Written)
     }
 }
--- a/crates/controller/src/ownership/assignment.rs
+++ b/crates/controller/src/ownership/assignment.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineTarget, OwnerDesk},
+    super::{EngineOwner, EngineTarget},
     crate::{
         fleet::{MemberRecord, Owner, OwnerRecord},
         session::LeaseSession,
@@ -35,7 +35,7 @@
 pub struct Assignment {
     shared: SharedParts,
     session: Rc<LeaseSession>,
-    desk: Rc<OwnerDesk>,
+    engine_owner: Rc<EngineOwner>,
     held: RefCell<BTreeMap<UpstreamId, (LeaseId, Fence)>>,
     better_owner_since: RefCell<BTreeMap<UpstreamId, Millis>>,
 }
@@ -52,12 +52,12 @@
     pub fn new(
         shared: SharedParts,
         session: Rc<LeaseSession>,
-        desk: Rc<OwnerDesk>,
+        engine_owner: Rc<EngineOwner>,
     ) -> Self {
         Self {
             shared,
             session,
-            desk,
+            engine_owner,
             held: RefCell::default(),
             better_owner_since: RefCell::default(),
         }
@@ -71,16 +71,16 @@
         until: Millis,
     ) {
         self.drop_lost_engines();
-        self.desk.handle(OwnerEvent::LeaseExtended(until));
-        self.desk
+        self.engine_owner.handle(OwnerEvent::LeaseExtended(until));
+        self.engine_owner
             .handle(OwnerEvent::Members(self.possible_grant_holders()));
-        let Some(lease) = self.session.sure() else {
+        let Some(lease) = self.session.valid_lease() else {
             return;
         };
         for (upstream, fence) in self.reconfigured_engines() {
             self.hand_over(upstream, fence).await;
         }
-        for upstream in self.desk.take_renewals() {
+        for upstream in self.engine_owner.take_renewals() {
             self.renew_fence(upstream, lease).await;
         }
         let changes: Vec<_> = self
@@ -122,7 +122,7 @@
         };
         for upstream in lost {
             self.held.borrow_mut().remove(&upstream);
-            self.desk.remove_engine(upstream);
+            self.engine_owner.remove_engine(upstream);
         }
     }
 
@@ -137,7 +137,7 @@
         held.iter()
             .filter(|&(&upstream, _)| {
                 let wanted = config.upstreams.get(upstream).and_then(engine_target);
-                wanted != self.desk.target(upstream)
+                wanted != self.engine_owner.target(upstream)
             })
             .map(|(&upstream, &(_, fence))| (upstream, fence))
             .collect()
@@ -264,7 +264,7 @@
         // Drop it locally before the store record is deleted, so that no order is sent in between.
         self.held.borrow_mut().remove(&upstream);
         self.better_owner_since.borrow_mut().remove(&upstream);
-        self.desk.remove_engine(upstream);
+        self.engine_owner.remove_engine(upstream);
         let key = store_keys::owner(upstream);
         let txn = Txn {
             compare: vec![Compare::ModRevision(key.clone(), fence.0)],
@@ -352,7 +352,7 @@
             fleet.changed.raise();
         }
         self.held.borrow_mut().insert(upstream, (lease, fence));
-        self.desk.add_engine(upstream, fence, target);
+        self.engine_owner.add_engine(upstream, fence, target);
     }
 
     fn record(
--- a/crates/controller/src/ownership/owner_desk.rs
+++ b/crates/controller/src/ownership/engine_owner.rs
@@ -36,7 +36,7 @@
 const LOAD_CHANGE_DELAY: Duration = Duration::from_millis(250);
 
 /// Runs the ownership state machine: feeds it events and executes its actions.
-pub struct OwnerDesk {
+pub struct EngineOwner {
     pub(super) clock: OwnClock,
     pub(super) config: Rc<ConfigKeeper>,
     pub(super) budget: Rc<LoadBudget>,
@@ -50,10 +50,10 @@
     /// Raised when the state of an engine that gateways see changes.
     pub changed: Signal,
     /// Raised when the state machine requests a newer fencing token.
-    pub renew: Signal,
+    pub renewal_requested: Signal,
 }
 
-impl std::fmt::Debug for OwnerDesk {
+impl std::fmt::Debug for EngineOwner {
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
@@ -64,7 +64,7 @@
     }
 }
 
-impl OwnerDesk {
+impl EngineOwner {
     /// Creates an owner of no engines.
     pub fn new(
         clock: OwnClock,
@@ -84,7 +84,7 @@
             last_generation: Cell::new(0),
             is_raise_scheduled: Cell::new(false),
             changed: Signal::new(),
-            renew: Signal::new(),
+            renewal_requested: Signal::new(),
         }
     }
 
@@ -240,7 +240,7 @@
             }
             OwnerAction::RenewFence(upstream) => {
                 self.renewals.borrow_mut().push(upstream);
-                self.renew.raise();
+                self.renewal_requested.raise();
             }
             OwnerAction::RequestBudget(loads) => {
                 spawn_local(Rc::clone(self).request_budget(loads));
@@ -324,11 +324,11 @@
         if self.is_raise_scheduled.replace(true) {
             return;
         }
-        let desk = Rc::clone(self);
+        let engine_owner = Rc::clone(self);
         spawn_local(async move {
             tokio::time::sleep(LOAD_CHANGE_DELAY).await;
-            desk.is_raise_scheduled.set(false);
-            desk.changed.raise();
+            engine_owner.is_raise_scheduled.set(false);
+            engine_owner.changed.raise();
         });
     }
 
--- a/crates/controller/src/ownership/mod.rs
+++ b/crates/controller/src/ownership/mod.rs
@@ -1,14 +1,14 @@
 //! Engine ownership: claims in the store, the ownership state machine and orders over HTTP.
 
 mod assignment;
+mod engine_owner;
 mod engine_state;
 mod orders;
-mod outage_lease;
-mod owner_desk;
+mod outage_lease_extension;
 
 pub use {
     assignment::Assignment,
+    engine_owner::EngineOwner,
     engine_state::{EngineState, EngineTarget, ReportChange},
-    outage_lease::OutageLease,
-    owner_desk::OwnerDesk,
+    outage_lease_extension::OutageLeaseExtension,
 };
--- a/crates/controller/src/ownership/orders.rs
+++ b/crates/controller/src/ownership/orders.rs
@@ -1,7 +1,7 @@
 //! Sends the orders that the ownership state machine requests.
 
 use {
-    super::{EngineTarget, OwnerDesk},
+    super::{EngineOwner, EngineTarget},
     crate::engines::EngineClient,
     jasmine_core::{
         ids::{Fence, UpstreamId},
@@ -18,7 +18,7 @@
 /// Delay between attempts to raise a fencing token.
 const RAISE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-impl OwnerDesk {
+impl EngineOwner {
     pub(super) async fn load(
         self: Rc<Self>,
         instance: Instance,
--- a/crates/controller/src/ownership/outage_lease.rs
+++ b/crates/controller/src/ownership/outage_lease_extension.rs
@@ -20,12 +20,12 @@
 /// whole part of the fleet is partitioned, the ownership state machine still protects engines: late
 /// loads get instance names that nobody routes to, and unloads need a confirmation of each holder.
 #[derive(Debug)]
-pub struct OutageLease {
+pub struct OutageLeaseExtension {
     shared: SharedParts,
     session: Rc<LeaseSession>,
 }
 
-impl OutageLease {
+impl OutageLeaseExtension {
     /// Creates an extension of the lease of `session`.
     pub const fn new(
         shared: SharedParts,
@@ -35,10 +35,10 @@
     }
 
     /// Returns the time until which orders may be sent, on this process's clock.
-    pub async fn until(&self) -> Millis {
-        let held = self.session.until();
+    pub async fn expiry(&self) -> Millis {
+        let held = self.session.expiry();
         // Only a lease that is not known to have ended can be extended.
-        if self.session.sure().is_some() || self.session.id().is_none() {
+        if self.session.valid_lease().is_some() || self.session.id().is_none() {
             return held;
         }
         let asked = self.shared.clock.now();
--- a/crates/controller/src/peers/peer_server.rs
+++ b/crates/controller/src/peers/peer_server.rs
@@ -143,24 +143,25 @@
             .iter()
             .map(|seen| (UpstreamId(seen.get_upstream()), Fence(seen.get_fence())))
             .collect();
-        let desk = &self.cx.desk;
-        desk.handle(OwnerEvent::Polled(Poll {
+        let engine_owner = &self.cx.engine_owner;
+        engine_owner.handle(OwnerEvent::Polled(Poll {
             from,
             seen,
             held: read_instances(params.get_held()?),
         }));
         let have = params.get_have();
-        if desk.recalls(from).is_empty() {
-            desk.changed
+        if engine_owner.recalls(from).is_empty() {
+            engine_owner
+                .changed
                 .changed_from(have, poll_wait(params.get_wait_ms()))
                 .await;
         }
-        let seq = desk.changed.seq();
+        let seq = engine_owner.changed.seq();
         write_upstreams(
             results.get(),
             seq,
-            &desk.states_since(have),
-            &desk.recalls(from),
+            &engine_owner.states_since(have),
+            &engine_owner.recalls(from),
         );
         Ok(())
     }
@@ -182,7 +183,7 @@
             account: AccountId(params.get_account()),
             wait: poll_wait(params.get_wait_ms()),
         };
-        let outcome = self.cx.desk.acquire(ask).await;
+        let outcome = self.cx.engine_owner.acquire(ask).await;
         let mut res = results.get();
         let (outcome, retry) = match outcome {
             ownership::AcquireOutcome::Granted { instance, owner } => {
@@ -206,7 +207,7 @@
         _: controller::ReleaseResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        self.cx.desk.handle(OwnerEvent::Released(Release {
+        self.cx.engine_owner.handle(OwnerEvent::Released(Release {
             from: read_peer(params.get_from()?)?,
             fence: Fence(params.get_owner_fence()),
             ask: params.get_ask(),
--- a/crates/controller/src/rights/load_budget.rs
+++ b/crates/controller/src/rights/load_budget.rs
@@ -11,7 +11,7 @@
 };
 
 /// Reserved account id for the weight store's rate limit; no client account uses it.
-pub const WEIGHT_STORE: AccountId = AccountId(u32::MAX);
+pub const WEIGHT_STORE_ACCOUNT: AccountId = AccountId(u32::MAX);
 
 /// Fleet-wide loads per second from the weight store.
 const MAX_LOADS_PER_SECOND: u64 = 2;
@@ -172,16 +172,18 @@
         let tag = CallerTag(u64::from(self.me.vm.0));
         self.ledger
             .borrow_mut()
-            .try_admit(WEIGHT_STORE, 1, tag, self.clock.now())
+            .try_admit(WEIGHT_STORE_ACCOUNT, 1, tag, self.clock.now())
     }
 
     fn create_take_requests(
         &self,
         shortfall: u64,
     ) -> Vec<OutgoingTakeRequest> {
-        self.ledger
-            .borrow_mut()
-            .create_take_requests(WEIGHT_STORE, shortfall, self.clock.now())
+        self.ledger.borrow_mut().create_take_requests(
+            WEIGHT_STORE_ACCOUNT,
+            shortfall,
+            self.clock.now(),
+        )
     }
 
     async fn send_take_request(
@@ -202,6 +204,6 @@
     clock: OwnClock,
 ) -> RightsLedger {
     let mut ledger = RightsLedger::new(me, RightsSettings::default());
-    ledger.set_limit(WEIGHT_STORE, weight_store_limit(), clock.now());
+    ledger.set_limit(WEIGHT_STORE_ACCOUNT, weight_store_limit(), clock.now());
     ledger
 }
--- a/crates/controller/src/rights/mod.rs
+++ b/crates/controller/src/rights/mod.rs
@@ -2,4 +2,4 @@
 
 mod load_budget;
 
-pub use load_budget::{LoadBudget, WEIGHT_STORE, weight_store_limit};
+pub use load_budget::{LoadBudget, WEIGHT_STORE_ACCOUNT, weight_store_limit};
--- a/crates/controller/src/session/lease_session.rs
+++ b/crates/controller/src/session/lease_session.rs
@@ -9,7 +9,7 @@
 };
 
 /// Renewals per lease TTL; the lease survives two failed ones.
-pub const RENEWALS: u64 = 3;
+pub const RENEWALS_PER_TTL: u64 = 3;
 
 /// Delay after the first failed call.
 const MIN_RETRY_DELAY: Millis = Millis(100);
@@ -54,8 +54,8 @@
     }
 
     /// Returns the lease while it is certainly valid.
-    pub fn sure(&self) -> Option<LeaseId> {
-        self.lease.sure(self.clock.now())
+    pub fn valid_lease(&self) -> Option<LeaseId> {
+        self.lease.valid_lease(self.clock.now())
     }
 
     /// Returns the latest lease, which may have expired.
@@ -64,13 +64,13 @@
     }
 
     /// Returns the end of the lease's certain validity; zero without a lease.
-    pub fn until(&self) -> Millis {
-        self.lease.until()
+    pub fn expiry(&self) -> Millis {
+        self.lease.expiry()
     }
 
     /// Obtains and renews the lease until the session has ended.
     pub async fn run(&self) {
-        let renewal_interval = Millis(self.ttl.0 / RENEWALS);
+        let renewal_interval = Millis(self.ttl.0 / RENEWALS_PER_TTL);
         let mut backoff = Backoff::new(MIN_RETRY_DELAY, renewal_interval);
         while !self.has_ended.get() {
             let delay = match self.step().await {
--- a/crates/controller/src/session/lease_validity.rs
+++ b/crates/controller/src/session/lease_validity.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the lease if it is certainly valid at `now`.
-    pub fn sure(
+    pub fn valid_lease(
         &self,
         now: Millis,
     ) -> Option<LeaseId> {
@@ -52,7 +52,7 @@
     }
 
     /// Returns the end of the validity; zero without a lease.
-    pub fn until(&self) -> Millis {
+    pub fn expiry(&self) -> Millis {
         self.held.get().map_or(Millis::ZERO, |(_, until)| until)
     }
 }
--- a/crates/controller/src/session/mod.rs
+++ b/crates/controller/src/session/mod.rs
@@ -4,6 +4,6 @@
 mod lease_validity;
 
 pub use {
-    lease_session::{LeaseSession, RENEWALS},
+    lease_session::{LeaseSession, RENEWALS_PER_TTL},
     lease_validity::LeaseValidity,
 };
--- a/crates/controller/tests/engine_news.rs
+++ b/crates/controller/tests/engine_updates.rs
@@ -57,7 +57,7 @@
 /// Guards against updates that repeat unchanged engines, and against missing engines for a gateway
 /// whose sequence number is unknown to this run of the controller.
 #[actix_web::test]
-async fn told_once() {
+async fn updates_only_changed_engines() {
     let engines =
         [(); 2].map(|()| engine::start(support::anywhere(), EngineSettings::default()).unwrap());
     let fleet = Fleet::start(1).await;
--- a/crates/controller/tests/epoch_write.rs
+++ b/crates/controller/tests/epoch_write.rs
@@ -51,7 +51,7 @@
 /// Guards against excluding a VM that has registered again unseen by a stale watch: its rights would be
 /// granted twice and an account would exceed its rate.
 #[actix_web::test]
-async fn renewed_unseen() {
+async fn reregistered_vm_is_not_excluded() {
     let platform = platform::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap();
     let store = EtcdStore::new(EtcdOptions::new(vec![format!(
         "http://{}",
--- a/crates/controller/tests/frozen_owner.rs
+++ b/crates/controller/tests/frozen_owner.rs
@@ -115,7 +115,7 @@
 /// Guards against orders from an owner that was suspended beyond its lease and resumes after another
 /// controller has taken the engine over.
 #[actix_web::test]
-async fn thaws_unaware() {
+async fn resumed_owner_sends_no_stale_orders() {
     let fixture = start_with_grant().await;
     assert!(
         fixture
--- a/crates/controller/tests/idempotency_claims.rs
+++ b/crates/controller/tests/idempotency_claims.rs
@@ -15,7 +15,7 @@
 /// Guards against a second run of a call that is retried at another VM while the first one runs or
 /// after it has ended.
 #[actix_web::test]
-async fn seen_everywhere() {
+async fn retried_call_does_not_run_twice() {
     let fleet = Fleet::start(2).await;
     let (one, two) = (fleet.link(1), fleet.link(2));
     assert_eq!(claim(&one, b"key", b"print").await.0, ClaimOutcome::Fresh);
@@ -47,7 +47,7 @@
 /// Guards against a claim that outlives a call that did not run, which would block retries with the
 /// same key.
 #[actix_web::test]
-async fn given_back() {
+async fn claim_of_call_that_did_not_run_is_removed() {
     let fleet = Fleet::start(2).await;
     let (one, two) = (fleet.link(1), fleet.link(2));
     assert_eq!(claim(&one, b"key", b"print").await.0, ClaimOutcome::Fresh);
--- a/crates/controller/tests/load_budget.rs
+++ b/crates/controller/tests/load_budget.rs
@@ -25,7 +25,7 @@
 /// Guards against a busy controller that can't use the idle controllers' share of the load rate, and
 /// against loads above the fleet-wide limit.
 #[actix_web::test]
-async fn moves_to_demand() {
+async fn load_rate_moves_to_busy_controller() {
     let cfg = EngineSettings {
         slots: 16,
         ..EngineSettings::default()
--- a/crates/controller/tests/racing_owners.rs
+++ b/crates/controller/tests/racing_owners.rs
@@ -48,7 +48,11 @@
     cx.fleet.borrow_mut().members.insert(record.vm, record);
     let session = Rc::clone(&cx.session);
     tokio::task::spawn_local(async move { session.run().await });
-    let check = || async { cx.session.sure().ok_or_else(|| "no lease".to_owned()) };
+    let check = || async {
+        cx.session
+            .valid_lease()
+            .ok_or_else(|| "no lease".to_owned())
+    };
     let (_, _lease): (_, LeaseId) = poll("a lease", SOON, check).await.unwrap();
     cx
 }
@@ -56,25 +60,28 @@
 /// Guards against two owners of one engine when two controllers don't know each other yet and both
 /// claim it.
 #[actix_web::test]
-async fn both_sure() {
+async fn concurrent_claims_have_one_owner() {
     let engine = engine::start(support::anywhere(), EngineSettings::default()).unwrap();
     let fleet = Fleet::empty();
     let one = start_isolated(&fleet, 1, engine.address()).await;
     let two = start_isolated(&fleet, 2, engine.address()).await;
     let step =
-        |cx: Rc<ControllerContext>| async move { cx.assignment.step(cx.session.until()).await };
+        |cx: Rc<ControllerContext>| async move { cx.assignment.step(cx.session.expiry()).await };
     for _ in 0..2 {
         futures::future::join(step(Rc::clone(&one)), step(Rc::clone(&two))).await;
     }
     let engine = UpstreamId(1);
-    let fences = [one.desk.fence(engine), two.desk.fence(engine)];
+    let fences = [
+        one.engine_owner.fence(engine),
+        two.engine_owner.fence(engine),
+    ];
     assert_eq!(fences.iter().flatten().count(), 1, "{fences:?}");
 }
 
 /// Guards against engines with two owners, or an uneven spread, when controllers start at the same
 /// time.
 #[actix_web::test]
-async fn one_owner_each() {
+async fn concurrent_starts_spread_engines() {
     let engines: Vec<_> = (0..6)
         .map(|_| engine::start(support::anywhere(), EngineSettings::default()).unwrap())
         .collect();
@@ -107,7 +114,7 @@
 
 /// Guards against an owner that keeps polling an engine after operators have deleted it.
 #[actix_web::test]
-async fn engine_deleted() {
+async fn deleted_engine_is_released() {
     let engines: Vec<_> = (0..2)
         .map(|_| engine::start(support::anywhere(), EngineSettings::default()).unwrap())
         .collect();
