--- a/crates/controller/src/claims/claim_store.rs
+++ b/crates/controller/src/claims/claim_store.rs
@@ -1,6 +1,6 @@
 use {
     super::{ClaimRecord, ClaimState, MAX_STORED_ANSWER_BYTES},
-    crate::{clock::OwnClock, store_keys},
+    crate::{clock::MonotonicClock, store_keys},
     jasmine_core::clock::Millis,
     jasmine_store::store::{Compare, KeyValue, LeaseId, Op, Range, Store, StoreError, Txn},
     jasmine_telemetry::log::Line,
@@ -40,7 +40,7 @@
 /// record shared by all VMs prevents a second run, so calls are refused while the store is unavailable.
 pub struct ClaimStore {
     store: Rc<dyn Store>,
-    clock: OwnClock,
+    clock: MonotonicClock,
     me: String,
     attempts: Cell<u64>,
     lease: Cell<Option<(LeaseId, Millis)>>,
@@ -61,7 +61,7 @@
     /// Creates a claim store; `me` prefixes attempt ids and is unique per controller run.
     pub fn new(
         store: Rc<dyn Store>,
-        clock: OwnClock,
+        clock: MonotonicClock,
         me: String,
     ) -> Self {
         Self {
--- a/crates/controller/src/clock/signal.rs
+++ b/crates/controller/src/clock/change_notifier.rs
@@ -6,12 +6,12 @@
 
 /// Change notification with a sequence number that increases with each change.
 #[derive(Clone, Debug)]
-pub struct Signal {
+pub struct ChangeNotifier {
     tx: watch::Sender<u64>,
     first_seq: u64,
 }
 
-impl Signal {
+impl ChangeNotifier {
     /// Creates a signal; zero is never used as its sequence number.
     ///
     /// Numbers start at the Unix time, so that those of another run or daemon are not taken for its own.
@@ -29,7 +29,7 @@
     }
 
     /// Whether this signal issued the sequence number `seq`.
-    pub fn knows(
+    pub fn has_issued(
         &self,
         seq: u64,
     ) -> bool {
@@ -42,7 +42,7 @@
     }
 
     /// Waits until the sequence number differs from `have`, at most for `wait`.
-    pub async fn changed_from(
+    pub async fn wait_for_change_after(
         &self,
         have: u64,
         wait: Millis,
@@ -58,7 +58,7 @@
     }
 }
 
-impl Default for Signal {
+impl Default for ChangeNotifier {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/controller/src/clock/mod.rs
+++ b/crates/controller/src/clock/mod.rs
@@ -1,9 +1,9 @@
 //! Monotonic clock and change notification between tasks.
 
-mod own_clock;
-mod signal;
+mod change_notifier;
+mod monotonic_clock;
 
 pub use {
-    own_clock::{OwnClock, unix_millis},
-    signal::Signal,
+    change_notifier::ChangeNotifier,
+    monotonic_clock::{MonotonicClock, unix_millis},
 };
--- a/crates/controller/src/clock/own_clock.rs
+++ b/crates/controller/src/clock/monotonic_clock.rs
@@ -8,11 +8,11 @@
 
 /// Monotonic clock that also advances while the process is suspended.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnClock {
+pub struct MonotonicClock {
     origin: Instant,
 }
 
-impl OwnClock {
+impl MonotonicClock {
     /// Creates a clock whose origin is the current time.
     pub fn start() -> Self {
         Self {
--- a/crates/controller/src/config/config_reader.rs
+++ b/crates/controller/src/config/config_reader.rs
@@ -1,6 +1,6 @@
 use {
-    super::{ApplyOutcome, ConfigKeeper},
-    crate::clock::OwnClock,
+    super::{ApplyOutcome, ConfigState},
+    crate::clock::MonotonicClock,
     jasmine_conf::{
         store_layout::{
             EDIT_PREFIX, HEAD_KEY, Head, LayoutError, LoadedConfig, SHARD_PREFIX, edit_key, load,
@@ -43,8 +43,8 @@
 /// Reads the configuration from the store and applies it.
 pub struct ConfigReader {
     store: Rc<dyn Store>,
-    clock: OwnClock,
-    state: Rc<ConfigKeeper>,
+    clock: MonotonicClock,
+    state: Rc<ConfigState>,
 }
 
 impl std::fmt::Debug for ConfigReader {
@@ -60,8 +60,8 @@
     /// Creates a reader that applies what it reads from `store` to `state`.
     pub const fn new(
         store: Rc<dyn Store>,
-        clock: OwnClock,
-        state: Rc<ConfigKeeper>,
+        clock: MonotonicClock,
+        state: Rc<ConfigState>,
     ) -> Self {
         Self {
             store,
--- a/crates/controller/src/config/config_keeper.rs
+++ b/crates/controller/src/config/config_state.rs
@@ -1,6 +1,6 @@
 use {
     super::ApplyOutcome,
-    crate::clock::{OwnClock, Signal},
+    crate::clock::{ChangeNotifier, MonotonicClock},
     jasmine_conf::{
         fleet::Fleet,
         tree::{AcceptedEdit, EditLog, EditsBody, Tree, TreeBody},
@@ -32,7 +32,7 @@
     /// Whether the body is the full tree.
     pub full: bool,
     /// Time since the store confirmed the revision.
-    pub fresh: Millis,
+    pub confirmed_age: Millis,
 }
 
 /// One revision with the state derived from it.
@@ -49,24 +49,24 @@
 /// Edits and trees from the store or from a peer are applied only if they are newer, so a partitioned
 /// peer or a late reply can't restore a revoked key.
 #[derive(Debug)]
-pub struct ConfigKeeper {
-    clock: OwnClock,
+pub struct ConfigState {
+    clock: MonotonicClock,
     current: RefCell<Option<CurrentConfig>>,
     confirmed: Cell<Option<Millis>>,
     gateway: Cell<Revision>,
     /// Raised on each new revision.
-    pub changed: Signal,
+    pub changed: ChangeNotifier,
 }
 
-impl ConfigKeeper {
+impl ConfigState {
     /// Creates a state without a configuration.
-    pub fn new(clock: OwnClock) -> Self {
+    pub fn new(clock: MonotonicClock) -> Self {
         Self {
             clock,
             current: RefCell::new(None),
             confirmed: Cell::new(None),
             gateway: Cell::new(Revision(0)),
-            changed: Signal::new(),
+            changed: ChangeNotifier::new(),
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Time since the store confirmed the current revision, to this controller or to a polled peer.
-    pub fn fresh(&self) -> Millis {
+    pub fn confirmed_age(&self) -> Millis {
         match self.confirmed.get() {
             Some(at) => self.clock.now().since(at),
             None => NEVER_CONFIRMED_AGE,
@@ -234,7 +234,7 @@
         &self,
         have: Revision,
     ) -> ConfigReply {
-        let fresh = self.fresh();
+        let confirmed_age = self.confirmed_age();
         let current = self.current.borrow();
         let (revision, body, full) = match current.as_ref() {
             None => (Revision(0), Arc::default(), false),
@@ -250,7 +250,7 @@
             revision,
             body,
             full,
-            fresh,
+            confirmed_age,
         }
     }
 }
--- a/crates/controller/src/config/edit_writer.rs
+++ b/crates/controller/src/config/edit_writer.rs
@@ -1,6 +1,6 @@
 use {
-    super::{ApplyOutcome, ConfigKeeper, ConfigReadError, ConfigReader, EditSubmitError},
-    crate::clock::{OwnClock, unix_millis},
+    super::{ApplyOutcome, ConfigReadError, ConfigReader, ConfigState, EditSubmitError},
+    crate::clock::{MonotonicClock, unix_millis},
     jasmine_conf::{
         store_layout::{HEAD_KEY, Transaction, WriteOutcome, plan, write_outcome},
         tree::{AcceptedEdit, Edit, Proposal},
@@ -25,8 +25,8 @@
 /// reported as rejected after it was applied.
 pub struct EditWriter {
     store: Rc<dyn Store>,
-    clock: OwnClock,
-    state: Rc<ConfigKeeper>,
+    clock: MonotonicClock,
+    state: Rc<ConfigState>,
     reader: Rc<ConfigReader>,
     submit_lock: Mutex<()>,
 }
@@ -51,8 +51,8 @@
     /// Creates a writer for `store`.
     pub fn new(
         store: Rc<dyn Store>,
-        clock: OwnClock,
-        state: Rc<ConfigKeeper>,
+        clock: MonotonicClock,
+        state: Rc<ConfigState>,
         reader: Rc<ConfigReader>,
     ) -> Self {
         Self {
--- a/crates/controller/src/daemon/controller_context.rs
+++ b/crates/controller/src/daemon/controller_context.rs
@@ -2,8 +2,8 @@
     super::ControllerStatus,
     crate::{
         claims::ClaimStore,
-        clock::{OwnClock, Signal, unix_millis},
-        config::{ConfigKeeper, ConfigReader, EditWriter},
+        clock::{ChangeNotifier, MonotonicClock, unix_millis},
+        config::{ConfigReader, ConfigState, EditWriter},
         epochs::{EpochFollower, EpochManager, HoldingsWriter},
         fleet::{DaemonRecord, FleetMirror, MemberRecord, Registration},
         follow::{Bootstrap, ConfigFollower, FleetFollower},
@@ -11,7 +11,7 @@
         peers::PeerLinks,
         rights::LoadBudget,
         session::{LeaseSession, RENEWALS_PER_TTL},
-        shared::SharedParts,
+        shared::SharedState,
         status::{Gauge, Gauges, Health},
     },
     jasmine_conf::settings::ControllerSettings,
@@ -43,17 +43,17 @@
     /// Settings of this controller.
     pub settings: ControllerSettings,
     /// Monotonic clock of this process.
-    pub clock: OwnClock,
+    pub clock: MonotonicClock,
     /// Session that keeps the lease in the store alive.
     pub session: Rc<LeaseSession>,
     /// Membership record of this VM.
     pub registration: Registration,
     /// Raised when the membership record has to be written.
-    pub registration_due: Signal,
+    pub registration_due: ChangeNotifier,
     /// Local copy of the fleet records in the store.
     pub fleet: Rc<RefCell<FleetMirror>>,
     /// Current configuration.
-    pub config: Rc<ConfigKeeper>,
+    pub config: Rc<ConfigState>,
     /// Writes operators' edits to the store.
     pub edits: Rc<EditWriter>,
     /// Claims of idempotency keys.
@@ -105,7 +105,7 @@
         let store_calls = etcd.counts();
         let connectivity = etcd.connectivity();
         let shared = new_shared(&settings, address, Rc::new(etcd), connectivity);
-        let SharedParts {
+        let SharedState {
             me, clock, store, ..
         } = shared.clone();
         let vms = || VmList::new(&settings.platform.vms, settings.platform.timeout_ms);
@@ -134,7 +134,7 @@
             me,
             clock,
             registration: Registration::new(Rc::clone(&store), own_record(&settings, me, address)),
-            registration_due: Signal::new(),
+            registration_due: ChangeNotifier::new(),
             edits: Rc::new(EditWriter::new(
                 Rc::clone(&store),
                 clock,
@@ -200,7 +200,7 @@
         let rows = [
             (Gauge::Revision, status.revision.0),
             (Gauge::GatewayRevision, status.gateway_revision.0),
-            (Gauge::FreshMs, self.config.fresh().0),
+            (Gauge::FreshMs, self.config.confirmed_age().0),
             (Gauge::Epoch, status.epoch.0),
             (Gauge::Members, members as u64),
             (Gauge::Owned, u64::from(status.owned)),
@@ -235,21 +235,21 @@
     address: SocketAddr,
     store: Rc<dyn Store>,
     connectivity: StoreConnectivity,
-) -> SharedParts {
-    let clock = OwnClock::start();
+) -> SharedState {
+    let clock = MonotonicClock::start();
     let me = Holder {
         vm: settings.vm,
         role: Role::Controller,
         incarnation: Incarnation(unix_millis()),
     };
-    SharedParts {
+    SharedState {
         me,
         data_centre: Rc::from(settings.data_centre.as_str()),
         clock,
         store,
         connectivity,
         fleet: Rc::default(),
-        config: Rc::new(ConfigKeeper::new(clock)),
+        config: Rc::new(ConfigState::new(clock)),
         links: Rc::new(PeerLinks::new(me, address)),
     }
 }
--- a/crates/controller/src/daemon/tasks.rs
+++ b/crates/controller/src/daemon/tasks.rs
@@ -84,8 +84,8 @@
             }
         }
         tokio::select! {
-            _ = cx.session.changed.changed_from(lease_seq, MAX_STEP_INTERVAL) => {}
-            _ = cx.registration_due.changed_from(record_seq, MAX_STEP_INTERVAL) => {}
+            _ = cx.session.changed.wait_for_change_after(lease_seq, MAX_STEP_INTERVAL) => {}
+            _ = cx.registration_due.wait_for_change_after(record_seq, MAX_STEP_INTERVAL) => {}
         }
         sleep(STEP_DELAY).await;
     }
@@ -149,10 +149,10 @@
     seen: Seqs,
 ) {
     tokio::select! {
-        _ = cx.fleet_follower.changed().changed_from(seen[0], MAX_STEP_INTERVAL) => {}
-        _ = cx.config.changed.changed_from(seen[1], MAX_STEP_INTERVAL) => {}
-        _ = cx.session.changed.changed_from(seen[2], MAX_STEP_INTERVAL) => {}
-        _ = cx.engine_owner.renewal_requested.changed_from(seen[3], MAX_STEP_INTERVAL) => {}
+        _ = cx.fleet_follower.changed().wait_for_change_after(seen[0], MAX_STEP_INTERVAL) => {}
+        _ = cx.config.changed.wait_for_change_after(seen[1], MAX_STEP_INTERVAL) => {}
+        _ = cx.session.changed.wait_for_change_after(seen[2], MAX_STEP_INTERVAL) => {}
+        _ = cx.engine_owner.renewal_requested.wait_for_change_after(seen[3], MAX_STEP_INTERVAL) => {}
     }
     sleep(STEP_DELAY).await;
 }
--- a/crates/controller/src/epochs/epoch_manager.rs
+++ b/crates/controller/src/epochs/epoch_manager.rs
@@ -3,7 +3,7 @@
     crate::{
         fleet::MemberRecord,
         rights::{WEIGHT_STORE_ACCOUNT, weight_store_limit},
-        shared::SharedParts,
+        shared::SharedState,
     },
     jasmine_core::{
         clock::Millis,
@@ -36,7 +36,7 @@
 /// Every controller may do so; each write is conditional on the record that was read.
 #[derive(Debug)]
 pub struct EpochManager {
-    shared: SharedParts,
+    shared: SharedState,
     vms: VmList,
     machine: RefCell<EpochMachine>,
     listed: RefCell<Option<BTreeSet<VmId>>>,
@@ -46,7 +46,7 @@
 impl EpochManager {
     /// Creates a manager that has not read the VM list.
     pub fn new(
-        shared: SharedParts,
+        shared: SharedState,
         vms: VmList,
     ) -> Self {
         let machine = EpochMachine::new(shared.me.vm, MembershipSettings::default());
--- a/crates/controller/src/fleet/fleet_mirror.rs
+++ b/crates/controller/src/fleet/fleet_mirror.rs
@@ -1,6 +1,6 @@
 use {
     super::{MemberRecord, Owner},
-    crate::{clock::Signal, store_keys},
+    crate::{clock::ChangeNotifier, store_keys},
     jasmine_core::{
         ids::{Fence, UpstreamId, VmId},
         membership::{
@@ -28,7 +28,7 @@
     /// Release records of stopped holders, by store key.
     pub released: BTreeMap<String, ReleasedRecord>,
     /// Raised on each change.
-    pub changed: Signal,
+    pub changed: ChangeNotifier,
 }
 
 impl FleetMirror {
--- a/crates/controller/src/follow/bootstrap.rs
+++ b/crates/controller/src/follow/bootstrap.rs
@@ -1,6 +1,6 @@
 use {
     super::{ConfigFollower, FleetFollower},
-    crate::config::ConfigKeeper,
+    crate::config::ConfigState,
     jasmine_core::{clock::Millis, ids::VmId},
     jasmine_store::vms::{ListedVm, VmList},
     rand::seq::IndexedRandom,
@@ -30,7 +30,7 @@
     /// The platform's list of VMs.
     pub vms: VmList,
     /// The configuration to load.
-    pub state: Rc<ConfigKeeper>,
+    pub state: Rc<ConfigState>,
     /// Polls peers for the configuration.
     pub config: Rc<ConfigFollower>,
     /// Polls peers for the fleet.
--- a/crates/controller/src/follow/config_follower.rs
+++ b/crates/controller/src/follow/config_follower.rs
@@ -2,7 +2,7 @@
     super::{StoreWatch, WatchEnd, WatcherSet},
     crate::{
         config::{ApplyOutcome, ConfigReader, edit_range_end},
-        shared::SharedParts,
+        shared::SharedState,
     },
     jasmine_conf::store_layout::edit_key,
     jasmine_core::{clock::Millis, ids::VmId},
@@ -26,7 +26,7 @@
 /// Keeps the configuration current: watchers read the store, other VMs poll a watcher.
 #[derive(Debug)]
 pub struct ConfigFollower {
-    shared: SharedParts,
+    shared: SharedState,
     reader: Rc<ConfigReader>,
     poll_count: Cell<usize>,
 }
@@ -34,7 +34,7 @@
 impl ConfigFollower {
     /// Creates a follower that updates the shared configuration.
     pub const fn new(
-        shared: SharedParts,
+        shared: SharedState,
         reader: Rc<ConfigReader>,
     ) -> Self {
         Self {
@@ -166,7 +166,7 @@
             body => self.shared.config.apply_body(body, answer.full),
         };
         // Measured from the time of sending, since the reply may have been delayed.
-        match sent.0.checked_sub(answer.fresh.0) {
+        match sent.0.checked_sub(answer.confirmed_age.0) {
             Some(at) if self.shared.config.revision() == answer.revision => {
                 self.shared.config.confirm(Millis(at));
             }
--- a/crates/controller/src/follow/fleet_follower.rs
+++ b/crates/controller/src/follow/fleet_follower.rs
@@ -1,6 +1,6 @@
 use {
     super::{StoreWatch, WatchEnd},
-    crate::{clock::Signal, shared::SharedParts, store_keys},
+    crate::{clock::ChangeNotifier, shared::SharedState, store_keys},
     jasmine_core::{
         clock::Millis,
         ids::{Epoch, VmId},
@@ -26,8 +26,8 @@
 /// Tracks members, owners and the epoch by watching the store or polling a watcher.
 #[derive(Debug)]
 pub struct FleetFollower {
-    shared: SharedParts,
-    changed: Signal,
+    shared: SharedState,
+    changed: ChangeNotifier,
     synced: Cell<bool>,
     has_read: Cell<bool>,
     /// Epoch last reported by a peer, and whether it was closing.
@@ -36,7 +36,7 @@
 
 impl FleetFollower {
     /// Creates a follower that has not read the fleet yet.
-    pub fn new(shared: SharedParts) -> Self {
+    pub fn new(shared: SharedState) -> Self {
         let changed = shared.fleet.borrow().changed.clone();
         Self {
             shared,
@@ -218,7 +218,7 @@
     }
 
     /// Raised on each change of the fleet.
-    pub const fn changed(&self) -> &Signal {
+    pub const fn changed(&self) -> &ChangeNotifier {
         &self.changed
     }
 }
--- a/crates/controller/src/ownership/assignment.rs
+++ b/crates/controller/src/ownership/assignment.rs
@@ -3,7 +3,7 @@
     crate::{
         fleet::{MemberRecord, Owner, OwnerRecord},
         session::LeaseSession,
-        shared::SharedParts,
+        shared::SharedState,
         store_keys,
     },
     jasmine_conf::fleet::{Fleet, Upstream, UpstreamKind},
@@ -33,7 +33,7 @@
 /// moment, the store decides: an owner record is only created if none exists.
 #[derive(Debug)]
 pub struct Assignment {
-    shared: SharedParts,
+    shared: SharedState,
     session: Rc<LeaseSession>,
     engine_owner: Rc<EngineOwner>,
     held: RefCell<BTreeMap<UpstreamId, (LeaseId, Fence)>>,
@@ -50,7 +50,7 @@
 impl Assignment {
     /// Creates an assignment that owns no engines.
     pub fn new(
-        shared: SharedParts,
+        shared: SharedState,
         session: Rc<LeaseSession>,
         engine_owner: Rc<EngineOwner>,
     ) -> Self {
--- a/crates/controller/src/ownership/engine_owner.rs
+++ b/crates/controller/src/ownership/engine_owner.rs
@@ -1,8 +1,8 @@
 use {
     super::{EngineState, EngineTarget, ReportChange},
     crate::{
-        clock::{OwnClock, Signal},
-        config::ConfigKeeper,
+        clock::{ChangeNotifier, MonotonicClock},
+        config::ConfigState,
         engines::{EngineReport, ReportReader},
         rights::LoadBudget,
     },
@@ -37,8 +37,8 @@
 
 /// Runs the ownership state machine: feeds it events and executes its actions.
 pub struct EngineOwner {
-    pub(super) clock: OwnClock,
-    pub(super) config: Rc<ConfigKeeper>,
+    pub(super) clock: MonotonicClock,
+    pub(super) config: Rc<ConfigState>,
     pub(super) budget: Rc<LoadBudget>,
     pub(super) machine: RefCell<OwnerMachine>,
     pub(super) engines: RefCell<BTreeMap<UpstreamId, EngineState>>,
@@ -48,9 +48,9 @@
     last_generation: Cell<u64>,
     is_raise_scheduled: Cell<bool>,
     /// Raised when the state of an engine that gateways see changes.
-    pub changed: Signal,
+    pub changed: ChangeNotifier,
     /// Raised when the state machine requests a newer fencing token.
-    pub renewal_requested: Signal,
+    pub renewal_requested: ChangeNotifier,
 }
 
 impl std::fmt::Debug for EngineOwner {
@@ -67,8 +67,8 @@
 impl EngineOwner {
     /// Creates an owner of no engines.
     pub fn new(
-        clock: OwnClock,
-        config: Rc<ConfigKeeper>,
+        clock: MonotonicClock,
+        config: Rc<ConfigState>,
         budget: Rc<LoadBudget>,
         settings: OwnerSettings,
     ) -> Self {
@@ -83,8 +83,8 @@
             orders: Cell::new(0),
             last_generation: Cell::new(0),
             is_raise_scheduled: Cell::new(false),
-            changed: Signal::new(),
-            renewal_requested: Signal::new(),
+            changed: ChangeNotifier::new(),
+            renewal_requested: ChangeNotifier::new(),
         }
     }
 
@@ -110,7 +110,7 @@
         have: u64,
     ) -> Vec<(UpstreamId, EngineState)> {
         let engines = self.engines.borrow();
-        let all = !self.changed.knows(have);
+        let all = !self.changed.has_issued(have);
         engines
             .iter()
             .filter(|(_, state)| all || state.last_change > have)
--- a/crates/controller/src/ownership/engine_state.rs
+++ b/crates/controller/src/ownership/engine_state.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{clock::Signal, engines::EngineReport},
+    crate::{clock::ChangeNotifier, engines::EngineReport},
     jasmine_core::{clock::Millis, ids::Fence, placement::Instance},
     std::net::SocketAddr,
 };
@@ -46,7 +46,7 @@
     pub missed: u32,
     /// Loaded instances that gateways may acquire.
     pub resident: Vec<Instance>,
-    /// Sequence number of the latest change visible to gateways, as counted by [`Signal`].
+    /// Sequence number of the latest change visible to gateways, as counted by [`ChangeNotifier`].
     pub last_change: u64,
 }
 
@@ -72,7 +72,7 @@
     /// Marks the state as changed; the next raise of `signal` announces the change.
     pub fn note_change(
         &mut self,
-        signal: &Signal,
+        signal: &ChangeNotifier,
     ) {
         self.last_change = signal.seq() + 1;
     }
--- a/crates/controller/src/ownership/outage_lease_extension.rs
+++ b/crates/controller/src/ownership/outage_lease_extension.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{session::LeaseSession, shared::SharedParts},
+    crate::{session::LeaseSession, shared::SharedState},
     futures::future::join_all,
     jasmine_core::{clock::Millis, ids::VmId},
     rand::seq::IndexedRandom,
@@ -21,14 +21,14 @@
 /// loads get instance names that nobody routes to, and unloads need a confirmation of each holder.
 #[derive(Debug)]
 pub struct OutageLeaseExtension {
-    shared: SharedParts,
+    shared: SharedState,
     session: Rc<LeaseSession>,
 }
 
 impl OutageLeaseExtension {
     /// Creates an extension of the lease of `session`.
     pub const fn new(
-        shared: SharedParts,
+        shared: SharedState,
         session: Rc<LeaseSession>,
     ) -> Self {
         Self { shared, session }
--- a/crates/controller/src/peers/peer_links.rs
+++ b/crates/controller/src/peers/peer_links.rs
@@ -25,7 +25,7 @@
     /// Whether `body` is the whole tree.
     pub full: bool,
     /// Time since the store confirmed the revision.
-    pub fresh: Millis,
+    pub confirmed_age: Millis,
 }
 
 /// The answer of another controller to a fleet poll.
@@ -131,7 +131,7 @@
                     revision: Revision(res.get_revision()),
                     body: res.get_body()?.to_vec(),
                     full: res.get_full(),
-                    fresh: Millis(res.get_fresh_ms()),
+                    confirmed_age: Millis(res.get_fresh_ms()),
                 })
             })
             .await
--- a/crates/controller/src/peers/peer_server.rs
+++ b/crates/controller/src/peers/peer_server.rs
@@ -74,7 +74,7 @@
         if config.revision() <= have && (config.is_loaded() || have == Revision(0)) {
             config
                 .changed
-                .changed_from(seen, poll_wait(params.get_wait_ms()))
+                .wait_for_change_after(seen, poll_wait(params.get_wait_ms()))
                 .await;
         }
         let reply = config.reply(have);
@@ -82,7 +82,7 @@
         res.set_revision(reply.revision.0);
         res.set_body(&reply.body);
         res.set_full(reply.full);
-        res.set_fresh_ms(reply.fresh.0);
+        res.set_fresh_ms(reply.confirmed_age.0);
         Ok(())
     }
 
@@ -104,7 +104,7 @@
         let changed = self.cx.fleet.borrow().changed.clone();
         let have = params.get_have();
         changed
-            .changed_from(have, poll_wait(params.get_wait_ms()))
+            .wait_for_change_after(have, poll_wait(params.get_wait_ms()))
             .await;
         let mirror = self.cx.fleet.borrow();
         if mirror.changed.seq() == have {
@@ -153,7 +153,7 @@
         if engine_owner.recalls(from).is_empty() {
             engine_owner
                 .changed
-                .changed_from(have, poll_wait(params.get_wait_ms()))
+                .wait_for_change_after(have, poll_wait(params.get_wait_ms()))
                 .await;
         }
         let seq = engine_owner.changed.seq();
--- a/crates/controller/src/rights/load_budget.rs
+++ b/crates/controller/src/rights/load_budget.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{clock::OwnClock, peers::PeerLinks},
+    crate::{clock::MonotonicClock, peers::PeerLinks},
     jasmine_core::{
         ids::{AccountId, Epoch, Holder},
         rights::{
@@ -35,7 +35,7 @@
 /// The limit is divided into rights like that of an account: rights move between holders and are never
 /// counted twice. Loads need no central coordinator, and a busy controller can use an idle one's share.
 pub struct LoadBudget {
-    clock: OwnClock,
+    clock: MonotonicClock,
     me: Holder,
     links: Rc<PeerLinks>,
     ledger: RefCell<RightsLedger>,
@@ -55,7 +55,7 @@
 impl LoadBudget {
     /// Creates a budget without rights.
     pub fn new(
-        clock: OwnClock,
+        clock: MonotonicClock,
         me: Holder,
         links: Rc<PeerLinks>,
     ) -> Self {
@@ -201,7 +201,7 @@
 
 fn new_ledger(
     me: Holder,
-    clock: OwnClock,
+    clock: MonotonicClock,
 ) -> RightsLedger {
     let mut ledger = RightsLedger::new(me, RightsSettings::default());
     ledger.set_limit(WEIGHT_STORE_ACCOUNT, weight_store_limit(), clock.now());
--- a/crates/controller/src/session/lease_session.rs
+++ b/crates/controller/src/session/lease_session.rs
@@ -1,6 +1,6 @@
 use {
     super::LeaseValidity,
-    crate::clock::{OwnClock, Signal},
+    crate::clock::{ChangeNotifier, MonotonicClock},
     jasmine_core::clock::Millis,
     jasmine_store::store::{LeaseId, Store, StoreError},
     jasmine_telemetry::log::Line,
@@ -17,12 +17,12 @@
 /// Keeps a lease alive and obtains a new one after it was lost.
 pub struct LeaseSession {
     store: Rc<dyn Store>,
-    clock: OwnClock,
+    clock: MonotonicClock,
     ttl: Millis,
     lease: LeaseValidity,
     has_ended: Cell<bool>,
     /// Raised when a lease is granted, renewed or lost.
-    pub changed: Signal,
+    pub changed: ChangeNotifier,
 }
 
 impl std::fmt::Debug for LeaseSession {
@@ -40,7 +40,7 @@
     /// Creates a session without a lease.
     pub fn new(
         store: Rc<dyn Store>,
-        clock: OwnClock,
+        clock: MonotonicClock,
         ttl: Millis,
     ) -> Self {
         Self {
@@ -49,7 +49,7 @@
             ttl,
             lease: LeaseValidity::default(),
             has_ended: Cell::new(false),
-            changed: Signal::new(),
+            changed: ChangeNotifier::new(),
         }
     }
 
--- a/crates/controller/src/shared/mod.rs
+++ b/crates/controller/src/shared/mod.rs
@@ -1,5 +1,5 @@
 //! State and handles shared by the components of the controller.
 
-mod parts;
+mod shared_state;
 
-pub use parts::SharedParts;
+pub use shared_state::SharedState;
--- a/crates/controller/src/shared/parts.rs
+++ b/crates/controller/src/shared/shared_state.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        clock::OwnClock, config::ConfigKeeper, fleet::FleetMirror, follow::WatcherSet,
+        clock::MonotonicClock, config::ConfigState, fleet::FleetMirror, follow::WatcherSet,
         peers::PeerLinks,
     },
     jasmine_core::ids::Holder,
@@ -14,13 +14,13 @@
 
 /// State and handles shared by the components of the controller.
 #[derive(Clone)]
-pub struct SharedParts {
+pub struct SharedState {
     /// Identity of this daemon, with the incarnation of this run.
     pub me: Holder,
     /// Data centre of this VM.
     pub data_centre: Rc<str>,
     /// Monotonic clock of this process.
-    pub clock: OwnClock,
+    pub clock: MonotonicClock,
     /// Client of the platform's key-value service.
     pub store: Rc<dyn Store>,
     /// Connectivity of the key-value service.
@@ -28,12 +28,12 @@
     /// Local copy of the fleet records in the store.
     pub fleet: Rc<RefCell<FleetMirror>>,
     /// Current configuration.
-    pub config: Rc<ConfigKeeper>,
+    pub config: Rc<ConfigState>,
     /// Connections to other controllers.
     pub links: Rc<PeerLinks>,
 }
 
-impl SharedParts {
+impl SharedState {
     /// Selects the controllers that watch the store in this data centre.
     pub fn watchers(&self) -> WatcherSet {
         WatcherSet::select(&self.data_centre, self.fleet.borrow().members.values())
@@ -53,7 +53,7 @@
     }
 }
 
-impl std::fmt::Debug for SharedParts {
+impl std::fmt::Debug for SharedState {
     fn fmt(
         &self,
         f: &mut std::fmt::Formatter<'_>,
--- a/crates/controller/src/status/health.rs
+++ b/crates/controller/src/status/health.rs
@@ -1,5 +1,5 @@
 use {
-    crate::clock::OwnClock,
+    crate::clock::MonotonicClock,
     jasmine_core::clock::Millis,
     std::sync::{
         Arc,
@@ -13,7 +13,7 @@
 /// Health and readiness, readable from any thread.
 #[derive(Clone, Debug)]
 pub struct Health {
-    clock: OwnClock,
+    clock: MonotonicClock,
     state: Arc<HealthState>,
 }
 
@@ -27,7 +27,7 @@
 
 impl Health {
     /// Creates the state of a process that has just started.
-    pub fn new(clock: OwnClock) -> Self {
+    pub fn new(clock: MonotonicClock) -> Self {
         Self {
             clock,
             state: Arc::default(),
--- a/crates/controller/tests/config_order.rs
+++ b/crates/controller/tests/config_revision_order.rs
@@ -3,7 +3,7 @@
 use {
     bolero::check,
     jasmine_conf::tree::{AcceptedEdit, Edit, EditId, EditLog, EditsBody, Tree, TreeBody},
-    jasmine_controller::{clock::OwnClock, config::ConfigKeeper},
+    jasmine_controller::{clock::MonotonicClock, config::ConfigState},
     jasmine_core::ids::Revision,
     serde_json::json,
 };
@@ -36,13 +36,13 @@
 
 /// Guards against stale or reordered edits and trees restoring a revoked key.
 #[test]
-fn any_arrival() {
+fn stale_configuration_is_never_applied() {
     let (trees, edits) = history();
     check!()
         .with_iterations(500)
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|arrivals| {
-            let state = ConfigKeeper::new(OwnClock::start());
+            let state = ConfigState::new(MonotonicClock::start());
             let mut newest = Revision(0);
             for &(kind, a, b) in arrivals {
                 let (a, b) = (u64::from(a) % (EDITS + 1), u64::from(b) % (EDITS + 1));
--- a/crates/controller/tests/edit_in_doubt.rs
+++ b/crates/controller/tests/edit_outcome.rs
@@ -3,8 +3,8 @@
 use {
     jasmine_conf::tree::{Edit, EditId, EditOp, NodeKind, Path, Settings},
     jasmine_controller::{
-        clock::OwnClock,
-        config::{ConfigKeeper, ConfigReader, EditSubmitError, EditWriter},
+        clock::MonotonicClock,
+        config::{ConfigReader, ConfigState, EditSubmitError, EditWriter},
     },
     jasmine_core::{clock::Millis, error::ErrorKind, ids::Revision},
     jasmine_store::store::{
@@ -72,8 +72,8 @@
 
 async fn submit(store: FlakyStore) -> EditSubmitError {
     let store: Rc<dyn Store> = Rc::new(store);
-    let clock = OwnClock::start();
-    let state = Rc::new(ConfigKeeper::new(clock));
+    let clock = MonotonicClock::start();
+    let state = Rc::new(ConfigState::new(clock));
     let reader = Rc::new(ConfigReader::new(
         Rc::clone(&store),
         clock,
@@ -96,14 +96,14 @@
 
 /// Guards against reporting a write as not executed while an earlier attempt may still take effect.
 #[actix_web::test]
-async fn a_write_on_its_way_is_not_called_unwritten() {
+async fn write_in_flight_is_reported_as_outcome_unknown() {
     let error = submit(FlakyStore::default()).await;
     assert_eq!(error.kind(), ErrorKind::EditOutcomeUnknown, "{error}");
 }
 
 /// Guards against an unknown outcome being reported when no write reached the store.
 #[actix_web::test]
-async fn a_write_that_never_left_is_called_unwritten() {
+async fn unsent_write_is_reported_as_not_executed() {
     let store = FlakyStore {
         writes: Cell::new(1),
     };
--- a/crates/controller/tests/engine_updates.rs
+++ b/crates/controller/tests/engine_updates.rs
@@ -16,8 +16,9 @@
     },
     std::time::Duration,
     support::{
-        Fleet, LATER, SOON, first_ops, gateway,
+        Fleet, LEASE_EXPIRY_TIMEOUT, REPLY_TIMEOUT, gateway,
         gateway_calls::{acquire, poll_fleet, poll_upstreams},
+        setup_ops,
     },
 };
 
@@ -58,10 +59,10 @@
 /// whose sequence number is unknown to this run of the controller.
 #[actix_web::test]
 async fn updates_only_changed_engines() {
-    let engines =
-        [(); 2].map(|()| engine::start(support::anywhere(), EngineSettings::default()).unwrap());
+    let engines = [(); 2]
+        .map(|()| engine::start(support::any_local_port(), EngineSettings::default()).unwrap());
     let fleet = Fleet::start(1).await;
-    let ops = first_ops(&engines.each_ref().map(RunningServer::address));
+    let ops = setup_ops(&engines.each_ref().map(RunningServer::address));
     let answer = fleet.edit(1, "first", ops).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     let (me, at) = (gateway(1), fleet.link(1));
@@ -72,7 +73,7 @@
             _ => Err(format!("{owners:?}")),
         }
     };
-    let (_, owners) = poll("both owned", SOON, check).await.unwrap();
+    let (_, owners) = poll("both owned", REPLY_TIMEOUT, check).await.unwrap();
     let (loaded, _, fence) = owners[0];
 
     // Wait until the updates for the first reports have been received.
@@ -100,7 +101,7 @@
             other => Err(format!("{other:?}")),
         }
     };
-    poll("a grant", LATER, check).await.unwrap();
+    poll("a grant", LEASE_EXPIRY_TIMEOUT, check).await.unwrap();
     let mut update = poll_engine_update(&at, me, have).await;
     assert_eq!(update.engines, [(loaded, 1)]);
     let bound = std::time::Instant::now() + Duration::from_secs(10);
--- a/crates/controller/tests/fake_controller/mod.rs
+++ b/crates/controller/tests/fake_controller/mod.rs
@@ -38,7 +38,7 @@
 
 impl FakeController {
     /// Drops the replies to the first `count` edits after applying them.
-    pub fn losing_answers(
+    pub fn with_lost_replies(
         mut self,
         count: u32,
     ) -> Self {
@@ -47,13 +47,13 @@
     }
 
     /// Clears the edit log, but not the tree, after each dropped reply.
-    pub fn forgetting_the_log(mut self) -> Self {
+    pub fn with_log_reset(mut self) -> Self {
         self.resets_log = true;
         self
     }
 
     /// Drops the replies to all edits, including retries, without applying them.
-    pub fn answering_nothing(mut self) -> Self {
+    pub fn with_all_replies_lost(mut self) -> Self {
         self.drops_all_replies = true;
         self
     }
--- a/crates/controller/tests/frozen_owner.rs
+++ b/crates/controller/tests/frozen_owner.rs
@@ -15,8 +15,9 @@
     nix::sys::signal::Signal,
     std::time::Duration,
     support::{
-        Fleet, LATER, SOON, first_ops, gateway,
+        Fleet, LEASE_EXPIRY_TIMEOUT, REPLY_TIMEOUT, gateway,
         gateway_calls::{acquire, poll_fleet, poll_upstreams},
+        setup_ops,
     },
 };
 
@@ -33,17 +34,17 @@
 }
 
 async fn start_with_grant() -> Fixture {
-    let engine = engine::start(support::anywhere(), EngineSettings::default()).unwrap();
+    let engine = engine::start(support::any_local_port(), EngineSettings::default()).unwrap();
     let fleet = Fleet::start(2).await;
     // Engine 0 is in dc-0, which has no VMs, so either VM may own it.
-    let answer = fleet.edit(1, "first", first_ops(&[engine.address()])).await;
+    let answer = fleet.edit(1, "first", setup_ops(&[engine.address()])).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     let (me, own) = (gateway(2), fleet.link(2));
     let check = || async {
         let owners = poll_fleet(&own, me).await.map_err(|e| e.to_string())?;
         owners.first().copied().ok_or_else(|| "no owner".to_owned())
     };
-    let (_, (_, first, old_fence)) = poll("an owner", SOON, check).await.unwrap();
+    let (_, (_, first, old_fence)) = poll("an owner", REPLY_TIMEOUT, check).await.unwrap();
     let at = fleet.link(first);
     let check = || async {
         poll_upstreams(&at, me, (ENGINE, old_fence), Vec::new())
@@ -54,7 +55,7 @@
             other => Err(format!("{other:?}")),
         }
     };
-    let (_, held) = poll("a grant", LATER, check).await.unwrap();
+    let (_, held) = poll("a grant", LEASE_EXPIRY_TIMEOUT, check).await.unwrap();
     Fixture {
         engine,
         fleet,
@@ -76,7 +77,9 @@
                 owner => Err(format!("{owner:?}")),
             }
         };
-        let (took, fence) = poll("another owner", LATER, check).await.unwrap();
+        let (took, fence) = poll("another owner", LEASE_EXPIRY_TIMEOUT, check)
+            .await
+            .unwrap();
         println!("engine taken over after {took:?}");
         fence
     }
@@ -135,7 +138,7 @@
             other => Err(format!("{other:?}")),
         }
     };
-    let (_, again) = poll("a grant of the new owner", LATER, check)
+    let (_, again) = poll("a grant of the new owner", LEASE_EXPIRY_TIMEOUT, check)
         .await
         .unwrap();
     assert_eq!(again.instance, fixture.held, "what is loaded is kept");
--- a/crates/controller/tests/idempotency_claims.rs
+++ b/crates/controller/tests/idempotency_claims.rs
@@ -7,7 +7,7 @@
     jasmine_wire::jasmine_capnp::ClaimOutcome,
     serde_json::json,
     support::{
-        Fleet, SOON,
+        Fleet, REPLY_TIMEOUT,
         gateway_calls::{claim, finish_claim},
     },
 };
@@ -78,5 +78,7 @@
             other => Err(format!("{other:?}")),
         }
     };
-    poll("the key can be claimed", SOON, check).await.unwrap();
+    poll("the key can be claimed", REPLY_TIMEOUT, check)
+        .await
+        .unwrap();
 }
--- a/crates/controller/tests/load_budget.rs
+++ b/crates/controller/tests/load_budget.rs
@@ -12,8 +12,9 @@
     serde_json::json,
     std::time::{Duration, Instant},
     support::{
-        Fleet, LATER, SOON, first_ops, gateway,
+        Fleet, LEASE_EXPIRY_TIMEOUT, REPLY_TIMEOUT, gateway,
         gateway_calls::{acquire, poll_fleet, poll_upstreams},
+        setup_ops,
     },
 };
 
@@ -30,9 +31,9 @@
         slots: 16,
         ..EngineSettings::default()
     };
-    let engine = engine::start(support::anywhere(), cfg).unwrap();
+    let engine = engine::start(support::any_local_port(), cfg).unwrap();
     let fleet = Fleet::start(2).await;
-    let mut ops = first_ops(&[engine.address()]);
+    let mut ops = setup_ops(&[engine.address()]);
     ops[4]["settings"]["slots"] = json!(16);
     for n in 3..=10 {
         let path = format!("/adapters/notes-{n}");
@@ -51,7 +52,7 @@
         let owners = poll_fleet(&own, me).await.map_err(|e| e.to_string())?;
         owners.first().copied().ok_or_else(|| "no owner".to_owned())
     };
-    let (_, (_, owner, fence)) = poll("an owner", SOON, check).await.unwrap();
+    let (_, (_, owner, fence)) = poll("an owner", REPLY_TIMEOUT, check).await.unwrap();
     let check = || async {
         let mut epochs = Vec::new();
         for vm in [1, 2] {
@@ -62,13 +63,13 @@
             _ => Err(format!("{epochs:?}")),
         }
     };
-    poll("one epoch", SOON, check).await.unwrap();
+    poll("one epoch", REPLY_TIMEOUT, check).await.unwrap();
 
     let at = fleet.link(owner);
     let start = Instant::now();
     let mut granted = Vec::new();
     let mut ask = 1;
-    while granted.len() < 10 && start.elapsed() < LATER {
+    while granted.len() < 10 && start.elapsed() < LEASE_EXPIRY_TIMEOUT {
         poll_upstreams(&at, me, (ENGINE, fence), Vec::new())
             .await
             .unwrap();
--- a/crates/controller/tests/lost_reply.rs
+++ b/crates/controller/tests/lost_reply.rs
@@ -9,7 +9,7 @@
 
 /// Guards against reporting a written edit as failed, and against applying it twice on a retry.
 #[actix_web::test]
-async fn edit_settled() {
+async fn lost_reply_does_not_fail_or_repeat_edit() {
     let fleet = Fleet::start(2).await;
     fleet.fault(json!({"lose_replies": 3})).await;
     let answer = fleet.edit(1, "first", account("clinic")).await;
--- a/crates/controller/tests/operators_api.rs
+++ b/crates/controller/tests/operators_api.rs
@@ -88,7 +88,7 @@
 }
 
 #[actix::test]
-async fn the_tree_comes_in_pages() {
+async fn tree_is_paginated() {
     let at = serve(FakeController::default());
     let mut seen = Vec::new();
     let mut after = String::new();
@@ -120,7 +120,7 @@
 }
 
 #[actix::test]
-async fn no_token_and_a_wrong_token_are_refused() {
+async fn missing_and_wrong_tokens_are_rejected() {
     // Guards against disclosure to clients without a valid token.
     let at = serve(FakeController::default());
     for (token, code) in [(None, "key_missing"), (Some("guess"), "key_unknown")] {
@@ -134,7 +134,7 @@
 }
 
 #[actix::test]
-async fn a_racing_edit_is_told_what_changed() {
+async fn conflicting_edit_receives_the_conflicts() {
     // Guards against lost updates when two operators change the same setting from one revision.
     let at = serve(FakeController::default());
     post(at, "/v1/edits", &edit("e1", 0, &account("farm"))).await;
@@ -151,9 +151,9 @@
 }
 
 #[actix::test]
-async fn an_edit_sent_again_does_nothing_twice() {
+async fn retried_edit_is_applied_once() {
     // Guards against applying an edit twice when it is retried after a lost reply.
-    let at = serve(FakeController::default().losing_answers(1));
+    let at = serve(FakeController::default().with_lost_replies(1));
     let wished = edit("e1", 0, &account("farm"));
     let (status, body) = post(at, "/v1/edits", &wished).await;
     assert_eq!(status, StatusCode::GATEWAY_TIMEOUT);
@@ -176,7 +176,7 @@
 }
 
 #[actix::test]
-async fn bad_input_gets_a_clear_error() {
+async fn invalid_input_returns_a_specific_error() {
     let at = serve(FakeController::default());
     let rows = [
         ("GET", "/v1/tree?path=nowhere", "", 400, "bad_request"),
--- a/crates/controller/tests/outage_start.rs
+++ b/crates/controller/tests/outage_start.rs
@@ -5,12 +5,12 @@
 use {
     jasmine_testkit::harness::poll,
     serde_json::json,
-    support::{Fleet, SOON, account},
+    support::{Fleet, REPLY_TIMEOUT, account},
 };
 
 /// Guards against a new VM rejecting all requests until the store recovers.
 #[actix_web::test]
-async fn config_from_peer() {
+async fn new_vm_loads_configuration_from_peer() {
     let mut fleet = Fleet::start(1).await;
     assert_eq!(fleet.edit(1, "first", account("clinic")).await.status, 200);
     let peers = fleet.at(1).daemon.port("peers").to_string();
@@ -26,7 +26,7 @@
             have => Err(format!("revision {have}")),
         }
     };
-    let (took, ()) = poll("configuration at the new VM", SOON, look)
+    let (took, ()) = poll("configuration at the new VM", REPLY_TIMEOUT, look)
         .await
         .unwrap();
     println!("configuration at the new VM after {took:?}");
--- a/crates/controller/tests/planned_stop.rs
+++ b/crates/controller/tests/planned_stop.rs
@@ -9,7 +9,7 @@
     },
     nix::sys::signal::Signal,
     std::time::Duration,
-    support::{Fleet, LATER, SOON, first_ops},
+    support::{Fleet, LEASE_EXPIRY_TIMEOUT, REPLY_TIMEOUT, setup_ops},
 };
 
 /// Guards against engines that stay without an active owner until the lease of a stopped controller
@@ -17,14 +17,14 @@
 #[actix_web::test]
 async fn engines_handed_over() {
     let engines: Vec<_> = (0..3)
-        .map(|_| engine::start(support::anywhere(), EngineSettings::default()).unwrap())
+        .map(|_| engine::start(support::any_local_port(), EngineSettings::default()).unwrap())
         .collect();
     let addresses: Vec<_> = engines
         .iter()
         .map(jasmine_testkit::RunningServer::address)
         .collect();
     let mut fleet = Fleet::start(2).await;
-    let answer = fleet.edit(1, "first", first_ops(&addresses)).await;
+    let answer = fleet.edit(1, "first", setup_ops(&addresses)).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     let check = || async {
         let owned = fleet.owned(2).await;
@@ -33,7 +33,9 @@
             _ => Err(format!("{owned:?}")),
         }
     };
-    poll("all engines owned", LATER, check).await.unwrap();
+    poll("all engines owned", LEASE_EXPIRY_TIMEOUT, check)
+        .await
+        .unwrap();
 
     assert!(fleet.at(1).daemon.signal(Signal::SIGTERM));
     let check = || async {
@@ -42,7 +44,9 @@
             owned => Err(format!("{owned:?}")),
         }
     };
-    let (took, ()) = poll("the other owns all", SOON, check).await.unwrap();
+    let (took, ()) = poll("the other owns all", REPLY_TIMEOUT, check)
+        .await
+        .unwrap();
     println!("engines handed over {took:?} after the signal");
     // The 2 s lease was renewed at most 0.7 s ago, so it would expire after at least 1.3 s.
     assert!(took < Duration::from_secs(1), "{took:?}");
--- a/crates/controller/tests/racing_owners.rs
+++ b/crates/controller/tests/racing_owners.rs
@@ -16,7 +16,7 @@
     },
     serde_json::json,
     std::rc::Rc,
-    support::{Fleet, LATER, SOON, first_ops},
+    support::{Fleet, LEASE_EXPIRY_TIMEOUT, REPLY_TIMEOUT, setup_ops},
 };
 
 /// Starts a controller in this process that holds a lease and knows no other controller.
@@ -26,7 +26,7 @@
     engine: std::net::SocketAddr,
 ) -> Rc<ControllerContext> {
     let store = format!("http://{}", fleet.platform.address());
-    let any = support::anywhere();
+    let any = support::any_local_port();
     let settings = json!({
         "vm": vm, "data_centre": "dc-1",
         "listen": {"operators": any, "peers": any, "status": any},
@@ -39,7 +39,7 @@
         id: EditId::parse("first").unwrap(),
         author: "test".into(),
         base: Revision(0),
-        ops: serde_json::from_value(first_ops(&[engine])).unwrap(),
+        ops: serde_json::from_value(setup_ops(&[engine])).unwrap(),
     };
     let log = EditLog::new(Revision(0));
     let tree = Tree::default().propose(&edit, &log, 0).unwrap().tree;
@@ -53,7 +53,7 @@
             .valid_lease()
             .ok_or_else(|| "no lease".to_owned())
     };
-    let (_, _lease): (_, LeaseId) = poll("a lease", SOON, check).await.unwrap();
+    let (_, _lease): (_, LeaseId) = poll("a lease", REPLY_TIMEOUT, check).await.unwrap();
     cx
 }
 
@@ -61,7 +61,7 @@
 /// claim it.
 #[actix_web::test]
 async fn concurrent_claims_have_one_owner() {
-    let engine = engine::start(support::anywhere(), EngineSettings::default()).unwrap();
+    let engine = engine::start(support::any_local_port(), EngineSettings::default()).unwrap();
     let fleet = Fleet::empty();
     let one = start_isolated(&fleet, 1, engine.address()).await;
     let two = start_isolated(&fleet, 2, engine.address()).await;
@@ -83,14 +83,14 @@
 #[actix_web::test]
 async fn concurrent_starts_spread_engines() {
     let engines: Vec<_> = (0..6)
-        .map(|_| engine::start(support::anywhere(), EngineSettings::default()).unwrap())
+        .map(|_| engine::start(support::any_local_port(), EngineSettings::default()).unwrap())
         .collect();
     let addresses: Vec<_> = engines
         .iter()
         .map(jasmine_testkit::RunningServer::address)
         .collect();
     let mut fleet = Fleet::start(1).await;
-    let answer = fleet.edit(1, "first", first_ops(&addresses)).await;
+    let answer = fleet.edit(1, "first", setup_ops(&addresses)).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     fleet.add(2);
     fleet.add(3);
@@ -106,7 +106,7 @@
             _ => Err(format!("{owned:?}")),
         }
     };
-    let (took, ()) = poll("each engine has its owner", LATER, check)
+    let (took, ()) = poll("each engine has its owner", LEASE_EXPIRY_TIMEOUT, check)
         .await
         .unwrap();
     println!("engines spread after {took:?}");
@@ -116,14 +116,14 @@
 #[actix_web::test]
 async fn deleted_engine_is_released() {
     let engines: Vec<_> = (0..2)
-        .map(|_| engine::start(support::anywhere(), EngineSettings::default()).unwrap())
+        .map(|_| engine::start(support::any_local_port(), EngineSettings::default()).unwrap())
         .collect();
     let addresses: Vec<_> = engines
         .iter()
         .map(jasmine_testkit::RunningServer::address)
         .collect();
     let fleet = Fleet::start(1).await;
-    let answer = fleet.edit(1, "first", first_ops(&addresses)).await;
+    let answer = fleet.edit(1, "first", setup_ops(&addresses)).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     let owned = |wanted: u64| {
         let fleet = &fleet;
@@ -134,9 +134,9 @@
             }
         }
     };
-    poll("both owned", SOON, owned(2)).await.unwrap();
+    poll("both owned", REPLY_TIMEOUT, owned(2)).await.unwrap();
     let ops = json!([{"op": "delete", "path": "/upstreams/engine-0"}]);
     let answer = fleet.edit(1, "second", ops).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    poll("one owned", SOON, owned(1)).await.unwrap();
+    poll("one owned", REPLY_TIMEOUT, owned(1)).await.unwrap();
 }
--- a/crates/controller/tests/store_outage.rs
+++ b/crates/controller/tests/store_outage.rs
@@ -6,13 +6,13 @@
     jasmine_testkit::harness::poll,
     serde_json::json,
     std::time::Duration,
-    support::{Fleet, LATER, SOON, account},
+    support::{Fleet, LEASE_EXPIRY_TIMEOUT, REPLY_TIMEOUT, account},
 };
 
 /// Guards against losing the configuration, or rejecting edits permanently, after a store outage that
 /// outlasts every lease.
 #[actix_web::test]
-async fn out_and_back() {
+async fn edits_resume_after_store_outage() {
     let fleet = Fleet::start(2).await;
     assert_eq!(fleet.edit(1, "before", account("clinic")).await.status, 200);
     fleet.wait_revision(2, 1).await;
@@ -29,7 +29,7 @@
             _ => Err(status.to_string()),
         }
     };
-    poll("store reported as unavailable", SOON, look)
+    poll("store reported as unavailable", REPLY_TIMEOUT, look)
         .await
         .unwrap();
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -42,7 +42,9 @@
             answer => Err(format!("{answer:?}")),
         }
     };
-    let (back, ()) = poll("edit accepted again", SOON, look).await.unwrap();
+    let (back, ()) = poll("edit accepted again", REPLY_TIMEOUT, look)
+        .await
+        .unwrap();
     let everywhere = fleet.wait_revision(1, 2).await;
     println!(
         "edit accepted {back:?} after the store recovered, applied at the other VM {everywhere:?} later"
@@ -53,7 +55,7 @@
 
 /// Guards against missing edits, such as a key revocation, while watches stall and other calls work.
 #[actix_web::test]
-async fn watch_stalled() {
+async fn stalled_watch_does_not_delay_edits() {
     let fleet = Fleet::start(2).await;
     fleet.fault(json!({"stall_watches": true})).await;
     assert_eq!(fleet.edit(1, "first", account("clinic")).await.status, 200);
@@ -64,7 +66,7 @@
 
 /// Guards against losing the lease and missing edits when open connections hang and new ones work.
 #[actix_web::test]
-async fn connections_silent() {
+async fn silent_store_connections_are_replaced() {
     let fleet = Fleet::start(2).await;
     fleet
         .at(2)
@@ -74,5 +76,5 @@
     let took = fleet.wait_revision(2, 1).await;
     println!("edit applied behind silent connections after {took:?}");
     let ready = fleet.wait_ready(2).await;
-    assert!(ready < LATER, "{ready:?}");
+    assert!(ready < LEASE_EXPIRY_TIMEOUT, "{ready:?}");
 }
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -32,10 +32,10 @@
 const TOKEN: &str = "operators-token";
 
 /// Timeout of waits that do not depend on a lease expiry.
-pub const SOON: Duration = Duration::from_secs(8);
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Timeout of waits that include a lease expiry.
-pub const LATER: Duration = Duration::from_secs(20);
+pub const LEASE_EXPIRY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A controller process and the proxy of its platform connection.
 pub struct Controller {
@@ -66,7 +66,7 @@
         fs::create_dir_all(&folder).unwrap();
         Self {
             controllers: Vec::new(),
-            platform: platform::start(anywhere()).unwrap(),
+            platform: platform::start(any_local_port()).unwrap(),
             folder,
         }
     }
@@ -92,8 +92,8 @@
         &mut self,
         vm: u32,
     ) {
-        let to_platform = Proxy::start(anywhere(), self.platform.address()).unwrap();
-        let any = anywhere();
+        let to_platform = Proxy::start(any_local_port(), self.platform.address()).unwrap();
+        let any = any_local_port();
         let store = format!("http://{}", to_platform.address());
         let settings = json!({
             "vm": vm,
@@ -135,7 +135,7 @@
                 other => Err(format!("{other:?}")),
             }
         };
-        poll("ready", LATER, look).await.unwrap().0
+        poll("ready", LEASE_EXPIRY_TIMEOUT, look).await.unwrap().0
     }
 
     pub async fn edit(
@@ -193,7 +193,7 @@
                 have => Err(format!("revision {have}")),
             }
         };
-        poll("revision", SOON, look).await.unwrap().0
+        poll("revision", REPLY_TIMEOUT, look).await.unwrap().0
     }
 
     pub async fn fault(
@@ -274,12 +274,12 @@
     }
 }
 
-pub fn anywhere() -> SocketAddr {
+pub fn any_local_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
 /// Operations that create three data centres, a model, one engine per address and two adapters.
-pub fn first_ops(engines: &[SocketAddr]) -> Value {
+pub fn setup_ops(engines: &[SocketAddr]) -> Value {
     let create = |path: String, kind: &str, settings: Value| json!({"op": "create", "path": path, "kind": kind, "settings": settings});
     let mut ops = vec![create("/models/base".into(), "model", json!({}))];
     for n in 0..3 {
--- a/crates/controller/tests/watch_relay.rs
+++ b/crates/controller/tests/watch_relay.rs
@@ -5,13 +5,13 @@
 use {
     jasmine_testkit::harness::poll,
     std::time::Duration,
-    support::{Fleet, LATER, account},
+    support::{Fleet, LEASE_EXPIRY_TIMEOUT, account},
 };
 
 /// Guards against too many store watches, and against a VM that misses edits after all watchers of its
 /// data centre died.
 #[actix_web::test]
-async fn two_a_data_centre() {
+async fn watchers_per_data_centre_are_limited() {
     let mut fleet = Fleet::start(9).await;
     let look = || async {
         let mut waiting = Vec::new();
@@ -24,7 +24,9 @@
             _ => Err(format!("{waiting:?}")),
         }
     };
-    let (took, ()) = poll("twelve watches", LATER, look).await.unwrap();
+    let (took, ()) = poll("twelve watches", LEASE_EXPIRY_TIMEOUT, look)
+        .await
+        .unwrap();
     println!("watchers settled after {took:?}");
 
     let answer = fleet.edit(1, "first", account("clinic")).await;
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -138,7 +138,7 @@
 #[actix::test]
 async fn edit_is_applied_once_when_the_response_is_lost() {
     // The controller accepts the edit and its response is lost; the retry must not apply it again.
-    let ctl = start_controller(FakeController::default().losing_answers(2));
+    let ctl = start_controller(FakeController::default().with_lost_replies(2));
     let ran = ctl.ok("create /accounts/farm account -o json").await;
     assert_eq!(ran.json()["revision"], 1);
     let ran = ctl.ok("history -o json").await;
@@ -148,7 +148,7 @@
 #[actix::test]
 async fn unknown_edit_outcome_is_reported() {
     // Every response is lost, so neither success nor failure may be reported.
-    let ctl = start_controller(FakeController::default().answering_nothing());
+    let ctl = start_controller(FakeController::default().with_all_replies_lost());
     let ran = ctl
         .run("create /accounts/farm account --base 0 --edit-id e-7")
         .await;
@@ -162,8 +162,8 @@
     // edit's base. The edit may still be in force, as it is here.
     let ctl = start_controller(
         FakeController::default()
-            .losing_answers(1)
-            .forgetting_the_log(),
+            .with_lost_replies(1)
+            .with_log_reset(),
     );
     let ran = ctl.run("create /accounts/farm account --edit-id e8").await;
     assert_eq!(ran.code, 6, "{ran:?}");
