--- a/crates/core/examples/scheduler_cost/fleet.rs
+++ b/crates/core/examples/scheduler_cost/fleet.rs
@@ -5,8 +5,9 @@
         ingress::{PromptPart, PromptSize},
         rights::CallerTag,
         scheduler::{
-            EngineLimits, EngineStatus, Generation, Job, Order, OrderResult, Outcome, RateShare,
-            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamStatus, Work,
+            AttemptId, EngineLimits, EngineStatus, Generation, Job, Order, OrderResult, Outcome,
+            RateShare, Scheduler, SchedulerAction as Action, SchedulerSettings, UpstreamStatus,
+            Work,
         },
     },
     rand::{Rng, SeedableRng},
@@ -158,7 +159,7 @@
             Event::Arrive => {
                 let job = self.create_job();
                 self.jobs.insert(number, job.clone());
-                self.scheduler.place(ticket(number), job, now)
+                self.scheduler.place(attempt_id(number), job, now)
             }
             Event::FirstToken(number) => {
                 self.first_tokens += 1;
@@ -166,13 +167,13 @@
                 self.in_time += u64::from(now <= sent.objective);
                 let output = sent.output;
                 self.schedule(output, Event::End(number));
-                self.scheduler.first_event(ticket(number), now)
+                self.scheduler.first_event(attempt_id(number), now)
             }
             Event::End(number) => {
                 let outcome = Outcome::Answered {
                     took: CALL_DURATION,
                 };
-                self.scheduler.ended(ticket(number), outcome, now)
+                self.scheduler.ended(attempt_id(number), outcome, now)
             }
             Event::Accepted(upstream, order) => {
                 let (order, end) = self.orders[order];
@@ -196,8 +197,10 @@
     ) {
         match action {
             Action::Assign {
-                ticket, upstream, ..
-            } => self.send(ticket.number, upstream),
+                attempt_id,
+                upstream,
+                ..
+            } => self.send(attempt_id.number, upstream),
             Action::Refuse { .. } => self.refused += 1,
             Action::Order {
                 upstream, order, ..
@@ -285,13 +288,13 @@
             deadline: self.now + Millis(5_000),
             data_centre: Some(DataCentreId(0)),
             attempt: 1,
-            avoid: Vec::new(),
+            excluded_upstreams: Vec::new(),
         }
     }
 }
 
-const fn ticket(number: u64) -> Ticket {
-    Ticket { vm: 1, number }
+const fn attempt_id(number: u64) -> AttemptId {
+    AttemptId { vm: 1, number }
 }
 
 fn engine_limits() -> EngineLimits {
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Ticket, WaitReason},
+    super::{AttemptId, WaitReason},
     crate::{
         error::Refusal,
         ids::{AdapterVersion, ModelId, UpstreamId},
@@ -35,7 +35,7 @@
     /// Send the request to this upstream.
     Assign {
         /// Identifies the attempt on the forwarding VM.
-        ticket: Ticket,
+        attempt_id: AttemptId,
         /// Upstream to forward the request to.
         upstream: UpstreamId,
         /// The required adapter version, if an operator has announced one.
@@ -46,7 +46,7 @@
     /// Reject the request; it has not run.
     Refuse {
         /// Identifies the attempt on the forwarding VM.
-        ticket: Ticket,
+        attempt_id: AttemptId,
         /// Error for the caller, with the time after which to retry.
         refusal: Refusal,
         /// The reason that it waited for longest.
--- a/crates/core/src/scheduler/choose/mod.rs
+++ b/crates/core/src/scheduler/choose/mod.rs
@@ -356,7 +356,9 @@
         let is_reachable = || up.health.is_available(self.now);
         up.is_ready
             && match filter {
-                CandidateFilter::NotFailed => is_reachable() && !job.avoid.contains(&up.id),
+                CandidateFilter::NotFailed => {
+                    is_reachable() && !job.excluded_upstreams.contains(&up.id)
+                }
                 CandidateFilter::Reachable => is_reachable(),
                 CandidateFilter::Ready => true,
             }
--- a/crates/core/src/scheduler/job.rs
+++ b/crates/core/src/scheduler/job.rs
@@ -7,7 +7,7 @@
 
 /// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct AttemptId {
     /// The forwarding VM, by the number that the scheduler's caller assigned.
     pub vm: u32,
     /// Counter that is unique on the forwarding VM.
@@ -62,7 +62,7 @@
     /// Attempt number, from 1; later attempts draw on the retry budget.
     pub attempt: u32,
     /// Upstreams that failed earlier attempts.
-    pub avoid: Vec<UpstreamId>,
+    pub excluded_upstreams: Vec<UpstreamId>,
 }
 
 impl Job {
--- a/crates/core/src/scheduler/outcome.rs
+++ b/crates/core/src/scheduler/outcome.rs
@@ -47,7 +47,7 @@
 
 /// Engines that get no more orders before leadership is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PausedEngines {
+pub enum EnginesToPause {
     /// Every second engine, so that the next scheduler can order these at once.
     EverySecond,
     /// Stops orders to every engine.
--- a/crates/core/src/scheduler/running.rs
+++ b/crates/core/src/scheduler/running.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Job, Ticket, WaitReason, WaitTimes},
+    super::{AttemptId, Job, WaitReason, WaitTimes},
     crate::{
         clock::Millis,
         ids::{AdapterVersion, UpstreamId},
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningRequest {
     /// Identifies the attempt on the forwarding VM.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// What the request asks for, with its limits.
     pub job: Job,
     /// Upstream to which the request is assigned.
@@ -37,7 +37,7 @@
 /// A request known to the scheduler.
 #[derive(Debug)]
 pub(super) struct TrackedRequest {
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     pub job: Job,
     pub stage: Stage,
     /// When it must be sent at the latest to meet its objective.
--- a/crates/core/src/scheduler/state_machine/decisions.rs
+++ b/crates/core/src/scheduler/state_machine/decisions.rs
@@ -191,11 +191,11 @@
         now: Millis,
     ) -> Option<Action> {
         let entry = self.entries.get_mut(&request)?;
-        let ticket = entry.ticket;
+        let attempt_id = entry.attempt_id;
         let waited_for = entry.waited_for(now);
         self.finish(request, Outcome::Abandoned, now);
         Some(Action::Refuse {
-            ticket,
+            attempt_id,
             refusal,
             waited_for,
         })
@@ -310,7 +310,7 @@
             .filter(|adapter| self.versions.announced_version(adapter.adapter).is_some())
             .map(|adapter| adapter.version);
         Some(Action::Assign {
-            ticket: entry.ticket,
+            attempt_id: entry.attempt_id,
             upstream,
             version,
             waited_for,
@@ -367,7 +367,7 @@
         let Some(mut entry) = self.entries.remove(&request) else {
             return;
         };
-        self.by_attempt_id.remove(&entry.ticket);
+        self.by_attempt_id.remove(&entry.attempt_id);
         let has_run = match entry.stage {
             Stage::Waiting => {
                 entry.waits_for(entry.waits_for, now);
--- a/crates/core/src/scheduler/state_machine/events.rs
+++ b/crates/core/src/scheduler/state_machine/events.rs
@@ -8,9 +8,9 @@
         ids::{AccountId, AdapterId, AdapterVersion, RequestId, ServiceId, UpstreamId},
         rights::{Charge, Limit},
         scheduler::{
-            EngineLimits, EngineStatus, Job, Order, OrderResult, Outcome, PausedEngines,
-            RateDecision, RateShare, RunningRequest, SchedulerAction as Action, SchedulerSettings,
-            Ticket, UpstreamStatus, WaitReason, WaitTimes,
+            AttemptId, EngineLimits, EngineStatus, EnginesToPause, Job, Order, OrderResult,
+            Outcome, RateDecision, RateShare, RunningRequest, SchedulerAction as Action,
+            SchedulerSettings, UpstreamStatus, WaitReason, WaitTimes,
             announced_versions::Announcement,
             loads,
             running::{Stage, TrackedRequest},
@@ -87,11 +87,11 @@
     /// order. Stopping half of the engines early lets it load adapters on those at once.
     pub fn pause_orders(
         &mut self,
-        engines: PausedEngines,
+        engines: EnginesToPause,
     ) {
         let step = match engines {
-            PausedEngines::EverySecond => 2,
-            PausedEngines::All => 1,
+            EnginesToPause::EverySecond => 2,
+            EnginesToPause::All => 1,
         };
         for (_, engine) in self.fleet.engines_mut().step_by(step) {
             engine.is_order_paused = true;
@@ -226,13 +226,13 @@
     /// Queues a request, or refuses it at once.
     pub fn place(
         &mut self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         job: Job,
         now: Millis,
     ) -> Vec<Action> {
         let refuse = |refusal| {
             vec![Action::Refuse {
-                ticket,
+                attempt_id,
                 refusal,
                 waited_for: WaitReason::Turn,
             }]
@@ -259,7 +259,7 @@
         self.next_request += 1;
         self.update_queued_work(&job, true);
         self.on_time.insert((self.latest_send_at(&job), request));
-        self.add_entry(request, ticket, job, Stage::Waiting, charge, now);
+        self.add_entry(request, attempt_id, job, Stage::Waiting, charge, now);
         self.decide(now)
     }
 
@@ -267,15 +267,15 @@
     fn add_entry(
         &mut self,
         request: RequestId,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         job: Job,
         stage: Stage,
         charge: Option<Charge>,
         now: Millis,
     ) {
-        self.by_attempt_id.insert(ticket, request);
+        self.by_attempt_id.insert(attempt_id, request);
         let entry = TrackedRequest {
-            ticket,
+            attempt_id,
             latest_send_at: self.latest_send_at(&job),
             evaluate_at: Millis::ZERO,
             evaluation_epoch: self.evaluation_epoch,
@@ -307,20 +307,20 @@
     /// Removes a request whose caller has gone or whose VM has given up on it.
     pub fn cancel(
         &mut self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         now: Millis,
     ) -> Vec<Action> {
-        self.ended(ticket, Outcome::Abandoned, now)
+        self.ended(attempt_id, Outcome::Abandoned, now)
     }
 
     /// Records the first event of an assigned generation, which shows that its prompt was
     /// processed.
     pub fn first_event(
         &mut self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         now: Millis,
     ) -> Vec<Action> {
-        let Some(&request) = self.by_attempt_id.get(&ticket) else {
+        let Some(&request) = self.by_attempt_id.get(&attempt_id) else {
             return Vec::new();
         };
         let Some(entry) = self.entries.get(&request) else {
@@ -349,11 +349,11 @@
     /// Records the outcome of an assigned or queued request.
     pub fn ended(
         &mut self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         outcome: Outcome,
         now: Millis,
     ) -> Vec<Action> {
-        if let Some(request) = self.by_attempt_id.get(&ticket).copied() {
+        if let Some(request) = self.by_attempt_id.get(&attempt_id).copied() {
             self.finish(request, outcome, now);
         }
         self.decide(now)
@@ -366,13 +366,13 @@
         now: Millis,
     ) {
         let RunningRequest {
-            ticket,
+            attempt_id,
             job,
             upstream,
             version,
             has_begun,
         } = adopted;
-        if self.by_attempt_id.contains_key(&ticket) {
+        if self.by_attempt_id.contains_key(&attempt_id) {
             return;
         }
         let request = RequestId(self.next_request);
@@ -388,7 +388,7 @@
             engine.backlog.remove(request, now);
         }
         let stage = Stage::Running { upstream, adapter };
-        self.add_entry(request, ticket, job, stage, None, now);
+        self.add_entry(request, attempt_id, job, stage, None, now);
     }
 
     /// Removes all requests of a VM that is gone.
@@ -397,7 +397,7 @@
         vm: u32,
         now: Millis,
     ) -> Vec<Action> {
-        self.remove_matching(|ticket| ticket.vm == vm, now)
+        self.remove_matching(|attempt_id| attempt_id.vm == vm, now)
     }
 
     /// Removes all requests of VMs other than `vm`, after another scheduler has taken over.
@@ -406,7 +406,7 @@
         vm: u32,
         now: Millis,
     ) -> Vec<Action> {
-        self.remove_matching(|ticket| ticket.vm != vm, now)
+        self.remove_matching(|attempt_id| attempt_id.vm != vm, now)
     }
 
     fn remove_matching<F>(
@@ -415,12 +415,12 @@
         now: Millis,
     ) -> Vec<Action>
     where
-        F: Fn(Ticket) -> bool,
+        F: Fn(AttemptId) -> bool,
     {
         let removed: Vec<RequestId> = self
             .entries
             .iter()
-            .filter(|(_, entry)| is_removed(entry.ticket))
+            .filter(|(_, entry)| is_removed(entry.attempt_id))
             .map(|(&request, _)| request)
             .collect();
         for request in removed {
--- a/crates/core/src/scheduler/state_machine/mod.rs
+++ b/crates/core/src/scheduler/state_machine/mod.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{
-        RateShare, SchedulerSettings, Ticket, WaitTimes, account_rates::AccountRates,
+        AttemptId, RateShare, SchedulerSettings, WaitTimes, account_rates::AccountRates,
         announced_versions::AnnouncedVersions, fleet::Fleet, loads::ModelLoads,
         report_queue::ReportQueue, retry_budget::RetryBudget, running::TrackedRequest,
     },
@@ -43,7 +43,7 @@
     taken_over_at: Option<Millis>,
     queue: FairQueue,
     entries: HashMap<RequestId, TrackedRequest>,
-    by_attempt_id: HashMap<Ticket, RequestId>,
+    by_attempt_id: HashMap<AttemptId, RequestId>,
     /// Number of queued requests by adapter.
     queued_by_adapter: HashMap<AdapterId, u32>,
     /// Queued work by service, in prompt tokens or calls.
--- a/crates/core/src/scheduler/state_machine/queries.rs
+++ b/crates/core/src/scheduler/state_machine/queries.rs
@@ -5,7 +5,7 @@
     crate::{
         clock::Millis,
         ids::{ServiceId, UpstreamId},
-        scheduler::{Ticket, WaitTimes, running::Stage},
+        scheduler::{AttemptId, WaitTimes, running::Stage},
     },
 };
 
@@ -60,9 +60,9 @@
     /// Whether a request is assigned and has not ended.
     pub fn is_running(
         &self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
     ) -> bool {
-        let request = self.by_attempt_id.get(&ticket);
+        let request = self.by_attempt_id.get(&attempt_id);
         let entry = request.and_then(|request| self.entries.get(request));
         entry.is_some_and(|entry| matches!(entry.stage, Stage::Running { .. }))
     }
--- a/crates/core/tests/adapter_loads.rs
+++ b/crates/core/tests/adapter_loads.rs
@@ -7,8 +7,8 @@
         clock::Millis,
         ids::{AdapterId, UpstreamId},
         scheduler::{
-            Announcement, Order, OrderResult, Outcome, PausedEngines, RateShare, SchedulerSettings,
-            Work,
+            Announcement, EnginesToPause, Order, OrderResult, Outcome, RateShare,
+            SchedulerSettings, Work,
         },
     },
     scheduler_world::{ENGINES, World, engine, generation, limits, version},
@@ -101,7 +101,7 @@
     let mut world = World::leading(0);
     world.add_engine(UpstreamId(0), &[1, 2]);
     let mut job = generation(3, world.now);
-    job.avoid = vec![];
+    job.excluded_upstreams = vec![];
     let request = world.place(job);
     world.advance(300);
     let at = world.sent_to(request).expect("served after one load");
@@ -393,7 +393,7 @@
     // Guards against a planned stop after which the next scheduler must wait the order gap on every
     // engine.
     let mut world = World::leading(4);
-    world.scheduler.pause_orders(PausedEngines::EverySecond);
+    world.scheduler.pause_orders(EnginesToPause::EverySecond);
     for adapter in 1..5 {
         world.generate(adapter);
     }
@@ -402,7 +402,7 @@
     assert!(!ordered.is_empty());
     assert!(ordered.iter().all(|of| of % 2 == 1), "{ordered:?}");
     world.advance(3_000);
-    world.scheduler.pause_orders(PausedEngines::All);
+    world.scheduler.pause_orders(EnginesToPause::All);
     let before = world.orders.len();
     world.generate(7);
     world.advance(400);
@@ -422,7 +422,7 @@
     // previous one may have sent it an order just before the takeover.
     let mut world = world_after_takeover(1);
     world.advance(1_000);
-    world.scheduler.pause_orders(PausedEngines::All);
+    world.scheduler.pause_orders(EnginesToPause::All);
     assert_eq!(
         world.scheduler.order_idle_times(world.now),
         [(UpstreamId(0), Millis(1_000))]
--- a/crates/core/tests/scheduler_refusals.rs
+++ b/crates/core/tests/scheduler_refusals.rs
@@ -62,7 +62,9 @@
         if reading.is_none() {
             let next = arrived.iter().find(|(number, _)| {
                 world.sent_to(*number).is_some()
-                    && world.scheduler.is_running(scheduler_world::ticket(*number))
+                    && world
+                        .scheduler
+                        .is_running(scheduler_world::attempt_id(*number))
             });
             // The engine processes 1500 prompt tokens at 15 per millisecond.
             reading = next.map(|&(number, _)| (number, world.now + Millis(100)));
--- a/crates/core/tests/scheduler_world/mod.rs
+++ b/crates/core/tests/scheduler_world/mod.rs
@@ -10,8 +10,9 @@
         ingress::{PromptPart, PromptSize},
         rights::{CallerTag, Limit},
         scheduler::{
-            EngineLimits, EngineStatus, Generation, Job, Order, OrderResult, Outcome, RateShare,
-            Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket, UpstreamStatus, Work,
+            AttemptId, EngineLimits, EngineStatus, Generation, Job, Order, OrderResult, Outcome,
+            RateShare, Scheduler, SchedulerAction as Action, SchedulerSettings, UpstreamStatus,
+            Work,
         },
     },
     std::collections::{BTreeMap, HashMap},
@@ -142,8 +143,8 @@
         job: Job,
     ) -> u64 {
         self.next_number += 1;
-        let ticket = ticket(self.next_number);
-        let actions = self.scheduler.place(ticket, job, self.now);
+        let attempt_id = attempt_id(self.next_number);
+        let actions = self.scheduler.place(attempt_id, job, self.now);
         self.apply_actions(actions);
         self.next_number
     }
@@ -152,7 +153,7 @@
         &mut self,
         number: u64,
     ) {
-        let actions = self.scheduler.first_event(ticket(number), self.now);
+        let actions = self.scheduler.first_event(attempt_id(number), self.now);
         self.apply_actions(actions);
     }
 
@@ -161,7 +162,7 @@
         number: u64,
         outcome: Outcome,
     ) {
-        let actions = self.scheduler.ended(ticket(number), outcome, self.now);
+        let actions = self.scheduler.ended(attempt_id(number), outcome, self.now);
         self.apply_actions(actions);
     }
 
@@ -225,19 +226,21 @@
         for action in actions {
             match action {
                 Action::Assign {
-                    ticket,
+                    attempt_id,
                     upstream,
                     version,
                     ..
                 } => {
                     let decision = Decision::Sent(upstream, version);
-                    self.decisions.insert(ticket.number, decision);
+                    self.decisions.insert(attempt_id.number, decision);
                 }
                 Action::Refuse {
-                    ticket, refusal, ..
+                    attempt_id,
+                    refusal,
+                    ..
                 } => {
                     let decision = Decision::Refused(refusal);
-                    self.decisions.insert(ticket.number, decision);
+                    self.decisions.insert(attempt_id.number, decision);
                 }
                 Action::RequestReport { upstream } => self.reports_asked.push(upstream),
                 Action::Order {
@@ -271,8 +274,8 @@
     }
 }
 
-pub const fn ticket(number: u64) -> Ticket {
-    Ticket { vm: 0, number }
+pub const fn attempt_id(number: u64) -> AttemptId {
+    AttemptId { vm: 0, number }
 }
 
 pub fn limits() -> EngineLimits {
@@ -351,7 +354,7 @@
         deadline: now + Millis(5_000),
         data_centre: Some(HERE),
         attempt: 1,
-        avoid: Vec::new(),
+        excluded_upstreams: Vec::new(),
     }
 }
 
--- a/crates/core/tests/standalone_rate_limits.rs
+++ b/crates/core/tests/standalone_rate_limits.rs
@@ -8,7 +8,7 @@
         ids::{AccountId, UpstreamId},
         scheduler::{Job, Outcome, RateDecision, RateShare, SchedulerSettings},
     },
-    scheduler_world::{World, call, ticket},
+    scheduler_world::{World, attempt_id, call},
 };
 
 const ACCOUNT: AccountId = AccountId(1);
@@ -56,7 +56,7 @@
         });
         asked += 1;
         served += usize::from(world.sent_to(number).is_some());
-        if world.scheduler.is_running(ticket(number)) {
+        if world.scheduler.is_running(attempt_id(number)) {
             world.end(number, Outcome::Answered { took: Millis(5) });
         }
         world.advance(every);
--- a/crates/entry/examples/scheduler_calls.rs
+++ b/crates/entry/examples/scheduler_calls.rs
@@ -185,7 +185,7 @@
         gap_objective: None,
         deadline: Millis(3_000),
         attempt: 1,
-        avoid: Vec::new(),
+        excluded_upstreams: Vec::new(),
         data_centre: "one".to_owned(),
     }
 }
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -5,7 +5,7 @@
         context::{Context, StopStage},
         store::{Feed, KvStore, Membership, deregister},
     },
-    jasmine_core::{clock::Millis, scheduler::PausedEngines},
+    jasmine_core::{clock::Millis, scheduler::EnginesToPause},
     jasmine_telemetry::log::Line,
     std::time::Duration,
     tokio::{
@@ -90,7 +90,7 @@
     if cx.scheduling.is_leading() && cx.settings.order_gap() > Millis::ZERO {
         cx.scheduling
             .local_scheduler
-            .pause_orders(PausedEngines::EverySecond);
+            .pause_orders(EnginesToPause::EverySecond);
         sleep_until((Instant::now() + cx.settings.order_gap().to_std()).min(latest)).await;
     }
     lease_tasks.iter().for_each(AbortHandle::abort);
--- a/crates/entry/src/forward/driver.rs
+++ b/crates/entry/src/forward/driver.rs
@@ -40,7 +40,7 @@
     cx: &'a Rc<Context>,
     req: ForwardRequest,
     attempts: Attempts,
-    avoid: Vec<String>,
+    excluded_upstreams: Vec<String>,
     progress: Progress,
     /// The last error response of an upstream, forwarded if no attempt succeeds.
     upstream_error: Option<(ResponseHead, Bytes)>,
@@ -65,7 +65,7 @@
         Self {
             cx,
             attempts,
-            avoid: Vec::new(),
+            excluded_upstreams: Vec::new(),
             progress: Progress {
                 last_event: req.caller.last_event,
                 ..Progress::default()
@@ -128,7 +128,9 @@
         let now = self.cx.clock.now();
         let number = self.attempts.next_attempt();
         let data_centre = &self.cx.settings.data_centre;
-        let job = self.req.job_spec(number, &self.avoid, data_centre, now);
+        let job = self
+            .req
+            .job_spec(number, &self.excluded_upstreams, data_centre, now);
         let left = self.req.deadline.since(now);
         let placement_result = timeout(left.to_std(), self.cx.scheduling.place(job));
         tokio::select! {
@@ -244,7 +246,7 @@
                 Step::Retry
             }
             _ => {
-                self.avoid.push(placement.upstream.clone());
+                self.excluded_upstreams.push(placement.upstream.clone());
                 Step::Retry
             }
         }
--- a/crates/entry/src/forward/request.rs
+++ b/crates/entry/src/forward/request.rs
@@ -104,7 +104,7 @@
     pub fn job_spec(
         &self,
         attempt: u32,
-        avoid: &[String],
+        excluded_upstreams: &[String],
         data_centre: &str,
         now: Millis,
     ) -> JobSpec {
@@ -121,7 +121,7 @@
             gap_objective: self.route.gap_objective,
             deadline: self.deadline.since(now),
             attempt,
-            avoid: avoid.to_vec(),
+            excluded_upstreams: excluded_upstreams.to_vec(),
             data_centre: data_centre.to_owned(),
         }
     }
--- a/crates/entry/src/scheduling/client/leading.rs
+++ b/crates/entry/src/scheduling/client/leading.rs
@@ -6,7 +6,7 @@
     jasmine_core::{
         clock::Millis,
         ids::Fence,
-        scheduler::{PausedEngines, RateShare},
+        scheduler::{EnginesToPause, RateShare},
     },
     jasmine_telemetry::log::Line,
 };
@@ -160,7 +160,7 @@
             ..leader
         };
         self.leader.replace(Some(leader.clone()));
-        self.local_scheduler.pause_orders(PausedEngines::All);
+        self.local_scheduler.pause_orders(EnginesToPause::All);
         self.broadcast_leaving(&leader, &self.local_scheduler.idle_times())
             .await;
     }
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -10,7 +10,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::Fence,
-        scheduler::{Outcome, RateDecision, Ticket, WaitReason},
+        scheduler::{AttemptId, Outcome, RateDecision, WaitReason},
     },
     jasmine_wire::{
         link::{Link, LinkOptions},
@@ -164,10 +164,10 @@
         spec: JobSpec,
     ) -> Result<Placement, PlacementError> {
         let began = self.clock.now();
-        let mut avoid = spec.avoid.clone();
+        let mut excluded_upstreams = spec.excluded_upstreams.clone();
         loop {
             let mut spec = spec.clone();
-            spec.avoid.clone_from(&avoid);
+            spec.excluded_upstreams.clone_from(&excluded_upstreams);
             let spent = self.clock.now().since(began);
             spec.objective = spec.objective.since(spent);
             spec.deadline = spec.deadline.since(spent);
@@ -195,7 +195,7 @@
                     if self.is_stale_assignment(&upstream) {
                         // A leader cut off from the store may not know yet that this upstream is leaving.
                         self.record_update(spec.number, JobUpdate::Ended(Outcome::Abandoned));
-                        avoid.push(upstream);
+                        excluded_upstreams.push(upstream);
                         sleep(STALE_ASSIGNMENT_DELAY.to_std()).await;
                         continue;
                     }
@@ -260,7 +260,7 @@
         number: u64,
         update: JobUpdate,
     ) {
-        let ticket = Ticket {
+        let attempt_id = AttemptId {
             vm: LOCAL_VM,
             number,
         };
@@ -270,12 +270,12 @@
                 if let Some(running) = self.running.borrow_mut().get_mut(&number) {
                     running.spec.has_begun = true;
                 }
-                self.local_scheduler.first_event(ticket);
+                self.local_scheduler.first_event(attempt_id);
             }
             JobUpdate::Ended(outcome) => {
                 let running = self.running.borrow_mut().remove(&number);
                 is_urgent = running.is_none_or(|running| running.spec.job.generation.is_none());
-                self.local_scheduler.ended(ticket, outcome);
+                self.local_scheduler.ended(attempt_id, outcome);
             }
         }
         if !self.is_leading() {
--- a/crates/entry/src/scheduling/convert.rs
+++ b/crates/entry/src/scheduling/convert.rs
@@ -37,9 +37,11 @@
     to.set_deadline_ms(spec.deadline.0 as u32);
     to.set_attempt(spec.attempt);
     to.set_data_centre(&spec.data_centre);
-    let mut avoid = to.reborrow().init_avoid(spec.avoid.len() as u32);
-    for (at, id) in spec.avoid.iter().enumerate() {
-        avoid.set(at as u32, id);
+    let mut excluded_upstreams = to
+        .reborrow()
+        .init_avoid(spec.excluded_upstreams.len() as u32);
+    for (at, id) in spec.excluded_upstreams.iter().enumerate() {
+        excluded_upstreams.set(at as u32, id);
     }
     let Some(generation) = &spec.generation else {
         return;
@@ -77,9 +79,11 @@
                 .collect(),
         }),
     };
-    let avoid = from.get_avoid()?;
-    let avoid: Result<Vec<String>, capnp::Error> =
-        avoid.iter().map(|id| Ok(id?.to_string()?)).collect();
+    let excluded_upstreams = from.get_avoid()?;
+    let excluded_upstreams: Result<Vec<String>, capnp::Error> = excluded_upstreams
+        .iter()
+        .map(|id| Ok(id?.to_string()?))
+        .collect();
     Ok(JobSpec {
         number: from.get_number(),
         account: non_empty(from.get_account()?.to_str()?),
@@ -92,7 +96,7 @@
         gap_objective: non_zero(from.get_gap_objective_ms()).map(|ms| Millis(ms.into())),
         deadline: Millis(from.get_deadline_ms().into()),
         attempt: from.get_attempt(),
-        avoid: avoid?,
+        excluded_upstreams: excluded_upstreams?,
         data_centre: from.get_data_centre()?.to_string()?,
     })
 }
--- a/crates/entry/src/scheduling/job_spec.rs
+++ b/crates/entry/src/scheduling/job_spec.rs
@@ -47,7 +47,7 @@
     /// Attempt count, from 1.
     pub attempt: u32,
     /// Upstreams to avoid, because an earlier attempt failed there.
-    pub avoid: Vec<String>,
+    pub excluded_upstreams: Vec<String>,
     /// Data centre of the forwarding VM.
     pub data_centre: String,
 }
@@ -83,7 +83,11 @@
             deadline: now + self.deadline,
             data_centre: Some(names.data_centre(&self.data_centre)),
             attempt: self.attempt,
-            avoid: self.avoid.iter().map(|id| names.upstream(id)).collect(),
+            excluded_upstreams: self
+                .excluded_upstreams
+                .iter()
+                .map(|id| names.upstream(id))
+                .collect(),
         }
     }
 }
--- a/crates/entry/src/scheduling/local_scheduler.rs
+++ b/crates/entry/src/scheduling/local_scheduler.rs
@@ -10,8 +10,8 @@
         ids::UpstreamId,
         ingress::{EngineHoldings, IngressConfig, UpstreamEntry},
         scheduler::{
-            Announcement, Order, OrderResult, Outcome, PausedEngines, RateDecision, RateShare,
-            RunningRequest, Scheduler, SchedulerAction as Action, SchedulerSettings, Ticket,
+            Announcement, AttemptId, EnginesToPause, Order, OrderResult, Outcome, RateDecision,
+            RateShare, RunningRequest, Scheduler, SchedulerAction as Action, SchedulerSettings,
             WaitReason, WaitTimes,
         },
     },
@@ -62,7 +62,7 @@
     clock: Clock,
     names: RefCell<NameInterner>,
     scheduler: RefCell<Scheduler>,
-    waiters: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
+    waiters: RefCell<HashMap<AttemptId, oneshot::Sender<Verdict>>>,
     addresses: RefCell<HashMap<UpstreamId, SocketAddr>>,
     /// Upstreams whose entries were removed.
     removed_upstreams: RefCell<HashSet<UpstreamId>>,
@@ -139,7 +139,7 @@
     /// Stops orders to the selected engines.
     pub fn pause_orders(
         &self,
-        engines: PausedEngines,
+        engines: EnginesToPause,
     ) {
         self.scheduler.borrow_mut().pause_orders(engines);
     }
@@ -230,14 +230,14 @@
         vm: u32,
         spec: &JobSpec,
     ) -> oneshot::Receiver<Verdict> {
-        let ticket = Ticket {
+        let attempt_id = AttemptId {
             vm,
             number: spec.number,
         };
         let (tx, rx) = oneshot::channel();
-        self.waiters.borrow_mut().insert(ticket, tx);
+        self.waiters.borrow_mut().insert(attempt_id, tx);
         let job = spec.resolve(&mut self.names.borrow_mut(), self.clock.now());
-        self.apply(|scheduler, now| scheduler.place(ticket, job, now));
+        self.apply(|scheduler, now| scheduler.place(attempt_id, job, now));
         rx
     }
 
@@ -259,19 +259,19 @@
     /// Records that the first event of a request's answer was received.
     pub fn first_event(
         &self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
     ) {
-        self.apply(|scheduler, now| scheduler.first_event(ticket, now));
+        self.apply(|scheduler, now| scheduler.first_event(attempt_id, now));
     }
 
     /// Records that a request ended or was withdrawn.
     pub fn ended(
         &self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         outcome: Outcome,
     ) {
-        self.waiters.borrow_mut().remove(&ticket);
-        self.apply(|scheduler, now| scheduler.ended(ticket, outcome, now));
+        self.waiters.borrow_mut().remove(&attempt_id);
+        self.apply(|scheduler, now| scheduler.ended(attempt_id, outcome, now));
     }
 
     /// Takes over a running request from another scheduler.
@@ -283,7 +283,7 @@
         let now = self.clock.now();
         let mut names = self.names.borrow_mut();
         let adopted = RunningRequest {
-            ticket: Ticket {
+            attempt_id: AttemptId {
                 vm,
                 number: spec.job.number,
             },
@@ -302,7 +302,7 @@
     ) {
         self.waiters
             .borrow_mut()
-            .retain(|ticket, _| ticket.vm != vm);
+            .retain(|attempt_id, _| attempt_id.vm != vm);
         self.apply(|scheduler, now| scheduler.forget_vm(vm, now));
     }
 
@@ -313,7 +313,7 @@
     ) {
         self.waiters
             .borrow_mut()
-            .retain(|ticket, _| ticket.vm == vm);
+            .retain(|attempt_id, _| attempt_id.vm == vm);
         self.apply(|scheduler, now| scheduler.forget_other_vms(vm, now));
     }
 
@@ -398,13 +398,13 @@
     ) {
         match action {
             Action::Assign {
-                ticket,
+                attempt_id,
                 upstream,
                 version,
                 waited_for,
-            } => self.assign(ticket, upstream, version, waited_for),
+            } => self.assign(attempt_id, upstream, version, waited_for),
             Action::Refuse {
-                ticket,
+                attempt_id,
                 refusal,
                 waited_for,
             } => {
@@ -412,7 +412,7 @@
                     refusal,
                     waited_for,
                 };
-                self.answer(ticket, verdict);
+                self.answer(attempt_id, verdict);
             }
             Action::Order {
                 upstream,
@@ -425,7 +425,7 @@
 
     fn assign(
         &self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         upstream: UpstreamId,
         version: Option<u32>,
         waited_for: WaitReason,
@@ -433,7 +433,7 @@
         if let Some((id, address)) = self.upstream(upstream) {
             let upstream = id.to_string();
             self.answer(
-                ticket,
+                attempt_id,
                 Verdict::Assigned {
                     upstream,
                     address,
@@ -447,10 +447,10 @@
     /// Sends a verdict to its waiter; one that was dropped has reported its end itself.
     fn answer(
         &self,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         verdict: Verdict,
     ) {
-        if let Some(waiter) = self.waiters.borrow_mut().remove(&ticket) {
+        if let Some(waiter) = self.waiters.borrow_mut().remove(&attempt_id) {
             drop(waiter.send(verdict));
         }
     }
--- a/crates/entry/src/scheduling/server.rs
+++ b/crates/entry/src/scheduling/server.rs
@@ -11,7 +11,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::Fence,
-        scheduler::{Outcome, Ticket, WaitReason},
+        scheduler::{AttemptId, Outcome, WaitReason},
     },
     jasmine_store::store::LeaseId,
     jasmine_telemetry::log::Line,
@@ -119,7 +119,7 @@
         let spec = read_job(params.get_job()?)?;
         let guard = WithdrawOnDrop {
             local_scheduler: &self.scheduling.local_scheduler,
-            ticket: Ticket {
+            attempt_id: AttemptId {
                 vm: session,
                 number: spec.number,
             },
@@ -154,13 +154,15 @@
         }
         for update in params.get_news()? {
             let (number, update) = read_update(update)?;
-            let ticket = Ticket {
+            let attempt_id = AttemptId {
                 vm: session,
                 number,
             };
             match update {
-                JobUpdate::FirstEvent => self.scheduling.local_scheduler.first_event(ticket),
-                JobUpdate::Ended(outcome) => self.scheduling.local_scheduler.ended(ticket, outcome),
+                JobUpdate::FirstEvent => self.scheduling.local_scheduler.first_event(attempt_id),
+                JobUpdate::Ended(outcome) => {
+                    self.scheduling.local_scheduler.ended(attempt_id, outcome)
+                }
             }
         }
         Ok(())
@@ -247,14 +249,15 @@
 /// Withdraws a placement request if its call is dropped because the caller disconnected.
 struct WithdrawOnDrop<'a> {
     local_scheduler: &'a LocalScheduler,
-    ticket: Ticket,
+    attempt_id: AttemptId,
     is_settled: Cell<bool>,
 }
 
 impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if !self.is_settled.get() {
-            self.local_scheduler.ended(self.ticket, Outcome::Abandoned);
+            self.local_scheduler
+                .ended(self.attempt_id, Outcome::Abandoned);
         }
     }
 }
--- a/crates/entry/tests/no_leader.rs
+++ b/crates/entry/tests/no_leader.rs
@@ -71,7 +71,7 @@
         gap_objective: None,
         deadline: Millis(4_000),
         attempt: 1,
-        avoid: Vec::new(),
+        excluded_upstreams: Vec::new(),
         data_centre: "one".to_owned(),
     }
 }
