--- a/crates/core/benches/rights_and_queue.rs
+++ b/crates/core/benches/rights_and_queue.rs
@@ -17,7 +17,7 @@
             Budget, EpochAction, EpochMachine, HoldingsRecord, LiveVm, MembershipSettings,
             StoreView, Versioned,
         },
-        queue::{FairQueue, Priority, QueueSettings, QueuedRequest, Target},
+        queue::{FairQueue, Priority, QueueSettings, QueueTarget, QueuedRequest},
         rights::{
             Admission, CallerTag, FULL_SHARE, Limit, OutgoingTakeRequest, Right, RightsLedger,
             RightsSettings, TakeRequest,
@@ -155,7 +155,7 @@
                 priority: Priority::Normal,
                 cost: 100 + n % 400,
                 deadline: Millis(u64::MAX),
-                target: Target::Base(ModelId((n * 7) as u32 % targets)),
+                target: QueueTarget::Base(ModelId((n * 7) as u32 % targets)),
             };
             let _ = black_box(queue.push(waiting, Millis(n / 100)));
             Millis(n / 100)
--- a/crates/core/src/queue/account_queue.rs
+++ b/crates/core/src/queue/account_queue.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AccountShare, QueuedRequest, Target,
+        AccountShare, QueueTarget, QueuedRequest,
         pool::{Backlog, Pool},
     },
     crate::clock::Millis,
@@ -20,9 +20,9 @@
     pub share: AccountShare,
     /// Virtual counter: served cost divided by weight, in thousandths of a token.
     pub counter: u64,
-    by_target: HashMap<Target, BTreeMap<Position, QueuedRequest>>,
+    by_target: HashMap<QueueTarget, BTreeMap<Position, QueuedRequest>>,
     /// The first request of each target.
-    heads: BTreeMap<Position, Target>,
+    heads: BTreeMap<Position, QueueTarget>,
     backlogs: BTreeMap<Pool, Backlog>,
     len: usize,
 }
@@ -74,7 +74,7 @@
     pub fn remove(
         &mut self,
         position: Position,
-        target: Target,
+        target: QueueTarget,
     ) -> Option<QueuedRequest> {
         let queue = self.by_target.get_mut(&target)?;
         let waiting = queue.remove(&position)?;
@@ -99,7 +99,7 @@
     pub fn first_runnable<F>(
         &self,
         can_run: &mut F,
-    ) -> Option<(Position, Target)>
+    ) -> Option<(Position, QueueTarget)>
     where
         F: FnMut(&QueuedRequest) -> bool,
     {
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AccountShare, Enqueued, QueueSettings, QueuedRequest, Target,
+        AccountShare, Enqueued, QueueSettings, QueueTarget, QueuedRequest,
         account_queue::{AccountQueue, Position},
         estimate,
         pool::{Pool, PoolState},
@@ -27,7 +27,7 @@
 struct Location {
     account: AccountId,
     position: Position,
-    target: Target,
+    target: QueueTarget,
     deadline: Millis,
 }
 
@@ -271,7 +271,7 @@
     }
 
     /// Iterates over all waiting requests, in arbitrary order.
-    pub fn iter(&self) -> impl Iterator<Item = (RequestId, AccountId, Target)> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, AccountId, QueueTarget)> + '_ {
         self.locations
             .iter()
             .map(|(&request, location)| (request, location.account, location.target))
@@ -333,7 +333,7 @@
         &mut self,
         account: AccountId,
         position: Position,
-        target: Target,
+        target: QueueTarget,
     ) -> Option<QueuedRequest> {
         let account_queue = self.accounts.get_mut(&account)?;
         let waiting = account_queue.remove(position, target)?;
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -22,6 +22,6 @@
 pub use {
     fair_queue::FairQueue,
     priority::Priority,
-    queued_request::{Enqueued, QueuedRequest, Target},
+    queued_request::{Enqueued, QueueTarget, QueuedRequest},
     settings::{AccountShare, QueueSettings},
 };
--- a/crates/core/src/queue/pool.rs
+++ b/crates/core/src/queue/pool.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Priority, Target, service_rate::ServiceRate},
+    super::{Priority, QueueTarget, service_rate::ServiceRate},
     crate::ids::ServiceId,
 };
 
@@ -17,10 +17,10 @@
 
 impl Pool {
     /// Returns the pool of upstreams that can serve a target.
-    pub const fn for_target(target: Target) -> Self {
+    pub const fn for_target(target: QueueTarget) -> Self {
         match target {
-            Target::Adapter(_) | Target::Base(_) => Self::Engines,
-            Target::Service(service) => Self::Service(service),
+            QueueTarget::Adapter(_) | QueueTarget::Base(_) => Self::Engines,
+            QueueTarget::Service(service) => Self::Service(service),
         }
     }
 }
--- a/crates/core/src/queue/queued_request.rs
+++ b/crates/core/src/queue/queued_request.rs
@@ -8,7 +8,7 @@
 
 /// What a request needs to run; requests with the same target become runnable together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Target {
+pub enum QueueTarget {
     /// An engine with this adapter version loaded.
     Adapter(AdapterVersion),
     /// An engine of this base model.
@@ -31,7 +31,7 @@
     /// Time by which the request must start.
     pub deadline: Millis,
     /// What the request needs to run.
-    pub target: Target,
+    pub target: QueueTarget,
 }
 
 /// The result of queueing a request.
--- a/crates/core/src/scheduler/state_machine/admission.rs
+++ b/crates/core/src/scheduler/state_machine/admission.rs
@@ -6,7 +6,7 @@
         clock::Millis,
         error::{ErrorKind, Refusal},
         ids::{AccountId, AdapterVersion, RequestId, ServiceId},
-        queue::{Priority, QueuedRequest, Target},
+        queue::{Priority, QueueTarget, QueuedRequest},
         rights::Charge,
         scheduler::{Job, Work, retry_budget::RetryBudget},
     },
@@ -143,15 +143,15 @@
 
 /// The queue target of a request. An adapter's requests share one target whatever the version, as
 /// the version is chosen when a request is sent.
-fn target(job: &Job) -> Target {
+fn target(job: &Job) -> QueueTarget {
     match job.generation() {
-        None => Target::Service(job.service),
+        None => QueueTarget::Service(job.service),
         Some(generation) => match generation.adapter {
-            Some(adapter) => Target::Adapter(AdapterVersion {
+            Some(adapter) => QueueTarget::Adapter(AdapterVersion {
                 adapter,
                 version: 0,
             }),
-            None => Target::Base(generation.model),
+            None => QueueTarget::Base(generation.model),
         },
     }
 }
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -12,7 +12,7 @@
     jasmine_core::{
         clock::Millis,
         ids::{AccountId, ModelId, RequestId, ServiceId},
-        queue::{AccountShare, FairQueue, Priority, QueueSettings, QueuedRequest, Target},
+        queue::{AccountShare, FairQueue, Priority, QueueSettings, QueueTarget, QueuedRequest},
     },
     rand::SeedableRng,
     rand_chacha::ChaCha8Rng,
@@ -58,7 +58,7 @@
         priority: Priority,
         cost: u64,
         within: u64,
-        target: Target,
+        target: QueueTarget,
     ) -> String {
         let waiting = QueuedRequest {
             request: RequestId(self.next),
@@ -83,7 +83,7 @@
         let busy = &self.busy;
         for _ in 0..most {
             let popped = self.queue.pop(self.now, |waiting| match waiting.target {
-                Target::Base(model) => !busy.contains(&model.0),
+                QueueTarget::Base(model) => !busy.contains(&model.0),
                 _ => true,
             });
             match popped {
@@ -130,8 +130,8 @@
         };
         args.reject_next()?;
         let target = match service {
-            0 => Target::Base(ModelId(model)),
-            service => Target::Service(ServiceId(service)),
+            0 => QueueTarget::Base(ModelId(model)),
+            service => QueueTarget::Service(ServiceId(service)),
         };
         let mut out = String::new();
         match command.name.as_str() {
@@ -297,7 +297,7 @@
             priority,
             cost,
             deadline: self.now + Millis(within),
-            target: Target::Base(ModelId(model)),
+            target: QueueTarget::Base(ModelId(model)),
         };
         self.next += 1;
         let before = self.queue.account_len(waiting.account);
@@ -314,7 +314,7 @@
 
     fn pop(&mut self) {
         let busy = self.busy;
-        let can_run = |waiting: &QueuedRequest| waiting.target != Target::Base(ModelId(busy));
+        let can_run = |waiting: &QueuedRequest| waiting.target != QueueTarget::Base(ModelId(busy));
         let position = |&(waiting, at): &(QueuedRequest, Millis)| {
             (
                 at + PRIORITY_DELAY[waiting.priority as usize],
--- a/crates/gateway/src/coordinator/admission.rs
+++ b/crates/gateway/src/coordinator/admission.rs
@@ -218,10 +218,10 @@
     }
 }
 
-const fn queue_target(target: Target) -> queue::Target {
+const fn queue_target(target: Target) -> queue::QueueTarget {
     match target {
-        Target::Base(model) => queue::Target::Base(model),
-        Target::Adapter(_, adapter) => queue::Target::Adapter(adapter),
-        Target::Service(service) => queue::Target::Service(service),
+        Target::Base(model) => queue::QueueTarget::Base(model),
+        Target::Adapter(_, adapter) => queue::QueueTarget::Adapter(adapter),
+        Target::Service(service) => queue::QueueTarget::Service(service),
     }
 }
--- a/crates/testkit/src/decisions/fleet.rs
+++ b/crates/testkit/src/decisions/fleet.rs
@@ -204,7 +204,7 @@
                 priority: Priority::Normal,
                 cost,
                 deadline: world.now + REQUEST_DEADLINE,
-                target: queue::Target::Adapter(arrival.adapter),
+                target: queue::QueueTarget::Adapter(arrival.adapter),
             };
             if let Err(refusal) = self.gateways[g].queue.push(waiting, world.now) {
                 world.refuse(id, refusal);
--- a/crates/testkit/src/decisions/fleet_events.rs
+++ b/crates/testkit/src/decisions/fleet_events.rs
@@ -153,7 +153,7 @@
             let router = &mut gateway.router;
             let mut sent = None;
             let popped = gateway.queue.pop(now, |waiting| {
-                let queue::Target::Adapter(adapter) = waiting.target else {
+                let queue::QueueTarget::Adapter(adapter) = waiting.target else {
                     return false;
                 };
                 let target = Target::Adapter(MODEL, adapter);
