--- a/crates/entry/src/scheduling/server.rs
+++ b/crates/entry/src/scheduling/server.rs
@@ -161,7 +161,7 @@
             match update {
                 JobUpdate::FirstEvent => self.scheduling.local_scheduler.first_event(attempt_id),
                 JobUpdate::Ended(outcome) => {
-                    self.scheduling.local_scheduler.ended(attempt_id, outcome)
+                    self.scheduling.local_scheduler.ended(attempt_id, outcome);
                 }
             }
         }
