--- a/crates/controller/src/status/gauges.rs
+++ b/crates/controller/src/status/gauges.rs
@@ -60,14 +60,14 @@
 
     const fn description(self) -> &'static str {
         match self {
-            Self::Revision => "Current revision of the configuration",
-            Self::GatewayRevision => "Configuration revision that the gateway on this VM uses",
-            Self::FreshMs => "Time since the store confirmed the current revision",
-            Self::Epoch => "Current epoch of rights of this controller",
-            Self::Members => "Known VMs with a live lease",
+            Self::Revision => "Revision of the configuration in force here",
+            Self::GatewayRevision => "Revision in force at the gateway of this VM",
+            Self::FreshMs => "Time since the store confirmed what is in force",
+            Self::Epoch => "Epoch of rights that this controller is in",
+            Self::Members => "VMs with a live lease, as far as is known here",
             Self::Owned => "Engines owned by this controller",
             Self::Orders => "Orders sent to engines since the start",
-            Self::StoreUp => "1 while the key-value service replies, else 0",
+            Self::StoreUp => "1 while the key-value service answers, else 0",
         }
     }
 }
--- a/crates/controller/src/status/store_metrics.rs
+++ b/crates/controller/src/status/store_metrics.rs
@@ -21,13 +21,13 @@
     let watches = counts.clone();
     meter
         .u64_observable_gauge("jasmine_store_watches")
-        .with_description("Open watches of the key-value service")
+        .with_description("Watches of the key-value service that wait now")
         .with_callback(move |observer| observer.observe(watches.watches(), &[]))
         .build();
     let failed = counts.clone();
     meter
         .u64_observable_counter("jasmine_store_failures")
-        .with_description("Calls to the key-value service without a usable reply, by kind")
+        .with_description("Calls to the key-value service without a usable answer, by kind")
         .with_callback(move |observer| {
             for kind in StoreCallKind::ALL {
                 observer.observe(
