--- a/crates/conf/src/fleet/fleet_view.rs
+++ b/crates/conf/src/fleet/fleet_view.rs
@@ -35,7 +35,7 @@
     pub adapters: SharedArena<AdapterId, Adapter>,
     /// Adapter ids by name.
     pub adapter_names: HashMap<String, AdapterId>,
-    /// Base models by id.
+    /// The base models that adapters are loaded onto, by id.
     pub models: SharedArena<ModelId, BaseModel>,
     /// Data centres by id.
     pub data_centres: SharedArena<DataCentreId, DataCentre>,
--- a/crates/conf/src/store_layout/shard.rs
+++ b/crates/conf/src/store_layout/shard.rs
@@ -45,7 +45,7 @@
     format!("{SHARD_PREFIX}{shard:03}")
 }
 
-/// The shard of a path.
+/// The store shard that keeps the node at `path`: a hash of the path modulo [`SHARDS`].
 pub fn shard_of(path: &Path) -> u16 {
     (xxh3_64(path.as_str().as_bytes()) % u64::from(SHARDS)) as u16
 }
--- a/crates/conf/src/tree/commands/check.rs
+++ b/crates/conf/src/tree/commands/check.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// The number to assign to a created node; 0 for other ops and for kinds without a family.
+/// The next number of its family for a created node; 0 if the op or kind takes no number.
 pub(super) fn number(
     tree: &Tree,
     op: &EditOp,
--- a/crates/conf/src/tree/edit_log.rs
+++ b/crates/conf/src/tree/edit_log.rs
@@ -4,7 +4,7 @@
     std::{collections::VecDeque, sync::Arc},
 };
 
-/// The maximum number of edits in an [`EditLog`].
+/// The most edits that an [`EditLog`] keeps; the oldest are dropped when there are more.
 pub const MAX_LOG_EDITS: usize = 1_024;
 
 /// The maximum number of ops in an [`EditLog`], which bounds its memory when edits are large.
--- a/crates/conf/src/tree/tree_nodes.rs
+++ b/crates/conf/src/tree/tree_nodes.rs
@@ -90,7 +90,7 @@
         self.revision
     }
 
-    /// The next number to assign in each family that has assigned one.
+    /// The next number by family; a family without an entry starts at 1.
     pub const fn next_numbers(&self) -> &BTreeMap<Family, u32> {
         &self.next_numbers
     }
--- a/crates/controller/src/epochs/epoch_follower.rs
+++ b/crates/controller/src/epochs/epoch_follower.rs
@@ -47,7 +47,8 @@
         };
         match (is_member, self.budget.epoch()) {
             (false, Some(entered)) if entered < epoch => {
-                // The epoch excluded this run as gone and redistributed its rights.
+                // The new epoch began without this run of the daemon, which counted as gone,
+                // and gave its rights to others.
                 Line::new("rights_forfeited").with("epoch", epoch).warn();
                 self.budget.discard_all();
                 return;
--- a/crates/core/examples/skewed_load/load.rs
+++ b/crates/core/examples/skewed_load/load.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub name: &'static str,
-    /// Number of VMs that may hold rights.
+    /// VMs that can be given a part of the account's rate and burst.
     pub holders: u32,
     pub skew: Skew,
     /// Demand outside of peaks, in percent of the account's rate.
@@ -38,7 +38,7 @@
     /// Refused although the reference bucket admitted them.
     pub wrongful: u64,
     pub messages: u64,
-    /// Requests that waited for rights from peers.
+    /// Requests not decided at once, as their VM asked others for a part of their rate or burst.
     pub waited: u64,
     pub retries: u64,
     pub retries_served: u64,
--- a/crates/core/examples/skewed_load/run.rs
+++ b/crates/core/examples/skewed_load/run.rs
@@ -21,7 +21,7 @@
 };
 /// One-way network delay between two VMs.
 const NETWORK_DELAY: Millis = Millis(1);
-/// Time from a VM's death to the reissue of its rights: lease expiry plus lag of the VM list.
+/// Time until a dead VM's rate and burst go to the others: lease expiry plus lag of the VM list.
 const REISSUE_DELAY: Millis = Millis::from_secs(15);
 /// Time from admission to settlement of a request.
 const RUN_DURATION: Millis = Millis(2000);
@@ -67,7 +67,7 @@
 }
 
 impl Run {
-    /// Creates a fleet with the rights divided evenly among the account's homes.
+    /// Creates VMs, up to 8 of which (the account's homes) get equal parts of its rate and burst.
     pub fn new(
         load: Load,
         sharing: bool,
@@ -320,7 +320,7 @@
         self.schedule(now + REISSUE_DELAY, Event::Reissue);
     }
 
-    /// Starts the next epoch without the dead VM and divides its rights evenly among the others.
+    /// Starts epoch 2 without the dead VM and gives the others equal parts of its rights.
     fn reissue(
         &mut self,
         now: Millis,
--- a/crates/core/src/ingress/held_model.rs
+++ b/crates/core/src/ingress/held_model.rs
@@ -1,16 +1,16 @@
 /// An adapter version reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeldAdapter {
-    /// Its name.
+    /// Name of the adapter, without base model and version.
     pub name: String,
-    /// Its version.
+    /// Version that the engine loads or has loaded.
     pub version: u32,
 }
 
 /// A base model that an engine holds, with the adapters loaded on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldModel {
-    /// Its name.
+    /// Name of the base model; adapter names are looked up under it.
     pub name: String,
     /// The adapters that are ready for requests.
     pub adapters: Vec<HeldAdapter>,
@@ -21,7 +21,7 @@
 pub struct ComingAdapter {
     /// Name of its base model.
     pub model: String,
-    /// The adapter.
+    /// Name and version of the adapter being loaded.
     pub adapter: HeldAdapter,
 }
 
--- a/crates/core/src/ingress/service_spec.rs
+++ b/crates/core/src/ingress/service_spec.rs
@@ -3,7 +3,7 @@
 /// A base model that engines of a service can run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
-    /// Its name.
+    /// Name of the base model, which the scheduler's id stands for.
     pub name: String,
     /// Engine memory used by its weights, in megabytes.
     pub weights_mb: f64,
@@ -33,7 +33,7 @@
 /// A service that requests are routed to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service, also its key in the configuration's map of services.
     pub name: String,
     /// Maximum number of connections that one of its upstreams accepts in total.
     pub max_connections: Option<u32>,
--- a/crates/core/src/membership/epoch_record.rs
+++ b/crates/core/src/membership/epoch_record.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HolderGrants {
-    /// The holder.
+    /// The daemon run that may use the granted rights.
     pub holder: Holder,
     /// The granted rights, one per account.
     pub rights: Vec<Right>,
--- a/crates/core/src/membership/store_view.rs
+++ b/crates/core/src/membership/store_view.rs
@@ -12,7 +12,7 @@
 /// A VM whose member record is under a live lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveVm {
-    /// The VM.
+    /// Id of the VM that the two daemons run on.
     pub vm: VmId,
     /// Incarnation of its gateway, if its controller knows one.
     pub gateway: Option<Incarnation>,
@@ -36,7 +36,7 @@
 /// A value from the store with the revision at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// The value.
+    /// The value as last read; the store may hold a newer one.
     pub value: T,
     /// The store's revision of the last write to its key.
     pub mod_revision: u64,
@@ -49,9 +49,9 @@
 pub struct HoldingsRecord {
     /// The epoch it entered.
     pub epoch: Epoch,
-    /// The holder.
+    /// The daemon run that entered the epoch.
     pub holder: Holder,
-    /// Its rights.
+    /// What it holds of the accounts' rates and bursts.
     pub rights: Vec<Right>,
 }
 
@@ -60,7 +60,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReleasedRecord {
-    /// The holder.
+    /// The daemon run that has stopped.
     pub holder: Holder,
     /// Its remaining rights.
     pub rights: Vec<Right>,
@@ -73,7 +73,7 @@
     pub account: AccountId,
     /// The role of the daemons that hold it.
     pub role: Role,
-    /// Its limit.
+    /// The total rate and burst, of which each holder has a part.
     pub limit: Limit,
 }
 
--- a/crates/core/src/ownership/account_waits.rs
+++ b/crates/core/src/ownership/account_waits.rs
@@ -3,7 +3,7 @@
     std::collections::BTreeMap,
 };
 
-/// Half-life of recorded waits.
+/// Time in which a recorded load wait loses half its weight in an account's mean.
 const WAIT_HALF_LIFE: Millis = Millis::from_secs(30);
 
 /// Recent load waits of each client account.
--- a/crates/core/src/ownership/assign.rs
+++ b/crates/core/src/ownership/assign.rs
@@ -6,7 +6,7 @@
 /// A controller that can own engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its VM.
+    /// The VM that the controller runs on.
     pub vm: VmId,
     /// The VM's data centre.
     pub data_centre: DataCentreId,
--- a/crates/core/src/ownership/copy_updates.rs
+++ b/crates/core/src/ownership/copy_updates.rs
@@ -11,7 +11,7 @@
 /// Decayed demand below this is dropped.
 const MIN_DEMAND: f64 = 0.01;
 
-/// Updates of copies from gateway polls and engine reports.
+/// Applies gateway polls and engine reports to the loaded adapter versions of an engine.
 impl OwnedEngine {
     /// Records that a gateway holds a grant for an instance.
     ///
--- a/crates/core/src/ownership/engine_copy.rs
+++ b/crates/core/src/ownership/engine_copy.rs
@@ -6,7 +6,7 @@
     std::collections::BTreeMap,
 };
 
-/// State of one copy on an engine, as its owner knows it.
+/// State of an adapter version on an engine, as known to the controller that sends its orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyState {
     /// The engine was told to load it; no result yet.
--- a/crates/core/src/ownership/settings.rs
+++ b/crates/core/src/ownership/settings.rs
@@ -8,7 +8,7 @@
     /// Whether orders continue after the lease has ended, for example in a long store outage. Running
     /// requests are then protected by releases alone: without a lease, a gateway's end revokes nothing.
     pub can_order_past_lease: bool,
-    /// Copies held by a gateway that has been silent for this long are not evicted.
+    /// A copy granted to a gateway not heard from for this long stays loaded: it may be in use.
     pub gateway_silence_timeout: Millis,
     /// A recall not completed within this time is cancelled, and another victim is chosen.
     pub recall_timeout: Millis,
--- a/crates/core/src/rights/transfer_log.rs
+++ b/crates/core/src/rights/transfer_log.rs
@@ -26,7 +26,7 @@
 /// Whether a request was handled before.
 #[derive(Clone, Copy, Debug)]
 pub enum LookUp {
-    /// No response is stored, and none was evicted that could be this one.
+    /// Not handled before: no response is stored, and any evicted ones had lower transfer ids.
     New,
     /// The request was handled with this response.
     Handled(TakeResponse),
--- a/crates/core/src/scheduler/account_rates.rs
+++ b/crates/core/src/scheduler/account_rates.rs
@@ -23,7 +23,7 @@
 ///
 /// Zero would make a VM that has just started reject its first requests.
 const STANDALONE_GRANT_PERCENT: u64 = 3;
-/// Share of an account's burst that generations leave for calls, as a divisor.
+/// After a rejection, generations leave the burst divided by this to calls, which are cheap.
 const CALL_RESERVE_DIVISOR: u64 = 8;
 /// Upper bound of the tokens that generations leave for calls.
 const MAX_CALL_RESERVE: u64 = 1_600;
--- a/crates/core/src/scheduler/engine.rs
+++ b/crates/core/src/scheduler/engine.rs
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Whether an order can be sent now.
+    /// Whether a load or unload can be ordered: none pending, none held back, view synced.
     pub(super) fn can_take_order(
         &self,
         now: Millis,
--- a/crates/core/src/scheduler/resident.rs
+++ b/crates/core/src/scheduler/resident.rs
@@ -9,7 +9,7 @@
 
 /// Delay before a late load is checked again; doubled each time.
 const LATE_LOAD_DELAY: Millis = Millis(40);
-/// Upper bound of the doublings of this delay.
+/// Doublings after which [`LATE_LOAD_DELAY`] stops growing, at 640 ms.
 const MAX_DELAY_DOUBLINGS: u32 = 4;
 
 /// State of an adapter on an engine.
--- a/crates/core/src/scheduler/settings.rs
+++ b/crates/core/src/scheduler/settings.rs
@@ -12,7 +12,7 @@
 }
 
 impl Default for RetrySettings {
-    /// The defaults where the platform sets no budget.
+    /// One retry per ten requests plus ten more, over 10 s, unless the configuration sets a budget.
     fn default() -> Self {
         Self {
             ratio: 0.1,
--- a/crates/core/src/scheduler/wait_reason.rs
+++ b/crates/core/src/scheduler/wait_reason.rs
@@ -21,7 +21,7 @@
 }
 
 impl WaitReason {
-    /// Every reason, one for each variant.
+    /// All variants in declaration order, by which wait times are counted and exported as metrics.
     pub const ALL: [Self; 8] = [
         Self::Turn,
         Self::NoUpstream,
--- a/crates/ctl/src/cli/args.rs
+++ b/crates/ctl/src/cli/args.rs
@@ -6,7 +6,7 @@
     std::{env, fs, time::Duration},
 };
 
-/// Output format.
+/// How a command prints its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
     /// Human-readable tables.
@@ -24,7 +24,7 @@
     pub token: String,
     /// Author recorded with edits.
     pub author: String,
-    /// Output format.
+    /// Whether results are printed as tables or as JSON.
     pub output: OutputFormat,
     /// Timeout of a call to one controller.
     pub timeout: Duration,
--- a/crates/entry/src/scheduling/client/leading.rs
+++ b/crates/entry/src/scheduling/client/leading.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Stores the idle times announced by a leader that is stopping.
+    /// Stores the time since each engine's last order, as announced by a leader that is stopping.
     pub fn set_handover(
         &self,
         fence: Fence,
--- a/crates/entry/src/scheduling/client/mod.rs
+++ b/crates/entry/src/scheduling/client/mod.rs
@@ -307,7 +307,7 @@
         matches!(*self.mode.borrow(), Mode::Following(..))
     }
 
-    /// Which VM schedules for this VM, for the log: `standalone_for`, `own/FENCE` or `VM/FENCE`.
+    /// Which VM schedules for this VM, for the log: `alone`, `own/FENCE` or `VM/FENCE`.
     pub fn decider(&self) -> String {
         match &*self.mode.borrow() {
             Mode::Standalone => "alone".to_owned(),
--- a/crates/entry/src/store/follower.rs
+++ b/crates/entry/src/store/follower.rs
@@ -183,7 +183,8 @@
             let now = self.cx.clock.now();
             let is_leading = self.cx.scheduling.is_leading();
             let source = if is_leading {
-                // Local VMs may have followed this one, while readers in other data centres have the changes already.
+                // Local VMs may have read changes only through this VM and lag as it does. Readers
+                // in other data centres may have the changes already.
                 let remote = self.membership.remote_readers();
                 let order = remote.keys().chain(peers.keys());
                 let source = self.choice.choose_for_scheduler(order.copied(), now);
--- a/crates/gateway/src/coordinator/admission.rs
+++ b/crates/gateway/src/coordinator/admission.rs
@@ -90,8 +90,8 @@
                     .extend(take_requests.into_iter().map(Effect::TakeRights));
                 self.wait_for_rights(request, account, since);
             }
-            // Some rights have no holder during an epoch change or before an account's first grant;
-            // once they are granted the request may be admitted.
+            // Parts of an account's rate and burst belong to no gateway during an epoch change or
+            // before its first grant; once they are granted the request may be admitted.
             rights::Admission::Refused(refusal)
                 if refusal.kind == ErrorKind::RateLimited
                     && now.since(since) < self.transition_wait_timeout(account, now) =>
--- a/crates/gateway/src/coordinator/members.rs
+++ b/crates/gateway/src/coordinator/members.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The gateways that hold rights, and whether each is draining.
+    /// The gateways with a part of the accounts' rates and bursts; `true` for draining ones.
     pub fn holders_with_draining(&self) -> Vec<(Holder, bool)> {
         let is_draining = |vm| self.by_vm.get(&vm).is_some_and(|member| member.is_draining);
         self.holders()
--- a/crates/gateway/src/coordinator/wire_types.rs
+++ b/crates/gateway/src/coordinator/wire_types.rs
@@ -13,7 +13,7 @@
     },
 };
 
-/// Reads an instance.
+/// Decodes an adapter version as loaded on one engine, with the fence of the load.
 pub(super) fn read_instance(reader: instance::Reader<'_>) -> Instance {
     Instance {
         upstream: UpstreamId(reader.get_upstream()),
--- a/crates/gateway/src/daemon/run.rs
+++ b/crates/gateway/src/daemon/run.rs
@@ -146,7 +146,7 @@
 
 #[expect(
     clippy::too_many_arguments,
-    reason = "all values that move to the thread of the brain at startup"
+    reason = "all values that move to the thread of the coordinator at startup"
 )]
 fn start_coordinator(
     arbiter: &Arbiter,
--- a/crates/gateway/src/forward/forward_result.rs
+++ b/crates/gateway/src/forward/forward_result.rs
@@ -1,6 +1,6 @@
 use super::BufferedAnswer;
 
-/// The result of forwarding a request.
+/// What remains of a forwarded request for its idempotency claim: to store, release or leave open.
 #[derive(Clone, Debug)]
 pub struct ForwardResult {
     /// Response of a plain service; `None` for completions and failed calls.
--- a/crates/gateway/src/http/claims.rs
+++ b/crates/gateway/src/http/claims.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Records the disposition in the store.
+    /// Stores the response or releases the claim; a claim left open is not touched.
     pub(super) async fn record(
         self,
         coordinator: &CoordinatorHandle,
--- a/crates/gateway/src/http/completions.rs
+++ b/crates/gateway/src/http/completions.rs
@@ -75,7 +75,8 @@
     let body_length = content_length(req);
     let bytes = body::read(&mut payload, body_length, &shared.limits, incoming.arrived).await?;
     let mut completion = CompletionRequest::parse(kind, &bytes)?;
-    // Checks for the caller's key before admission charges; the instance name can't contain it.
+    // Built only to reject a body with the caller's key before admission charges the account. The
+    // instance isn't chosen yet, but its name can't contain the key.
     completion.body("", &caller.key)?;
     let account = &caller.account;
     let class = priority(req, account.priority)?;
--- a/crates/gateway/src/http/shared.rs
+++ b/crates/gateway/src/http/shared.rs
@@ -19,7 +19,7 @@
 /// State shared by all worker threads.
 #[derive(Debug)]
 pub struct Shared {
-    /// Handle for messages to the brain.
+    /// Handle for messages to the coordinator.
     pub coordinator: CoordinatorHandle,
     /// The current configuration.
     pub fleet: watch::Receiver<Arc<Fleet>>,
--- a/crates/gateway/src/sse/chunk.rs
+++ b/crates/gateway/src/sse/chunk.rs
@@ -7,7 +7,7 @@
 /// Token usage as reported by an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens that the engine counted in the request's prompt.
     pub prompt_tokens: u64,
     /// Generated tokens.
     pub completion_tokens: u64,
--- a/crates/store/src/etcd/call_kind.rs
+++ b/crates/store/src/etcd/call_kind.rs
@@ -23,7 +23,7 @@
 }
 
 impl StoreCallKind {
-    /// All kinds.
+    /// All variants; store calls are counted and exported as metrics for each.
     pub const ALL: [Self; 6] = [
         Self::Range,
         Self::Txn,
--- a/crates/testkit/src/decisions/engine.rs
+++ b/crates/testkit/src/decisions/engine.rs
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     tokens: f64,
-    /// Number of loads granted.
+    /// Loads that the store has let start since the simulation began.
     pub granted_loads: u64,
 }
 
