--- a/crates/core/src/forward/action.rs
+++ b/crates/core/src/forward/action.rs
@@ -22,7 +22,7 @@
 pub enum ForwardAction {
     /// Choose an upstream.
     Route {
-        /// The attempt.
+        /// Number of the attempt, which the events that result from this action carry.
         attempt: Attempt,
         /// The upstream that failed last, to be avoided.
         avoid: Option<UpstreamId>,
@@ -31,14 +31,14 @@
     },
     /// Send the request to the chosen upstream.
     Send {
-        /// The attempt.
+        /// Number of the attempt, which the events that result from this action carry.
         attempt: Attempt,
         /// Whether a new connection is required instead of a pooled one.
         fresh: bool,
     },
     /// Resume the stream at the chosen upstream over a new connection.
     Resume {
-        /// The attempt.
+        /// Number of the attempt, which the events that result from this action carry.
         attempt: Attempt,
         /// Number of tokens already delivered; the stream resumes after them.
         offset: u64,
--- a/crates/core/src/forward/event.rs
+++ b/crates/core/src/forward/event.rs
@@ -30,47 +30,47 @@
 pub enum ForwardEvent {
     /// An upstream was chosen.
     Routed {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
-        /// The upstream.
+        /// The upstream to which the attempt is to be sent.
         upstream: UpstreamId,
     },
     /// No upstream was chosen.
     RouteRefused {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
-        /// The reason.
+        /// Why none was chosen, as the error for the caller.
         refusal: Refusal,
     },
     /// No connection was established, and no byte of the request was sent.
     Unreachable {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
     },
     /// The head of a response arrived.
     Head {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
         /// The head.
         head: Head,
     },
     /// A part of the response arrived.
     Part {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
         /// The part.
         part: Part,
     },
     /// The upstream marked the response as complete.
     End {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
         /// Number of generated tokens, if the upstream reported it.
         generated_tokens: Option<u64>,
     },
     /// The connection was lost, or invalid data arrived.
     Lost {
-        /// The attempt.
+        /// Number of the attempt that this is about; the event is ignored if it is not the latest.
         attempt: Attempt,
     },
     /// The caller does not read the parts that are ready for it.
